--- a/lockspoke/__init__.py
+++ b/lockspoke/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway of lisboa-assist: two fronts on one core round the decisions of `hillridge`."""
+"""A gateway for fleets of language-model replicas: fronts for clients, one core, a load balancer."""
--- a/lockspoke/__main__.py
+++ b/lockspoke/__main__.py
@@ -10,7 +10,7 @@
     if sys.argv[1:2] and sys.argv[1] in TOOLS:
         # Imported only here: the gateway lives in little memory and needs nothing of it.
         try:
-            from lockspoke.cli.main import run
+            from .cli.main import run
         except ModuleNotFoundError as error:
             print(f"lockspoke: {error.name} is not installed; pip install 'lockspoke[cli]'", file=sys.stderr)
             return 2
@@ -19,7 +19,7 @@
 
     # A new configuration may be told while the program still starts: unblocked once it can be taken up.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    from lockspoke.lifecycle.program import main as gateway
+    from .lifecycle.program import main as gateway
 
     return gateway()
 
--- a/lockspoke/lifecycle/address.py
+++ b/lockspoke/address/subsystem.py
@@ -18,12 +18,11 @@
 from lockspoke.address.listening import Announcer, Announcers, LoopbackListener, steady_clock
 from lockspoke.address.member import Member
 from lockspoke.address.settings import Settings, endpoint
-from lockspoke.memory.core import Core
-from lockspoke.wire.clients import ClientConnection, ClientFront
-from lockspoke.wire.listener import close_resting
-
-from .config import Config, ConfigError
-from .parts import Surroundings
+from lockspoke.core.core import Core
+from lockspoke.lifecycle.config import Config, ConfigError
+from lockspoke.lifecycle.subsystems import Surroundings
+from lockspoke.wire.clients.front import ClientConnection, ClientFront
+from lockspoke.wire.tcp.listener import close_resting
 
 __all__ = ["AddressPart", "Settings", "make"]
 
--- a/hillridge/__init__.py
+++ b/lockspoke/balancing/__init__.py
@@ -1,6 +1,6 @@
 """Decisions of a request router for fleets of language-model servers."""
 
+from .balancer import Balancer
 from .interface import Settings
-from .policy import Balancer
 
 __all__ = ["Balancer", "Settings"]
--- a/hillridge/policy.py
+++ b/lockspoke/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer. Its types, events and actions: `hillridge/interface.py`.
+"""Every decision of the balancer. Its types, events and actions: `interface.py`.
 
 Each replica has a three-state breaker. A request goes to the replica with the least of this balancer's
 own work in flight among a few sampled closed ones; an open replica comes back through single trials.
--- a/hillridge/records.py
+++ b/lockspoke/balancing/records.py
@@ -22,7 +22,7 @@
 NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT)
 
 if TYPE_CHECKING:
-    from .policy import Breaker
+    from .balancer import Breaker
 
 
 class State(Enum):
--- /dev/null
+++ b/lockspoke/batch/__init__.py
@@ -0,0 +1,1 @@
+"""The batch front: API objects, store, runner, listener."""
--- a/lockspoke/wire/batch_api.py
+++ b/lockspoke/batch/api.py
@@ -11,9 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lockspoke.memory.batch_store import Batch, End, File, Upload
-
-from .sse import LINE_LIMIT
+from lockspoke.batch.store import Batch, End, File, Upload
+from lockspoke.wire.http.sse import LINE_LIMIT
 
 ENDPOINT = "/v1/chat/completions"
 LONGEST_ID = 512
--- a/lockspoke/wire/form.py
+++ b/lockspoke/batch/form.py
@@ -8,7 +8,7 @@
 from python_multipart.exceptions import FormParserError
 from python_multipart.multipart import MultipartParser, parse_options_header
 
-from .batch_api import ApiError
+from .api import ApiError
 
 if TYPE_CHECKING:
     from python_multipart.multipart import MultipartCallbacks
--- a/lockspoke/wire/batch_lines.py
+++ b/lockspoke/batch/lines.py
@@ -7,14 +7,14 @@
 from array import array
 from typing import Any
 
-from lockspoke.memory.batch_runner import Answer, BadLinesError
-from lockspoke.memory.batch_store import Batch, BatchStore, End
-from lockspoke.memory.core import SECOND
-from lockspoke.memory.numbers import key_number
-from lockspoke.memory.requests import ClientRequest, Sink
-
-from .batch_api import AnswerCollector, Line, LineError, decode_line, line_error, measure, result_line
-from .http1 import BODY_LIMIT
+from lockspoke.batch.runner import Answer, BadLinesError
+from lockspoke.batch.store import Batch, BatchStore, End
+from lockspoke.core.core import SECOND
+from lockspoke.core.identifiers import key_number
+from lockspoke.core.requests import ClientRequest, Sink
+from lockspoke.wire.http.http1 import BODY_LIMIT
+
+from .api import AnswerCollector, Line, LineError, decode_line, line_error, measure, result_line
 
 MOST_ERRORS = 100  # of a batch that are told one by one
 HOST = "origin.svc"
--- a/lockspoke/wire/batch_listener.py
+++ b/lockspoke/batch/listener.py
@@ -22,15 +22,24 @@
 import structlog
 from tornado.iostream import IOStream, StreamClosedError
 
-from lockspoke.memory.batch_runner import BatchRunner
-from lockspoke.memory.batch_store import Batch, BatchStore, File, Upload
-from lockspoke.memory.journal import StoreError
-
-from . import batch_api as api
-from .batch_api import ApiError
+from lockspoke.batch.journal import StoreError
+from lockspoke.batch.runner import BatchRunner
+from lockspoke.batch.store import Batch, BatchStore, File, Upload
+from lockspoke.wire.http.http1 import (
+    Data,
+    End,
+    HttpError,
+    Piece,
+    RequestHead,
+    RequestParser,
+    encode_answer,
+    encode_head,
+)
+from lockspoke.wire.tcp.listener import READ, Listener
+
+from . import api as api
+from .api import ApiError
 from .form import FormReader
-from .http1 import Data, End, HttpError, Piece, RequestHead, RequestParser, encode_answer, encode_head
-from .listener import READ, Listener
 
 JSON_LIMIT = 1024 * 1024
 FORM_SLACK = 256 * 1024  # of a form beside the content of its file
--- a/lockspoke/memory/batch_runner.py
+++ b/lockspoke/batch/runner.py
@@ -12,10 +12,11 @@
 
 import structlog
 
-from .batch_store import Batch, BatchStore, End
-from .core import SECOND, Core
+from lockspoke.core.core import SECOND, Core
+from lockspoke.core.requests import ClientRequest, Sink
+
 from .journal import StoreError
-from .requests import ClientRequest, Sink
+from .store import Batch, BatchStore, End
 
 LOOK = 0.05  # seconds between two looks for room while live calls go first
 RETRY = 1.0  # seconds before another try where nobody said how long
--- a/lockspoke/lifecycle/batch.py
+++ b/lockspoke/batch/subsystem.py
@@ -11,17 +11,16 @@
 import msgspec
 import structlog
 
-from lockspoke.memory.batch_runner import BatchRunner
-from lockspoke.memory.batch_store import BatchStore
-from lockspoke.memory.core import Core
-from lockspoke.memory.journal import StoreError
-from lockspoke.wire.batch_lines import BatchLines
-from lockspoke.wire.batch_listener import BatchFront
-from lockspoke.wire.clients import ClientFront
-from lockspoke.wire.discovery import ListError, decode_endpoint
-
-from .config import Config, ConfigError
-from .parts import Surroundings
+from lockspoke.batch.journal import StoreError
+from lockspoke.batch.lines import BatchLines
+from lockspoke.batch.listener import BatchFront
+from lockspoke.batch.runner import BatchRunner
+from lockspoke.batch.store import BatchStore
+from lockspoke.core.core import Core
+from lockspoke.lifecycle.config import Config, ConfigError
+from lockspoke.lifecycle.subsystems import Surroundings
+from lockspoke.wire.clients.front import ClientFront
+from lockspoke.wire.discovery.messages import ListError, decode_endpoint
 
 MB = 1024 * 1024
 TEND = 60.0  # seconds between two looks for uploads whose time is over
--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -18,8 +18,8 @@
 from lockspoke.address.member import Member
 from lockspoke.address.settings import Settings
 from lockspoke.lifecycle.config import ConfigError
-from lockspoke.lifecycle.edge import read_edge
-from lockspoke.lifecycle.logs import start_logging
+from lockspoke.lifecycle.edge_file import read_edge
+from lockspoke.lifecycle.logging_setup import start_logging
 
 from .reading import console
 
--- a/lockspoke/cli/config.py
+++ b/lockspoke/cli/config.py
@@ -7,8 +7,8 @@
 import click
 
 from lockspoke.lifecycle.config import Config, ConfigError, read_config
-from lockspoke.lifecycle.edge import read_batch_file, read_edge
-from lockspoke.lifecycle.parts import Surroundings
+from lockspoke.lifecycle.edge_file import read_batch_file, read_edge
+from lockspoke.lifecycle.subsystems import Surroundings
 
 
 @click.group()
--- a/lockspoke/cli/reading.py
+++ b/lockspoke/cli/reading.py
@@ -19,7 +19,7 @@
 from lockspoke.inventory.settings import Settings
 from lockspoke.inventory.snapshot import Memory, Report, take
 from lockspoke.lifecycle.config import ConfigError
-from lockspoke.lifecycle.edge import read_edge
+from lockspoke.lifecycle.edge_file import read_edge
 
 F = TypeVar("F", bound=Callable[..., Any])
 _COLORS = {
--- a/lockspoke/memory/core.py
+++ b/lockspoke/core/core.py
@@ -13,10 +13,10 @@
 
 import structlog
 
-from hillridge import Balancer
-from hillridge import interface as api
+from lockspoke.balancing import Balancer
+from lockspoke.balancing import interface as api
 
-from .decisions import DecisionLoop
+from .decision_loop import DecisionLoop
 from .replica_set import UNKNOWN_VERSION, ReplicaSet, ReplicaUpdate
 from .requests import Attempt, Clearance, ClientRequest, Discovery, Stage, Transport
 
--- a/lockspoke/memory/decisions.py
+++ b/lockspoke/core/decision_loop.py
@@ -7,8 +7,8 @@
 
 import structlog
 
-from hillridge import Balancer
-from hillridge import interface as api
+from lockspoke.balancing import Balancer
+from lockspoke.balancing import interface as api
 
 log = structlog.get_logger()
 
--- a/lockspoke/memory/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -5,9 +5,9 @@
 from collections.abc import Container, Iterable, Sequence
 from dataclasses import dataclass
 
-from hillridge.interface import ListEntry, ListKind, ListUpdate, ReplicaState
+from lockspoke.balancing.interface import ListEntry, ListKind, ListUpdate, ReplicaState
 
-from .numbers import Numbers, kind_number
+from .identifiers import Numbers, kind_number
 
 MS = 1_000_000
 UNKNOWN_VERSION = -1  # no list has been taken, or none of the service that is asked now
--- a/lockspoke/memory/requests.py
+++ b/lockspoke/core/requests.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from hillridge.interface import Effect, Outcome, RequestClass, Scope
+from lockspoke.balancing.interface import Effect, Outcome, RequestClass, Scope
 
 from .replica_set import Replica
 
--- a/lockspoke/inventory/reconcile.py
+++ b/lockspoke/inventory/reconcile.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from hillridge.interface import ReplicaState
-from lockspoke.memory.replica_set import Entry
+from lockspoke.balancing.interface import ReplicaState
+from lockspoke.core.replica_set import Entry
 
 from .model import Snapshot, WorkerRecord
 
--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -21,8 +21,8 @@
 import structlog
 from watchfiles import awatch
 
-from lockspoke.memory.core import Core
-from lockspoke.memory.replica_set import Entry, ReplicaUpdate
+from lockspoke.core.core import Core
+from lockspoke.core.replica_set import Entry, ReplicaUpdate
 
 from . import store
 from .files import collect, folders, replaced, signature
--- a/lockspoke/lifecycle/inventory.py
+++ b/lockspoke/inventory/subsystem.py
@@ -5,14 +5,13 @@
 from collections.abc import Callable
 from typing import Any
 
+from lockspoke.core.core import Core
+from lockspoke.core.replica_set import ReplicaUpdate
 from lockspoke.inventory.settings import Settings
 from lockspoke.inventory.source import InventoryError, InventorySource
-from lockspoke.memory.core import Core
-from lockspoke.memory.replica_set import ReplicaUpdate
-from lockspoke.wire.clients import ClientFront
-
-from .config import Config, ConfigError
-from .parts import Surroundings
+from lockspoke.lifecycle.config import Config, ConfigError
+from lockspoke.lifecycle.subsystems import Surroundings
+from lockspoke.wire.clients.front import ClientFront
 
 __all__ = ["InventoryPart", "Settings", "make"]
 
--- a/lockspoke/lifecycle/timers.py
+++ b/lockspoke/lifecycle/clock.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from .polling import PolledLoop
+from .event_loop import PolledLoop
 
 
 class LoopTimers:
--- a/lockspoke/lifecycle/config.py
+++ b/lockspoke/lifecycle/config.py
@@ -9,10 +9,10 @@
 from pathlib import Path
 from typing import Any
 
-from hillridge.interface import Settings
-from hillridge.wire import decode_settings
-from lockspoke.memory.replica_set import ReplicaUpdate
-from lockspoke.wire.discovery import decode_endpoint, read_list
+from lockspoke.balancing.interface import Settings
+from lockspoke.core.replica_set import ReplicaUpdate
+from lockspoke.simulator.protocol import decode_settings
+from lockspoke.wire.discovery.messages import decode_endpoint, read_list
 
 MS = 1_000_000
 MB = 1024 * 1024
--- a/lockspoke/lifecycle/edge.py
+++ b/lockspoke/lifecycle/edge_file.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from .config import ConfigError
-from .parts import PARTS, Make, part_module
+from .subsystems import PARTS, Make, part_module
 
 _HEADER = re.compile(r"^\s*\[\s*([^\[\]]+?)\s*\]\s*(?:#.*)?$")
 _WORD = r"""(?:[A-Za-z0-9_-]+|"[^"]*"|'[^']*')"""
--- a/lockspoke/lifecycle/drain.py
+++ b/lockspoke/lifecycle/graceful_shutdown.py
@@ -5,12 +5,12 @@
 import asyncio
 from collections.abc import Callable, Sequence
 
-from lockspoke.memory.core import Core
-from lockspoke.wire.clients import ClientFront, Intake
+from lockspoke.core.core import Core
+from lockspoke.wire.clients.front import ClientFront, Intake
 
 from .config import Config
-from .parts import Subsystem
 from .phases import Phase
+from .subsystems import Subsystem
 
 HAND_OVER = 0.3  # seconds before the platform may kill: what is still open goes to other gateways
 AT_ONCE = 0.15  # seconds before it may: until then streams are let go on of which more has come already
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -16,27 +16,27 @@
 
 import structlog
 
-from lockspoke.memory.core import Core
-from lockspoke.memory.numbers import Numbers
-from lockspoke.memory.replica_set import ReplicaSet, ReplicaUpdate
-from lockspoke.wire.clients import ClientFront, Intake
-from lockspoke.wire.http1 import HttpError
-from lockspoke.wire.operator_api import Ask, OperatorCall
-from lockspoke.wire.operators import MOST, OperatorFront
-from lockspoke.wire.replicas import ReplicaConnections
-from lockspoke.wire.watch import DiscoveryWatch, hold_of
-
-from .bans import read_bans, write_bans
+from lockspoke.core.core import Core
+from lockspoke.core.identifiers import Numbers
+from lockspoke.core.replica_set import ReplicaSet, ReplicaUpdate
+from lockspoke.wire.clients.front import ClientFront, Intake
+from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_of
+from lockspoke.wire.http.http1 import HttpError
+from lockspoke.wire.operators.api import Ask, OperatorCall
+from lockspoke.wire.operators.front import MOST, OperatorFront
+from lockspoke.wire.replicas.transport import ReplicaConnections
+
+from .bans_file import read_bans, write_bans
+from .clock import LoopTimers
 from .config import Config, ConfigError, read_config
-from .drain import QUIET, Drain
-from .logs import start_logging
-from .parts import ListSource, Subsystem, Surroundings, only_source
+from .event_loop import PolledLoop
+from .graceful_shutdown import QUIET, Drain
+from .logging_setup import start_logging
 from .phases import Phase
-from .polling import PolledLoop
-from .timers import LoopTimers
+from .subsystems import ListSource, Subsystem, Surroundings, only_source
 
 if TYPE_CHECKING:
-    from .edge import Section
+    from .edge_file import Section
 
 SWEEP = 0.25  # bad clients are owed an answer within 3 s
 TOTALS = 10.0  # seconds between two lines of totals
@@ -290,7 +290,7 @@
         await Program(config).run()
         return
     # With them comes what only they need.
-    from .edge import read_batch_file, read_edge
+    from .edge_file import read_batch_file, read_edge
 
     def sections() -> Sequence[Section]:
         return read_edge(edge) if edge is not None else read_batch_file(batch or Path())
--- a/lockspoke/lifecycle/parts.py
+++ b/lockspoke/lifecycle/subsystems.py
@@ -12,17 +12,17 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from lockspoke.memory.core import Core
-from lockspoke.memory.replica_set import ReplicaUpdate
-from lockspoke.wire.clients import ClientFront
+from lockspoke.core.core import Core
+from lockspoke.core.replica_set import ReplicaUpdate
+from lockspoke.wire.clients.front import ClientFront
 
 from .config import Config
 
 # By section, the module that holds its `Settings` (a msgspec struct) and `make` (a `Make`).
 PARTS = {
-    "address": "lockspoke.lifecycle.address",
-    "batch": "lockspoke.lifecycle.batch",
-    "inventory": "lockspoke.lifecycle.inventory",
+    "address": "lockspoke.address.subsystem",
+    "batch": "lockspoke.batch.subsystem",
+    "inventory": "lockspoke.inventory.subsystem",
 }
 
 
--- /dev/null
+++ b/lockspoke/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The balancer on the wire of the operators' simulator."""
--- /dev/null
+++ b/lockspoke/simulator/__main__.py
@@ -0,0 +1,8 @@
+"""`python -m lockspoke.simulator` serves the operators' simulator on standard input and output."""
+
+import sys
+
+from .program import main
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/hillridge/drill.py
+++ b/lockspoke/simulator/program.py
@@ -8,9 +8,10 @@
 import sys
 from typing import BinaryIO
 
-from .interface import Event
-from .policy import Balancer
-from .wire import (
+from lockspoke.balancing.balancer import Balancer
+from lockspoke.balancing.interface import Event
+
+from .protocol import (
     LENGTH,
     Provision,
     Record,
@@ -78,12 +79,8 @@
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, SettingsError) as error:
-        print(f"hillridge: {error}", file=sys.stderr)
+        print(f"lockspoke: {error}", file=sys.stderr)
         return 1
     except BrokenPipeError:
         return 0
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/hillridge/wire.py
+++ b/lockspoke/simulator/protocol.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from .interface import (
+from lockspoke.balancing.interface import (
     Action,
     Arrived,
     AttemptEnded,
--- a/lockspoke/wire/clients.py
+++ b/lockspoke/wire/clients/front.py
@@ -11,13 +11,10 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from lockspoke.memory.core import Core
-from lockspoke.memory.numbers import key_number
-from lockspoke.memory.requests import ClientRequest
-
-from .closing import quiet
-from .fields import decode_call
-from .http1 import (
+from lockspoke.core.core import Core
+from lockspoke.core.identifiers import key_number
+from lockspoke.core.requests import ClientRequest
+from lockspoke.wire.http.http1 import (
     Gatherer,
     Headers,
     HttpError,
@@ -26,7 +23,10 @@
     encode_chunk,
     encode_head,
 )
-from .listener import READ, Listener, Outbox, close_resting
+from lockspoke.wire.tcp.closing import quiet
+from lockspoke.wire.tcp.listener import READ, Listener, Outbox, close_resting
+
+from .request_fields import decode_call
 
 MS = 1_000_000
 SECOND = 1_000 * MS
--- /dev/null
+++ b/lockspoke/wire/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Discovery: its messages, a connection to it, the watch of the endpoint list."""
--- a/lockspoke/wire/discovery_link.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -6,10 +6,11 @@
 
 from tornado.iostream import StreamClosedError
 
-from .dialing import Dial, Endpoint
-from .discovery import AnswerReader, ListRequest
-from .http1 import HttpError, encode_request
-from .read_ahead import ReadAhead
+from lockspoke.wire.http.http1 import HttpError, encode_request
+from lockspoke.wire.tcp.dialing import Dial, Endpoint
+from lockspoke.wire.tcp.read_ahead import ReadAhead
+
+from .messages import AnswerReader, ListRequest
 
 GRACE = 0.4  # seconds past its wait for which a watch may stay without an answer, until it counts as silent
 ANSWER_TIME = (
--- a/lockspoke/wire/discovery.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -8,10 +8,9 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from hillridge.interface import ReplicaState
-from lockspoke.memory.replica_set import UNKNOWN_VERSION, Entry, ReplicaUpdate
-
-from .http1 import Data, End, HttpError, ResponseHead, ResponseParser
+from lockspoke.balancing.interface import ReplicaState
+from lockspoke.core.replica_set import UNKNOWN_VERSION, Entry, ReplicaUpdate
+from lockspoke.wire.http.http1 import Data, End, HttpError, ResponseHead, ResponseParser
 
 LIST_PATH = "/discovery/hosts"
 LIST_LIMIT = 4 * 1024 * 1024  # bytes
--- a/lockspoke/wire/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -13,12 +13,12 @@
 
 import structlog
 
-from lockspoke.memory.core import Core
-from lockspoke.memory.replica_set import UNKNOWN_VERSION, ReplicaSet
+from lockspoke.core.core import Core
+from lockspoke.core.replica_set import UNKNOWN_VERSION, ReplicaSet
+from lockspoke.wire.tcp.dialing import Dial, Endpoint, dial
 
-from .dialing import Dial, Endpoint, dial
-from .discovery import ListAnswer, ListError, ListRequest, decode_list, out_of_use_only
-from .discovery_link import DiscoveryLink, RequestError, WatchLostError
+from .connection import DiscoveryLink, RequestError, WatchLostError
+from .messages import ListAnswer, ListError, ListRequest, decode_list, out_of_use_only
 
 HOLD_MS = 1500  # the shortest hold: how long a watch waits for a change
 GATEWAY_MS = 10  # by how much one gateway's hold is longer than the next's: a change makes all ask at once
--- /dev/null
+++ b/lockspoke/wire/operators/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' API and its listener."""
--- a/lockspoke/wire/operators.py
+++ b/lockspoke/wire/operators/front.py
@@ -7,9 +7,10 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from .http1 import Gatherer, HttpError, Request, encode_answer
-from .listener import Listener, Outbox
-from .operator_api import OperatorCall, decode_operator_call
+from lockspoke.wire.http.http1 import Gatherer, HttpError, Request, encode_answer
+from lockspoke.wire.tcp.listener import Listener, Outbox
+
+from .api import OperatorCall, decode_operator_call
 
 MOST = 16  # connections; past it the one that has been silent for longest makes room
 LONGEST = 5.0  # seconds a connection may stand: a call is one small message
--- /dev/null
+++ b/lockspoke/wire/replicas/__init__.py
@@ -0,0 +1,1 @@
+"""Connections to replicas."""
--- a/lockspoke/wire/replicas.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -10,16 +10,16 @@
 import structlog
 from tornado.iostream import IOStream, StreamClosedError
 
-from hillridge.interface import Outcome, ReplicaState
-from lockspoke.memory.replica_set import Replica
-from lockspoke.memory.requests import Attempt, Clearance
+from lockspoke.balancing.interface import Outcome, ReplicaState
+from lockspoke.core.replica_set import Replica
+from lockspoke.core.requests import Attempt, Clearance
+from lockspoke.wire.clients.request_fields import decode_load
+from lockspoke.wire.http.http1 import Data, End, HttpError, ResponseHead, ResponseParser, encode_request
+from lockspoke.wire.http.sse import EventStream, StreamError
+from lockspoke.wire.tcp.dialing import Dial, dial
+from lockspoke.wire.tcp.read_ahead import ReadAhead
 
-from .dialing import Dial, dial
-from .fields import decode_load
-from .http1 import Data, End, HttpError, ResponseHead, ResponseParser, encode_request
 from .keepalive import SHORTEST, KeepAlive
-from .read_ahead import ReadAhead
-from .sse import EventStream, StreamError
 
 MS = 1_000_000
 OPENING = 1.0  # seconds from an answer's first byte to its first event: both come with the first token
--- /dev/null
+++ b/lockspoke/wire/tcp/__init__.py
@@ -0,0 +1,1 @@
+"""TCP connections: listening, dialing, closing, reading ahead."""
--- a/tests/address/test_announcing.py
+++ b/tests/address/test_announcing.py
@@ -22,7 +22,7 @@
     encode_gratuitous_arp,
     encode_vrrp,
 )
-from tests.wire.test_http1 import fixed
+from tests.wire.http.test_http1 import fixed
 
 MAC = bytes.fromhex("020000000001")
 
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -19,7 +19,7 @@
 from lockspoke.address.control import ask
 from lockspoke.cli.main import cli
 from lockspoke.lifecycle.config import ConfigError
-from lockspoke.lifecycle.edge import read_edge
+from lockspoke.lifecycle.edge_file import read_edge
 from tests.address.cluster import Cluster, endpoint, overlaps
 from tests.address.relay import free_port
 from tests.standins import EVENTS, HEAD, PATIENCE, TAIL, Client, call_bytes, chunk, until
--- a/tests/hillridge/helpers.py
+++ b/tests/balancing/helpers.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from hillridge.interface import (
+from lockspoke.balancing.balancer import Balancer
+from lockspoke.balancing.interface import (
     Action,
     Arrived,
     AttemptEnded,
@@ -27,7 +28,6 @@
     Settings,
     TimerFired,
 )
-from hillridge.policy import Balancer
 
 MS = 1_000_000
 SECOND = 1_000 * MS
--- a/tests/hillridge/test_breaker.py
+++ b/tests/balancing/test_breaker.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from hillridge import interface as api
-from hillridge.policy import (
+from lockspoke.balancing import interface as api
+from lockspoke.balancing.balancer import (
     COME_BACK,
     FAILURE_THRESHOLD,
     FIRST_LIMIT,
@@ -16,8 +16,8 @@
     Breaker,
     State,
 )
-from hillridge.records import Attempt, Replica
-from tests.hillridge.helpers import MS, SECOND, World, ready, settings
+from lockspoke.balancing.records import Attempt, Replica
+from tests.balancing.helpers import MS, SECOND, World, ready, settings
 
 
 def attempt_on(breaker: Breaker) -> Attempt:
--- a/tests/hillridge/test_cold_sum.py
+++ b/tests/balancing/test_cold_sum.py
@@ -16,8 +16,9 @@
 
 import pytest
 
-from hillridge import Balancer
-from hillridge.interface import (
+from lockspoke.balancing import Balancer
+from lockspoke.balancing.balancer import ANSWER_TOKENS
+from lockspoke.balancing.interface import (
     Action,
     Arrived,
     AttemptEnded,
@@ -28,8 +29,7 @@
     Outcome,
     Send,
 )
-from hillridge.policy import ANSWER_TOKENS
-from tests.hillridge.helpers import MS, SECOND, ready, settings
+from tests.balancing.helpers import MS, SECOND, ready, settings
 
 REPLICAS = range(1, 21)
 PACE = 60.0  # requests a second, all gateways together
--- a/tests/hillridge/test_overload.py
+++ b/tests/balancing/test_overload.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from hillridge import Balancer
-from hillridge.interface import (
+from lockspoke.balancing import Balancer
+from lockspoke.balancing.interface import (
     Action,
     Arrived,
     AttemptEnded,
@@ -25,7 +25,7 @@
     SetTimer,
     TimerFired,
 )
-from tests.hillridge.helpers import MS, SECOND, ready, settings
+from tests.balancing.helpers import MS, SECOND, ready, settings
 
 WORKERS, SLOTS, READ = 6, 8, 10_000.0  # a worker reads so many prompt tokens a second, one prompt at a time
 DEADLINE = 4 * SECOND
--- a/tests/hillridge/test_pick.py
+++ b/tests/balancing/test_pick.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from hillridge import interface as api
-from hillridge.policy import FULL_PAUSE, State
-from tests.hillridge.helpers import MS, SECOND, Call, World, ready, settings
+from lockspoke.balancing import interface as api
+from lockspoke.balancing.balancer import FULL_PAUSE, State
+from tests.balancing.helpers import MS, SECOND, Call, World, ready, settings
 
 REQUEST_AND_ANSWER = 1_500 * MS  # the longest that a first request, which may not wait, can take
 CONNECT_AND_ANSWER = 2_500 * MS  # the longest that a call may take whose answer has to be there in time
--- a/tests/hillridge/test_records.py
+++ b/tests/balancing/test_records.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from hillridge.records import MOST_HALF_LIVES, DecayingSum, PromptBands, Recent
-from tests.hillridge.helpers import SECOND
+from lockspoke.balancing.records import MOST_HALF_LIVES, DecayingSum, PromptBands, Recent
+from tests.balancing.helpers import SECOND
 
 
 def test_a_decaying_sum_halves_with_each_half_life() -> None:
--- a/tests/hillridge/test_reports.py
+++ b/tests/balancing/test_reports.py
@@ -5,9 +5,9 @@
 import math
 from typing import Any
 
-from hillridge import interface as api
-from hillridge.policy import FULL_PAUSE, REPORT_LIVES, State
-from tests.hillridge.helpers import MS, SECOND, World, settings
+from lockspoke.balancing import interface as api
+from lockspoke.balancing.balancer import FULL_PAUSE, REPORT_LIVES, State
+from tests.balancing.helpers import MS, SECOND, World, settings
 
 
 def reported(busy: float) -> World:
--- a/tests/hillridge/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -11,9 +11,9 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from hillridge import interface as api
-from hillridge.policy import RECOVERY
-from tests.hillridge.helpers import MS, SECOND, World, ready, settings
+from lockspoke.balancing import interface as api
+from lockspoke.balancing.balancer import RECOVERY
+from tests.balancing.helpers import MS, SECOND, World, ready, settings
 
 CLASSES = (
     api.RequestClass(aim=SECOND),
--- a/tests/wire/test_batch_wire.py
+++ b/tests/batch/test_api.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lockspoke.wire.batch_api import (
+from lockspoke.batch.api import (
     AnswerCollector,
     ApiError,
     LineError,
@@ -18,9 +18,9 @@
     measure,
     window_seconds,
 )
-from lockspoke.wire.form import FormReader
+from lockspoke.batch.form import FormReader
 from tests.standins import EVENTS, TAIL
-from tests.wire.test_http1 import cut, fixed
+from tests.wire.http.test_http1 import cut, fixed
 
 LINE: dict[str, Any] = {
     "custom_id": "a",
--- a/tests/lifecycle/test_batch_program.py
+++ b/tests/batch/test_program.py
@@ -11,8 +11,8 @@
 import pytest
 
 from lockspoke.lifecycle.config import ConfigError
-from lockspoke.lifecycle.edge import read_batch_file
-from lockspoke.wire.http1 import encode_request
+from lockspoke.lifecycle.edge_file import read_batch_file
+from lockspoke.wire.http.http1 import encode_request
 from tests.standins import EVENTS, HEAD, ROOT, TAIL, Client, FakeWorker, Program, call_bytes, chunk, until
 
 LINES = 2000
--- a/tests/memory/test_batch_store.py
+++ b/tests/batch/test_store.py
@@ -13,16 +13,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hillridge.interface import Outcome
-from lockspoke.memory.batch_runner import ENDING, LIVE_PAUSE, BatchRunner
-from lockspoke.memory.batch_store import Batch, BatchStore, End
-from lockspoke.memory.core import SECOND
-from lockspoke.memory.journal import Journal, StoreError
-from lockspoke.wire.batch_lines import BatchLines
-from tests.memory.test_core import World
+from lockspoke.balancing.interface import Outcome
+from lockspoke.batch.journal import Journal, StoreError
+from lockspoke.batch.lines import BatchLines
+from lockspoke.batch.runner import ENDING, LIVE_PAUSE, BatchRunner
+from lockspoke.batch.store import Batch, BatchStore, End
+from lockspoke.core.core import SECOND
+from tests.batch.test_api import LINE
+from tests.core.test_core import World
 from tests.standins import EVENTS, TAIL, until
-from tests.wire.test_batch_wire import LINE
-from tests.wire.test_http1 import fixed
+from tests.wire.http.test_http1 import fixed
 
 ANSWER = b"".join(EVENTS) + TAIL
 
@@ -98,7 +98,7 @@
             raise OSError("no space")
 
         with monkeypatch.context() as patch:
-            patch.setattr("lockspoke.memory.journal.os.fsync", full)
+            patch.setattr("lockspoke.batch.journal.os.fsync", full)
             with pytest.raises(StoreError):
                 await journal.append({"n": 2})
         await journal.append({"n": 3})
--- a/tests/clocked.py
+++ b/tests/clocked.py
@@ -15,7 +15,7 @@
 
 from tornado.iostream import IOStream
 
-from lockspoke.wire.dialing import Endpoint
+from lockspoke.wire.tcp.dialing import Endpoint
 
 Taken = Callable[[socket.socket], None]
 
--- a/tests/memory/test_core.py
+++ b/tests/core/test_core.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from hillridge.interface import Effect, Outcome, ReplicaState, RequestClass, Scope
-from lockspoke.memory.core import MS, OVERDUE, SECOND, SILENT, SWEEP, Core
-from lockspoke.memory.numbers import Numbers, key_number
-from lockspoke.memory.replica_set import UNKNOWN_VERSION, Entry, Replica, ReplicaSet, ReplicaUpdate
-from lockspoke.memory.requests import Attempt, Clearance, ClientRequest
-from tests.hillridge.helpers import settings
+from lockspoke.balancing.interface import Effect, Outcome, ReplicaState, RequestClass, Scope
+from lockspoke.core.core import MS, OVERDUE, SECOND, SILENT, SWEEP, Core
+from lockspoke.core.identifiers import Numbers, key_number
+from lockspoke.core.replica_set import UNKNOWN_VERSION, Entry, Replica, ReplicaSet, ReplicaUpdate
+from lockspoke.core.requests import Attempt, Clearance, ClientRequest
+from tests.balancing.helpers import settings
 
 
 class Sink:
--- a/tests/inventory/test_reconcile.py
+++ b/tests/inventory/test_reconcile.py
@@ -7,14 +7,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hillridge.interface import ReplicaState
+from lockspoke.balancing.interface import ReplicaState
+from lockspoke.core.replica_set import Entry
 from lockspoke.inventory.model import Snapshot, WorkerRecord
 from lockspoke.inventory.reading import FileText
 from lockspoke.inventory.reconcile import Act, Caution, Reconciler, Step
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import Reading, take
-from lockspoke.memory.replica_set import Entry
-from tests.wire.test_http1 import fixed
+from tests.wire.http.test_http1 import fixed
 
 READING = Reading(Rules(zones=("lis-1",), kinds={"gen-a": 0.7, "gen-b": 1.0}, port=5000))
 
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from hillridge.interface import ReplicaState
+from lockspoke.balancing.interface import ReplicaState
+from lockspoke.core.replica_set import Entry
 from lockspoke.lifecycle.program import give_back
-from lockspoke.memory.replica_set import Entry
-from lockspoke.wire.discovery import decode_list
+from lockspoke.wire.discovery.messages import decode_list
 from tests.peers import Gateway, Peer
 
 WORKERS = 1024
--- a/tests/lifecycle/test_program.py
+++ b/tests/lifecycle/test_program.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from lockspoke.wire.http1 import BODY_LIMIT, HEAD_LIMIT, Request
+from lockspoke.wire.http.http1 import BODY_LIMIT, HEAD_LIMIT, Request
 from tests.standins import (
     EVENTS,
     HEAD,
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -12,15 +12,15 @@
 import struct
 from typing import Any
 
-from hillridge.interface import ReplicaState, RequestClass, Settings
-from lockspoke.lifecycle.timers import LoopTimers
-from lockspoke.memory.core import Core
-from lockspoke.memory.numbers import Numbers
-from lockspoke.memory.replica_set import Entry, ReplicaSet, ReplicaUpdate
-from lockspoke.memory.requests import Discovery
-from lockspoke.wire.clients import ClientFront
-from lockspoke.wire.replicas import ReplicaConnections
-from tests.hillridge.helpers import settings
+from lockspoke.balancing.interface import ReplicaState, RequestClass, Settings
+from lockspoke.core.core import Core
+from lockspoke.core.identifiers import Numbers
+from lockspoke.core.replica_set import Entry, ReplicaSet, ReplicaUpdate
+from lockspoke.core.requests import Discovery
+from lockspoke.lifecycle.clock import LoopTimers
+from lockspoke.wire.clients.front import ClientFront
+from lockspoke.wire.replicas.transport import ReplicaConnections
+from tests.balancing.helpers import settings
 from tests.standins import PATIENCE
 
 MS = 1_000_000
--- a/tests/hillridge/test_drill.py
+++ b/tests/simulator/test_program.py
@@ -10,13 +10,13 @@
 import sys
 from pathlib import Path
 
-from hillridge import interface as api
-from hillridge import wire
-from hillridge.drill import Drill
-from tests.hillridge.test_wire import GOOD
+from lockspoke.balancing import interface as api
+from lockspoke.simulator import protocol as wire
+from lockspoke.simulator.program import Drill
+from tests.simulator.test_protocol import GOOD
 
 ROOT = Path(__file__).resolve().parent.parent.parent
-COMMAND = [sys.executable, "-m", "hillridge.drill"]
+COMMAND = [sys.executable, "-m", "lockspoke.simulator"]
 
 
 def framed(number: int, now: int, records: list[bytes]) -> bytes:
--- a/tests/hillridge/test_wire.py
+++ b/tests/simulator/test_protocol.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from hillridge import interface as api
-from hillridge import wire
+from lockspoke.balancing import interface as api
+from lockspoke.simulator import protocol as wire
 
 GOOD: dict[str, Any] = {
     "contract": {
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.wire.http1 import Data, Gatherer, Request, ResponseHead, ResponseParser, encode_request
+from lockspoke.wire.http.http1 import Data, Gatherer, Request, ResponseHead, ResponseParser, encode_request
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE = float(
--- a/tests/wire/test_clients.py
+++ b/tests/wire/clients/test_front.py
@@ -10,10 +10,10 @@
 import pytest
 from tornado.iostream import IOStream
 
-from hillridge.interface import Outcome
-from lockspoke.wire import clients
-from lockspoke.wire.clients import ClientConnection, ClientFront
-from tests.memory.test_core import World
+from lockspoke.balancing.interface import Outcome
+from lockspoke.wire.clients import front as clients
+from lockspoke.wire.clients.front import ClientConnection, ClientFront
+from tests.core.test_core import World
 from tests.standins import EVENTS, call_bytes, until
 
 BODY = b"x" * 5000
--- a/tests/wire/test_wire_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -10,13 +10,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hillridge.interface import ReplicaState
-from lockspoke.memory.replica_set import UNKNOWN_VERSION
-from lockspoke.wire.discovery import STATES, ListError, decode_list, out_of_use_only
-from lockspoke.wire.fields import decode_call, decode_load
-from lockspoke.wire.http1 import Headers, HttpError
-from lockspoke.wire.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, StreamError
-from tests.wire.test_http1 import cut, fixed
+from lockspoke.balancing.interface import ReplicaState
+from lockspoke.core.replica_set import UNKNOWN_VERSION
+from lockspoke.wire.clients.request_fields import decode_call, decode_load
+from lockspoke.wire.discovery.messages import STATES, ListError, decode_list, out_of_use_only
+from lockspoke.wire.http.http1 import Headers, HttpError
+from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, StreamError
+from tests.wire.http.test_http1 import cut, fixed
 
 STREAM = (
     b'data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":null}]}\n\n'
--- a/tests/wire/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -9,11 +9,12 @@
 import pytest
 from tornado.iostream import IOStream
 
-from lockspoke.memory.core import Core
-from lockspoke.memory.replica_set import UNKNOWN_VERSION
-from lockspoke.wire import discovery_link, watch
-from lockspoke.wire.dialing import dial
-from lockspoke.wire.http1 import Request
+from lockspoke.core.core import Core
+from lockspoke.core.replica_set import UNKNOWN_VERSION
+from lockspoke.wire.discovery import connection as discovery_link
+from lockspoke.wire.discovery import watch
+from lockspoke.wire.http.http1 import Request
+from lockspoke.wire.tcp.dialing import dial
 from tests.peers import Peer
 from tests.standins import FakeDiscovery, FakeWorker, until
 
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_play.py
@@ -18,18 +18,18 @@
 from functools import partial
 from typing import Any
 
-from hillridge.interface import ReplicaState, RequestClass
-from lockspoke.memory.core import Core
-from lockspoke.memory.numbers import Numbers
-from lockspoke.memory.replica_set import Entry, ReplicaSet, ReplicaUpdate
-from lockspoke.memory.requests import ClientRequest
-from lockspoke.wire.dialing import Endpoint
-from lockspoke.wire.discovery_link import GRACE as WATCH_GRACE
-from lockspoke.wire.http1 import Gatherer, Request
-from lockspoke.wire.replicas import ReplicaConnections
-from lockspoke.wire.watch import DiscoveryWatch, hold_of
+from lockspoke.balancing.interface import ReplicaState, RequestClass
+from lockspoke.core.core import Core
+from lockspoke.core.identifiers import Numbers
+from lockspoke.core.replica_set import Entry, ReplicaSet, ReplicaUpdate
+from lockspoke.core.requests import ClientRequest
+from lockspoke.wire.discovery.connection import GRACE as WATCH_GRACE
+from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_of
+from lockspoke.wire.http.http1 import Gatherer, Request
+from lockspoke.wire.replicas.transport import ReplicaConnections
+from lockspoke.wire.tcp.dialing import Endpoint
+from tests.balancing.helpers import settings
 from tests.clocked import ClockedLoop, ClockedTimers, Network, Reach
-from tests.hillridge.helpers import settings
 from tests.standins import EVENTS, HEAD, TAIL, chunk
 
 SECOND = 1_000_000_000
--- a/tests/wire/test_http1.py
+++ b/tests/wire/http/test_http1.py
@@ -8,8 +8,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lockspoke.wire import http1
-from lockspoke.wire.http1 import Data, End, Gatherer, HttpError, RequestHead, RequestParser, ResponseParser
+from lockspoke.wire.http import http1
+from lockspoke.wire.http.http1 import (
+    Data,
+    End,
+    Gatherer,
+    HttpError,
+    RequestHead,
+    RequestParser,
+    ResponseParser,
+)
 
 fixed = settings(derandomize=True, deadline=None, max_examples=150)
 HOST = b"Host: a\r\n"
--- a/tests/wire/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -6,12 +6,12 @@
 import contextlib
 import time
 
-from hillridge.interface import Outcome, ReplicaState
-from lockspoke.memory.replica_set import Replica
-from lockspoke.memory.requests import Attempt, Clearance, ClientRequest
-from lockspoke.wire.clients import StreamedAnswer
-from lockspoke.wire.keepalive import BACK, SHORTEST, KeepAlive
-from lockspoke.wire.replicas import MS, SETTLE, ReplicaConnections
+from lockspoke.balancing.interface import Outcome, ReplicaState
+from lockspoke.core.replica_set import Replica
+from lockspoke.core.requests import Attempt, Clearance, ClientRequest
+from lockspoke.wire.clients.front import StreamedAnswer
+from lockspoke.wire.replicas.keepalive import BACK, SHORTEST, KeepAlive
+from lockspoke.wire.replicas.transport import MS, SETTLE, ReplicaConnections
 from tests.standins import until
 
 START = 5_000_000.0  # a machine that has been up for long
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from lockspoke.lifecycle.polling import PolledLoop
+from lockspoke.lifecycle.event_loop import PolledLoop
 from tests.peers import Gateway, Line, Peer
 from tests.standins import EVENTS, HEAD, call_bytes, chunk, until
 
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -16,13 +16,13 @@
 import pytest
 from structlog.testing import capture_logs
 
-from hillridge.interface import ReplicaState
-from lockspoke.wire import discovery_link
-from lockspoke.wire.clients import ClientConnection
-from lockspoke.wire.discovery import LIST_LIMIT
-from lockspoke.wire.discovery_link import GRACE
-from lockspoke.wire.replicas import SETTLE
-from lockspoke.wire.watch import NOTHING_NEW_PAUSE, DiscoveryWatch
+from lockspoke.balancing.interface import ReplicaState
+from lockspoke.wire.clients.front import ClientConnection
+from lockspoke.wire.discovery import connection as discovery_link
+from lockspoke.wire.discovery.connection import GRACE
+from lockspoke.wire.discovery.messages import LIST_LIMIT
+from lockspoke.wire.discovery.watch import NOTHING_NEW_PAUSE, DiscoveryWatch
+from lockspoke.wire.replicas.transport import SETTLE
 from tests.peers import Gateway, Line, Peer
 from tests.standins import EVENTS, HEAD, TAIL, call_bytes, chunk, until
 
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -11,12 +11,12 @@
 import pytest
 from tornado.iostream import IOStream
 
-from hillridge.interface import Effect, Outcome, ReplicaState, RequestClass
-from lockspoke.memory.replica_set import Entry
-from lockspoke.wire import dialing
-from lockspoke.wire import replicas as replica_side
-from lockspoke.wire.clients import LINGER, ClientConnection, Intake
-from lockspoke.wire.listener import Outbox
+from lockspoke.balancing.interface import Effect, Outcome, ReplicaState, RequestClass
+from lockspoke.core.replica_set import Entry
+from lockspoke.wire.clients.front import LINGER, ClientConnection, Intake
+from lockspoke.wire.replicas import transport as replica_side
+from lockspoke.wire.tcp import dialing
+from lockspoke.wire.tcp.listener import Outbox
 from tests.peers import Gateway, Line, Peer
 from tests.standins import EVENTS, HEAD, TAIL, call_bytes, chunk, until
 
