--- a/lockspoke/balancing/__init__.py
+++ b/lockspoke/balancing/__init__.py
@@ -1,6 +1,9 @@
-"""Decisions of a request router for fleets of language-model servers."""
+"""The load balancer: decides which replica gets a request, and which requests are rejected.
+
+It does no I/O and reads no clock: events and the time go in, actions come out.
+"""
 
 from .balancer import Balancer
-from .interface import Settings
+from .settings import Settings
 
 __all__ = ["Balancer", "Settings"]
--- a/lockspoke/balancing/balancer.py
+++ b/lockspoke/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""Every decision of the balancer. Its types, events and actions: `interface.py`.
+"""Every decision of the balancer. Its types, events and actions: `events.py`, `actions.py`.
 
 Each replica has a three-state breaker. A request goes to the replica with the least of this balancer's
 own work in flight among a few sampled closed ones; an open replica comes back through single trials.
@@ -11,17 +11,25 @@
 import random
 from itertools import islice
 
-from . import interface as api
-from .records import Attempt, DecayingSum, Kind, PromptBands, Recent, Replica, Request, State, appraise, tally
+from .actions import Action, Fail, Log, Refuse, Send, SetTimer, Watch
+from .breaker import LONGEST_RECOVERY, RECOVERY, Breaker, State
+from .events import (
+    Arrived,
+    AttemptEnded,
+    ClientLeft,
+    Event,
+    FirstToken,
+    ListKind,
+    ListUpdate,
+    Outcome,
+    ReplicaState,
+)
+from .records import Attempt, DecayingSum, Kind, PromptBands, Recent, Replica, Request, appraise, tally
+from .settings import Effect, Settings
 
 SECOND = 1_000_000_000
-FAILURE_THRESHOLD = 5  # the source's figure
 UNREACHED_WEIGHT = 3  # failures that a failed or broken connection counts for: a gateway among many sees few
-SUCCESS_THRESHOLD = 2  # the source's figure
-RECOVERY = 2 * SECOND  # the source's 60 s outlast most troubles; doubled by each failed trial
-LONGEST_RECOVERY = 16 * SECOND  # a replica that is back is found within this time
 OPEN_SHARE = 0.5  # of the listed replicas at most: past that the trouble is shared, not theirs
-STALE_TRIAL = 30 * SECOND  # the source's figure: a silent trial frees its slot
 SAMPLE = 2  # the hand-over's figure: fresh candidates beside the last winner
 ANSWER_TOKENS = 200.0  # an answer weighs about as much on a replica as reading a prompt of this length
 RATE_MEMORY = 10 * SECOND  # long enough to smooth single requests, short enough to follow the day
@@ -59,58 +67,14 @@
 LONGEST_UNASKED = 7 * SECOND // 2  # 6 s after which all counts as told, less 2.5 to connect and be answered
 
 _NEVER = 1 << 80  # later than any clock
-COUNTED = (api.Outcome.ERROR, api.Outcome.TIMEOUT, api.Outcome.CONNECT_FAILED, api.Outcome.RESET)
-UNREACHED = (api.Outcome.CONNECT_FAILED, api.Outcome.RESET)
-
-
-class Breaker:
-    """Closed while a replica answers, open after failures in a row, half-open while it is tried again."""
-
-    def __init__(self) -> None:
-        self.state = State.CLOSED
-        self.failures = self.successes = self.last_failure = self.trial_at = 0
-        self.recovery = RECOVERY
-        self.trial: Attempt | None = None
-
-    def look(self, now: int) -> State:
-        """The state at this moment; time alone half-opens a breaker and frees a stale trial's slot."""
-        if self.state is State.OPEN and now - self.last_failure >= self.recovery:
-            self.state, self.successes, self.trial = State.HALF_OPEN, 0, None
-        if self.trial is not None and now - self.trial_at >= STALE_TRIAL:
-            self.trial = None
-        return self.state
-
-    def shut_until(self) -> int:
-        """When it half-opens; 0 unless it is open."""
-        return self.last_failure + self.recovery if self.state is State.OPEN else 0
-
-    def succeeded(self, attempt: Attempt) -> None:
-        """A first token, or an answer without one. Only a trial's own success counts when not closed."""
-        if self.state is State.CLOSED:
-            self.failures = 0
-        elif self.trial is attempt:
-            self.trial, self.successes = None, self.successes + 1
-            if self.successes >= SUCCESS_THRESHOLD:
-                self.state, self.failures, self.recovery = State.CLOSED, 0, RECOVERY
-
-    def failed(self, now: int, may_open: bool, weight: int = 1) -> None:
-        """A counted failure; in any state but closed it opens the breaker and restarts the timer."""
-        self.failures, self.last_failure = self.failures + weight, now
-        if self.state is State.HALF_OPEN:
-            self.recovery = min(2 * self.recovery, LONGEST_RECOVERY)
-        if self.state is not State.CLOSED or (self.failures >= FAILURE_THRESHOLD and may_open):
-            self.state, self.trial = State.OPEN, None
-
-    def released(self, attempt: Attempt) -> None:
-        """The trial ended without a verdict (full, cancelled): its slot is free."""
-        if self.trial is attempt:
-            self.trial = None
+COUNTED = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
+UNREACHED = (Outcome.CONNECT_FAILED, Outcome.RESET)
 
 
 class Balancer:
     """Decides for one gateway: hand it events with the time, carry out the actions in their order."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
         self.replicas: dict[int, Replica] = {}
@@ -131,27 +95,27 @@
         self.began = self.warm_at = 0  # the first event came; all are warm from then on
         self.done = DecayingSum(RATE_MEMORY)  # work that the mean warm replica got done of late
         self.asked = ANSWER_TOKENS  # what the mean request asks of a replica that keeps nothing, in tokens
-        self.out: list[api.Action] = []
+        self.out: list[Action] = []
 
-    def reconfigure(self, settings: api.Settings) -> None:
+    def reconfigure(self, settings: Settings) -> None:
         """New settings from now on; what is under way keeps the class it came with."""
         self.settings, self.taken = settings, [DecayingSum(RATE_MEMORY) for _ in settings.tenants]
 
-    def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
+    def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Take what has come in at `now`; answer what is to be done at once."""
         self.now, self.out, self.began = now, [], self.began or now
         self.armed = self.armed if self.armed > now else _NEVER
         for event in events:
             match event:
-                case api.Arrived():
+                case Arrived():
                     self._arrived(event)
-                case api.FirstToken():
+                case FirstToken():
                     self._first_token(event)
-                case api.AttemptEnded():
+                case AttemptEnded():
                     self._ended(event)
-                case api.ListUpdate():
+                case ListUpdate():
                     self._listed(event)
-                case api.ClientLeft(number) if number in self.requests:
+                case ClientLeft(number) if number in self.requests:
                     self._close(number, self.requests[number])
         self._admit()
         # After the events: an answer in this very batch beats the deadline that it met.
@@ -161,25 +125,25 @@
             if request is not None and request.open and not any(a.streaming for a in request.attempts):
                 self._answer(number, request)  # a stream that has begun has no deadline
         if self.ask_at is not None and self.ask_at <= now:
-            self.out.append(api.Watch(True))  # an answer may never come: asked again before that counts
+            self.out.append(Watch(True))  # an answer may never come: asked again before that counts
             self.ask_at = now + self.settings.ask_every // 2
         wake = min(self.due[0][0] if self.due else _NEVER, self.ask_at if self.ask_at is not None else _NEVER)
         wake = min(wake, now + FULL_PAUSE) if self.waiting else wake  # time alone ends a pause
         if wake < self.armed:
             self.armed = wake
-            self.out.append(api.SetTimer(wake - now, 0))
+            self.out.append(SetTimer(wake - now, 0))
         return self.out
 
-    def _listed(self, update: api.ListUpdate) -> None:
+    def _listed(self, update: ListUpdate) -> None:
         if self.settings.ask_for_list and update.answers:
             self._plan_to_ask(update.kind)
-        if update.kind is api.ListKind.FAILED:
+        if update.kind is ListKind.FAILED:
             return
-        if update.kind is not api.ListKind.DELTA:
+        if update.kind is not ListKind.DELTA:
             named = {entry.replica for entry in update.entries}
             for replica in self.replicas.values():
-                if replica.number not in named and replica.state is not api.ReplicaState.GONE:
-                    replica.state, replica.told_at = api.ReplicaState.GONE, self.now
+                if replica.number not in named and replica.state is not ReplicaState.GONE:
+                    replica.state, replica.told_at = ReplicaState.GONE, self.now
         for entry in update.entries:
             if entry.replica not in self.replicas:
                 self.replicas[entry.replica] = Replica(entry.replica, Breaker())
@@ -196,28 +160,28 @@
             replica.kind = self.kinds.setdefault(entry.kind, Kind())
         # A gone replica is remembered while it could come back cold: its spent warm-up budget must hold.
         since = self.now - self.settings.warm_up - self.settings.fall_time
-        for replica in [r for r in self.replicas.values() if r.state is api.ReplicaState.GONE]:
+        for replica in [r for r in self.replicas.values() if r.state is ReplicaState.GONE]:
             if replica.in_flight == 0 and replica.told_at < since:
                 del self.replicas[replica.number]
-        self.ready = [r for r in self.replicas.values() if r.state is api.ReplicaState.READY]
+        self.ready = [r for r in self.replicas.values() if r.state is ReplicaState.READY]
         self.rankings.clear()
         self.kinds = tally(self.kinds, self.ready)
         self.warm_at = max((r.warm_at for r in self.ready), default=0)
 
-    def _plan_to_ask(self, kind: api.ListKind) -> None:
+    def _plan_to_ask(self, kind: ListKind) -> None:
         """When to ask for the list next: in turn at the start, spaced after failures, else not at all."""
         gateways = self.settings.gateways
         gap = min(ASK_GAP, LAST_TURN // gateways, self.settings.ask_every // (2 * gateways))
-        if kind is api.ListKind.FAILED:
+        if kind is ListKind.FAILED:
             # All gateways may have failed together; spread, so that they do not call together again.
             pause = min(ASK_AGAIN, self.settings.ask_every // 4)
             spread = min(max(gap * gateways, pause), LONGEST_UNASKED - pause)
             self.ask_at = self.now + pause + int(self.random.random() * spread)
         else:  # Many start at once in a release: each calls in its place in the line.
             place = gap * (self.settings.index % gateways)
-            self.ask_at = self.now + place if kind is api.ListKind.CACHED else None
+            self.ask_at = self.now + place if kind is ListKind.CACHED else None
 
-    def _arrived(self, event: api.Arrived) -> None:
+    def _arrived(self, event: Arrived) -> None:
         request = Request(event, self.now, self.settings.classes[event.request_class])
         self.requests[event.request] = self.waiting[event.request] = request
         heapq.heappush(self.due, (request.deadline, event.request))
@@ -279,16 +243,16 @@
             replica.breaker.trial, replica.breaker.trial_at = attempt, self.now
         if self.now < replica.warm_at:
             replica.cold_sends.append((self.now, request.arrived.prompt_tokens + ANSWER_TOKENS))
-        ran = request.ran if request.kind.effect is api.Effect.KEYED else ()  # repeats have their time
+        ran = request.ran if request.kind.effect is Effect.KEYED else ()  # repeats have their time
         left = request.kind.window - self.now + ran[0].sent_at if ran else 0  # to connect in, too
         request.attempts.append(attempt)
-        self.out.append(api.Send(number, replica.number, request.deadline - self.now, left))
+        self.out.append(Send(number, replica.number, request.deadline - self.now, left))
         return True
 
     def _answer(self, number: int, request: Request) -> None:
         if not request.attempts:
             self.bands.note(self.now, request.arrived.prompt_tokens, sent=False)
-        self.out.append(api.Fail(number) if request.ran else api.Refuse(number, self._come_back()))
+        self.out.append(Fail(number) if request.ran else Refuse(number, self._come_back()))
         self._close(number, request)
 
     def _come_back(self) -> int:
@@ -296,7 +260,7 @@
         room = [max(replica.full_until, replica.breaker.shut_until()) for replica in self.ready]
         return max(COME_BACK, min(room, default=self.now + RECOVERY) - self.now)
 
-    def _first_token(self, event: api.FirstToken) -> None:
+    def _first_token(self, event: FirstToken) -> None:
         request = self.requests.get(event.request)
         if request is not None and event.attempt < len(request.attempts):
             attempt = request.attempts[event.attempt]
@@ -305,7 +269,7 @@
             attempt.streaming, self.fleet.in_flight = True, self.fleet.in_flight - 1
             attempt.replica.turned.pop(request.arrived.request_class, None)
             for other in request.attempts:
-                if other.outcome is api.Outcome.REJECTED:  # this replica takes what that one found at fault
+                if other.outcome is Outcome.REJECTED:  # this replica takes what that one found at fault
                     other.replica.breaker.failed(self.now, self._may_open())
             read = 1.0 + attempt.unread / max(1.0, request.arrived.prompt_tokens)  # reading takes its time
             self._learn(attempt, event.elapsed / request.aim / read)
@@ -315,7 +279,7 @@
             attempt.replica.work -= attempt.work - ANSWER_TOKENS  # the prompt is read, the answer goes on
             attempt.work = ANSWER_TOKENS
 
-    def _ended(self, event: api.AttemptEnded) -> None:
+    def _ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -323,17 +287,17 @@
         if not attempt.out:
             return
         kind, attempt.outcome = request.arrived.request_class, event.outcome
-        full = event.outcome is api.Outcome.FULL and self._is_full(attempt.replica, kind, event.elapsed)
+        full = event.outcome is Outcome.FULL and self._is_full(attempt.replica, kind, event.elapsed)
         if event.report and self.settings.busy_field is not None:
             self._reported(attempt.replica, event.report[self.settings.busy_field])
-        if not attempt.streaming and (full or event.outcome is api.Outcome.TIMEOUT):
+        if not attempt.streaming and (full or event.outcome is Outcome.TIMEOUT):
             self._learn(attempt, math.inf)
         breaker, before = attempt.replica.breaker, attempt.replica.breaker.state
         attempt.replica.in_flight -= 1
         attempt.replica.least = min(attempt.replica.least, attempt.replica.in_flight)
         self.fleet.in_flight -= not attempt.streaming
         attempt.replica.work -= attempt.work
-        if event.outcome is api.Outcome.OK:
+        if event.outcome is Outcome.OK:
             breaker.succeeded(attempt)
             if self.now >= attempt.replica.warm_at:
                 # Kept prompts took no work: counted, they would let a cold replica without any be overrun.
@@ -346,11 +310,11 @@
             if before is State.CLOSED and breaker.state is State.OPEN:
                 # It comes back to a few requests and earns more: all gateways find it empty at once.
                 attempt.replica.limit = FIRST_LIMIT
-                self.out.append(api.Log(f"breaker open: replica {event.replica}, last {event.outcome.name}"))
+                self.out.append(Log(f"breaker open: replica {event.replica}, last {event.outcome.name}"))
         breaker.released(attempt)
         if event.closed or not request.open:
             self._close(event.request, request)
-        elif sum(other.outcome is api.Outcome.REJECTED for other in request.attempts) >= REJECTIONS:
+        elif sum(other.outcome is Outcome.REJECTED for other in request.attempts) >= REJECTIONS:
             self._answer(event.request, request)
         elif not any(other.streaming and other.out for other in request.attempts):
             self.waiting[event.request] = request
@@ -358,7 +322,7 @@
     def _learn(self, attempt: Attempt, part: float) -> None:
         """Move the limits: what is sent past the pace of a replica, or of all, makes all of it late."""
         # 'Full' is one replica's alone: its quick refusals would outnumber all other signs.
-        shared, replica = attempt.outcome is not api.Outcome.FULL, attempt.replica
+        shared, replica = attempt.outcome is not Outcome.FULL, attempt.replica
         roomy = self.now - replica.busy_at < REPORT_LIVES and replica.in_flight <= replica.floor
         if shared and LATE_PART < part <= MILD_PART and roomy:
             return  # it was reading: a prompt that nobody keeps, or a heavy one before it
@@ -410,9 +374,9 @@
         if not self.settings.may_duplicate and any(attempt.out for attempt in request.attempts):
             return False
         kind, ran = request.kind, request.ran
-        if kind.effect is api.Effect.SAFE or not ran:
+        if kind.effect is Effect.SAFE or not ran:
             return True
-        if kind.effect is api.Effect.UNSAFE or self.now - ran[0].sent_at >= kind.window:
+        if kind.effect is Effect.UNSAFE or self.now - ran[0].sent_at >= kind.window:
             return False
         group = kind.scope.value
         return group == "all" or all(getattr(replica, group) == getattr(a.replica, group) for a in ran)
@@ -452,7 +416,7 @@
     def _pick(self, request: Request) -> tuple[Replica | None, bool]:
         """A half-open replica without a trial, else the least loaded of a sample; and whether any is busy."""
         # Never again where it failed, not even unreached: a dead replica looks idle and would win again.
-        tried = [a.replica for a in request.attempts if a.outcome is not api.Outcome.FULL]
+        tried = [a.replica for a in request.attempts if a.outcome is not Outcome.FULL]
         closed: list[Replica] = []
         busy, asked, again = False, request.arrived.prompt_tokens + ANSWER_TOKENS, bool(request.attempts)
         for replica in self.ready:
@@ -492,7 +456,7 @@
         self.last_winner = min(sample, key=lambda replica: self._cost(replica, request, mean_size))
         return self.last_winner, False
 
-    def _preferred(self, arrived: api.Arrived, closed: list[Replica]) -> list[Replica]:
+    def _preferred(self, arrived: Arrived, closed: list[Replica]) -> list[Replica]:
         """Two of the replicas that hold the request's prefix, of many if many ask for it.
 
         A session's are the same at all gateways of a zone: its next turn may come to any of them.
--- a/lockspoke/balancing/interface.py
+++ b/lockspoke/balancing/events.py
@@ -1,29 +1,12 @@
-"""What a gateway and the balancer say to each other: settings, events in, actions out.
+"""The events that a gateway hands to its balancer: small frozen values that can be logged and replayed.
 
-Everything is a small frozen value, so an event or an action can be logged, compared and replayed. Times
-are integer nanoseconds on the gateway's own clock. `policy.py` decides; this file only names things.
+Times and durations are integer nanoseconds on the gateway's own clock.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import Enum, IntEnum
-
-
-class Effect(Enum):
-    """What a repeat of a request does to the world."""
-
-    SAFE = "safe"  # may be repeated and refused freely
-    KEYED = "keyed"  # repeats are discarded inside a dedup group, for a window
-    UNSAFE = "unsafe"  # may run once at most
-
-
-class Scope(Enum):
-    """The replicas that discard repeats of a keyed request."""
-
-    ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+from enum import IntEnum
 
 
 class Outcome(IntEnum):
@@ -57,45 +40,6 @@
     FAILED = 3  # a call for the list failed or the subscription broke; the old list stays
 
 
-@dataclass(frozen=True, slots=True)
-class RequestClass:
-    """One class of requests: its aim and what a repeat of it does."""
-
-    effect: Effect = Effect.SAFE
-    scope: Scope = Scope.ALL
-    window: int = 0  # keyed: how long the group remembers, from the send of the first attempt
-    aim: int = 1_000_000_000  # the first token is wanted within this time
-    aim_per_token: float = 0.0  # and this much later for each prompt token
-
-
-@dataclass(frozen=True, slots=True)
-class Tenant:
-    """One tenant's share of the service; all gateways counted together."""
-
-    share: float = 0.0
-
-
-@dataclass(frozen=True, slots=True)
-class Settings:
-    """What a balancer is told at its start. The defaults suit a small fleet."""
-
-    classes: tuple[RequestClass, ...]
-    max_attempts: int
-    may_duplicate: bool  # two attempts of one request may be out together
-    cold_share: float  # a replica starts at this share of its capacity, or above
-    warm_up: int  # and is warm within this time
-    fall_multiple: float  # sent more than this multiple of its present capacity
-    fall_time: int  # for this long, a cold replica falls over
-    tenants: tuple[Tenant, ...] = ()
-    zone: int = 0
-    gateways: int = 1
-    index: int = 0  # this gateway's place among them
-    ask_for_list: bool = False  # the list has to be asked for
-    ask_every: int = 10_000_000_000
-    cross_zone_price: float = 0.0
-    busy_field: int | None = None  # where a load report says what share of a replica's slots is taken
-
-
 @dataclass(frozen=True, slots=True)
 class ListEntry:
     """One replica as the list names it."""
@@ -177,53 +121,3 @@
 
 
 Event = ListUpdate | Arrived | FirstToken | AttemptEnded | ClientLeft | TimerFired
-
-
-@dataclass(frozen=True, slots=True)
-class Send:
-    """Send the request's next attempt to a replica. `timeout` 0: until the client gives up."""
-
-    request: int
-    replica: int
-    timeout: int = 0
-    begin_within: int = 0  # its first byte has to go out within this time, or not at all; 0: no bound
-
-
-@dataclass(frozen=True, slots=True)
-class Refuse:
-    """Final answer: not served, and a retry does no harm."""
-
-    request: int
-    retry_after: int = 0
-
-
-@dataclass(frozen=True, slots=True)
-class Fail:
-    """Final answer: failed, with no word on whether it ran."""
-
-    request: int
-
-
-@dataclass(frozen=True, slots=True)
-class SetTimer:
-    """Ask for a `TimerFired`."""
-
-    delay: int
-    token: int
-
-
-@dataclass(frozen=True, slots=True)
-class Watch:
-    """Subscribe to changes of the list, or end that."""
-
-    enable: bool = True
-
-
-@dataclass(frozen=True, slots=True)
-class Log:
-    """A line for whoever is on call."""
-
-    text: str
-
-
-Action = Send | Refuse | Fail | SetTimer | Watch | Log
--- a/lockspoke/balancing/records.py
+++ b/lockspoke/balancing/records.py
@@ -5,10 +5,10 @@
 import math
 from collections import Counter, OrderedDict, defaultdict, deque
 from collections.abc import Iterable
-from enum import Enum
 from typing import TYPE_CHECKING
 
-from . import interface as api
+from .events import Arrived, Outcome, ReplicaState
+from .settings import RequestClass, Settings
 
 SECOND = 1_000_000_000  # nanoseconds
 CACHED_KEYS = 2048  # sessions and prefixes remembered a replica; more than a replica's memory can hold
@@ -19,18 +19,10 @@
 MOST_HALF_LIVES = 300  # for which weights double, before they begin anew at one
 NEGLIGIBLE = 1e-9  # of a request
 _MASK = (1 << 64) - 1
-NEVER_RAN = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT)
+NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 if TYPE_CHECKING:
-    from .balancer import Breaker
-
-
-class State(Enum):
-    """The three states of a breaker."""
-
-    CLOSED = "closed"
-    OPEN = "open"
-    HALF_OPEN = "half-open"
+    from .breaker import Breaker
 
 
 class DecayingSum:
@@ -143,7 +135,7 @@
     def __init__(self, number: int, breaker: Breaker) -> None:
         self.number = number
         self.breaker = breaker
-        self.state = api.ReplicaState.GONE
+        self.state = ReplicaState.GONE
         self.zone = 0
         self.cell = 0
         self.kind = Kind()
@@ -173,7 +165,7 @@
         """What it can do beside the others, in the unit of the list."""
         return self.listed * self.kind.factor
 
-    def share_of_warm(self, now: int, settings: api.Settings) -> float:
+    def share_of_warm(self, now: int, settings: Settings) -> float:
         """The capacity it surely has by now, as a share of its warm one."""
         if now >= self.warm_at:
             return 1.0
@@ -181,7 +173,7 @@
         age = max(0, now - self.started_at) / max(1, settings.warm_up)
         return settings.cold_share + (1.0 - settings.cold_share) * age
 
-    def unread(self, arrived: api.Arrived) -> float:
+    def unread(self, arrived: Arrived) -> float:
         """Prompt tokens that this replica would have to read, as far as own sends tell."""
         prefix = self.cached.get(arrived.prefix, 0.0)
         if prefix > arrived.prefix_tokens:
@@ -190,7 +182,7 @@
         left = arrived.prompt_tokens - (session if session > prefix else prefix)
         return left if left > 0.0 else 0.0
 
-    def take(self, arrived: api.Arrived, work: float) -> None:
+    def take(self, arrived: Arrived, work: float) -> None:
         """Count a sent request, and remember what its prompt leaves behind; the oldest is forgotten first."""
         self.in_flight += 1
         self.work += work
@@ -243,7 +235,7 @@
         self.sent_at = now
         self.work = work
         self.unread = unread  # prompt tokens it was thought to need read
-        self.outcome: api.Outcome | None = None  # None: it is still out
+        self.outcome: Outcome | None = None  # None: it is still out
         self.streaming = False
 
     @property
@@ -260,7 +252,7 @@
 class Request:
     """One request, kept until it has its final answer and the outcomes of all its attempts."""
 
-    def __init__(self, arrived: api.Arrived, now: int, kind: api.RequestClass) -> None:
+    def __init__(self, arrived: Arrived, now: int, kind: RequestClass) -> None:
         self.arrived = arrived
         self.kind = kind
         self.arrived_at = now
--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -14,7 +14,19 @@
 import structlog
 
 from lockspoke.balancing import Balancer
-from lockspoke.balancing import interface as api
+from lockspoke.balancing.actions import Action, Fail, Log, Refuse, Send, SetTimer, Watch
+from lockspoke.balancing.events import (
+    Arrived,
+    AttemptEnded,
+    ClientLeft,
+    Event,
+    FirstToken,
+    ListKind,
+    ListUpdate,
+    Outcome,
+    TimerFired,
+)
+from lockspoke.balancing.settings import Settings
 
 from .decision_loop import DecisionLoop
 from .replica_set import UNKNOWN_VERSION, ReplicaSet, ReplicaUpdate
@@ -54,7 +66,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         seed: int,
         replica_set: ReplicaSet,
         timers: Timers,
@@ -80,7 +92,7 @@
             # The decisions expect the list to come by itself; on sockets it never does unasked.
             self.discovery.watch(True)
 
-    def reconfigure(self, settings: api.Settings, zones: Sequence[str]) -> bool:
+    def reconfigure(self, settings: Settings, zones: Sequence[str]) -> bool:
         """New settings from now on; whether the replica set has to be told the whole list again for them."""
         self._asks = settings.ask_for_list
         self.balancer.reconfigure(settings)
@@ -97,7 +109,7 @@
         self.requests[request.number] = request
         self.totals["calls"] += 1
         self._post(
-            api.Arrived(
+            Arrived(
                 request=request.number,
                 time_left=max(0, request.deadline - now),
                 request_class=request.request_class,
@@ -118,7 +130,7 @@
         # A replica does not stop for a client that left; read to its end, the stream still tells the
         # decisions how busy that replica is.
         self._answered(request, "left")
-        self._post(api.ClientLeft(request.number))
+        self._post(ClientLeft(request.number))
 
     def list_changed(self, update: ReplicaUpdate, cached: bool = False, answers: bool = True) -> None:
         """The list of replicas, or a change of it; `answers`: it ends the request that is out, or due."""
@@ -144,7 +156,7 @@
     def list_failed(self) -> None:
         """A request for the list has failed; the old list still holds."""
         self.totals["list_failed"] += 1
-        self._post(api.ListUpdate(api.ListKind.FAILED))
+        self._post(ListUpdate(ListKind.FAILED))
         if not self._asks:
             self.timers.later(SECOND, lambda: self.discovery.watch(True))
 
@@ -176,15 +188,15 @@
                 else:
                     self._answered(request, "failed")
                     request.sink.fail()
-                self._post(api.ClientLeft(request.number))
+                self._post(ClientLeft(request.number))
             for attempt in request.attempts:
-                self._give_up(attempt, api.Outcome.CANCELLED)
+                self._give_up(attempt, Outcome.CANCELLED)
 
-    def _give_up(self, attempt: Attempt, outcome: api.Outcome) -> None:
+    def _give_up(self, attempt: Attempt, outcome: Outcome) -> None:
         """End an attempt that is out; of one that was never sent nothing may have run, whatever ends it."""
         if attempt.outcome is None:
             self.transport.stop(attempt)
-            self.ended(attempt, outcome if attempt.maybe_ran else api.Outcome.MOOT)
+            self.ended(attempt, outcome if attempt.maybe_ran else Outcome.MOOT)
 
     def live_held(self) -> bool:
         """Whether a request that somebody waits for is held, since no replica has room for it."""
@@ -211,7 +223,7 @@
         late = now >= attempt.deadline or (attempt.begin_by and now >= attempt.begin_by)
         moved = replica.place != attempt.place or not self.replica_set.takes(replica)
         if request.answered or request.owner is not None or late or moved:
-            self.ended(attempt, api.Outcome.MOOT)
+            self.ended(attempt, Outcome.MOOT)
             return Clearance.OVER
         if self.discovery.changes_unread or request.sink.unread:
             return Clearance.ASK_AGAIN
@@ -231,7 +243,7 @@
             self._first_token(attempt)
             for other in request.attempts:
                 if other is not attempt:
-                    self._give_up(other, api.Outcome.CANCELLED)
+                    self._give_up(other, Outcome.CANCELLED)
         if request.answered or request.owner is not attempt:
             return None
         written = request.sink.event(data)
@@ -252,12 +264,12 @@
     def _first_token(self, attempt: Attempt) -> None:
         elapsed = attempt.heard_at - attempt.sent_at
         number = attempt.replica.number
-        self._post(api.FirstToken(attempt.request.number, attempt.index, number, elapsed))
+        self._post(FirstToken(attempt.request.number, attempt.index, number, elapsed))
 
     def ended(
         self,
         attempt: Attempt,
-        outcome: api.Outcome,
+        outcome: Outcome,
         cached_tokens: int = 0,
         report: tuple[float, ...] = (),
     ) -> None:
@@ -269,7 +281,7 @@
         request = attempt.request
         self.totals[f"outcome_{outcome.name.lower()}"] += 1
         if not request.answered:
-            if outcome is api.Outcome.OK:
+            if outcome is Outcome.OK:
                 self._answered(request, "served")
                 request.sink.end()
             elif request.owner is attempt:
@@ -278,7 +290,7 @@
         elapsed = self.timers.now() - attempt.sent_at
         number = attempt.replica.number
         self._post(
-            api.AttemptEnded(
+            AttemptEnded(
                 request.number,
                 attempt.index,
                 number,
@@ -294,33 +306,33 @@
 
     # The decisions
 
-    def _decisions_failed(self, event: api.Event) -> None:
+    def _decisions_failed(self, event: Event) -> None:
         self.totals["decisions_failed"] += 1
-        if isinstance(event, api.ListUpdate):
+        if isinstance(event, ListUpdate):
             # They may know a part of it only: the whole list is asked for next.
             self.replica_set.rev = UNKNOWN_VERSION
 
-    def _carry_out(self, action: api.Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         match action:
-            case api.Send(number, replica, timeout, begin_within):
+            case Send(number, replica, timeout, begin_within):
                 self._send(number, replica, timeout, begin_within)
-            case api.Refuse(number, retry_after):
+            case Refuse(number, retry_after):
                 request = self.requests.get(number)
                 if request is not None and not request.answered:
                     if not request.background:
                         self.live_refused_at = self.timers.now()
                     self._answered(request, "refused")
                     request.sink.refuse(retry_after)
-            case api.Fail(number):
+            case Fail(number):
                 request = self.requests.get(number)
                 if request is not None and not request.answered:
                     self._answered(request, "failed")
                     request.sink.fail()
-            case api.SetTimer(delay, token):
-                self.timers.later(delay, lambda: self._post(api.TimerFired(token)))
-            case api.Watch(enable):
+            case SetTimer(delay, token):
+                self.timers.later(delay, lambda: self._post(TimerFired(token)))
+            case Watch(enable):
                 self.discovery.watch(enable)
-            case api.Log(text):
+            case Log(text):
                 log.warning("decision", text=text)
 
     def _send(self, number: int, replica_number: int, timeout: int, begin_within: int = 0) -> None:
@@ -335,7 +347,7 @@
         attempt.begin_by = now + begin_within if begin_within else 0
         request.attempts.append(attempt)
         if request.answered or request.owner is not None or now >= deadline:
-            self.ended(attempt, api.Outcome.MOOT)
+            self.ended(attempt, Outcome.MOOT)
             return
         self.totals["attempts"] += 1
         attempt.timer = self.timers.later(deadline - now, lambda: self._timed_out(attempt))
@@ -350,7 +362,7 @@
     def _timed_out(self, attempt: Attempt) -> None:
         # A stream that has begun has no deadline.
         if attempt.request.owner is not attempt:
-            self._give_up(attempt, api.Outcome.TIMEOUT)
+            self._give_up(attempt, Outcome.TIMEOUT)
 
     # The end of a request
 
@@ -372,10 +384,10 @@
                 # for ever, where it could ask for the rest.
                 if owner.waits_for_client is None and now - owner.heard_at > SILENT:
                     self.transport.stop(owner)
-                    self.ended(owner, api.Outcome.RESET)
+                    self.ended(owner, Outcome.RESET)
             elif not request.answered and owner is None and now > request.deadline + OVERDUE:
                 self._answered(request, "overdue")
                 log.error("answer_overdue", call=request.number)
                 request.sink.fail()
-                self._post(api.ClientLeft(request.number))
+                self._post(ClientLeft(request.number))
         self.timers.later(SWEEP, self._sweep)
--- a/lockspoke/core/decision_loop.py
+++ b/lockspoke/core/decision_loop.py
@@ -8,7 +8,8 @@
 import structlog
 
 from lockspoke.balancing import Balancer
-from lockspoke.balancing import interface as api
+from lockspoke.balancing.actions import Action
+from lockspoke.balancing.events import Event
 
 log = structlog.get_logger()
 
@@ -20,17 +21,17 @@
         self,
         balancer: Balancer,
         now: Callable[[], int],
-        carry_out: Callable[[api.Action], None],
-        failed: Callable[[api.Event], None],
+        carry_out: Callable[[Action], None],
+        failed: Callable[[Event], None],
     ) -> None:
         self.balancer = balancer
         self._now = now
         self._carry_out = carry_out
         self._failed = failed  # told of an event that the balancer raised an exception at
-        self._events: deque[api.Event] = deque()
+        self._events: deque[Event] = deque()
         self._busy = False
 
-    def post(self, event: api.Event) -> None:
+    def post(self, event: Event) -> None:
         """Have an event decided on, and all that follow from it."""
         self._events.append(event)
         if self._busy:
@@ -42,7 +43,7 @@
         finally:
             self._busy = False
 
-    def _decide(self, event: api.Event) -> None:
+    def _decide(self, event: Event) -> None:
         """Have one event decided on: a fault costs what would have followed from it, and no other event."""
         try:
             actions = self.balancer.handle(self._now(), [event])
--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -5,7 +5,7 @@
 from collections.abc import Container, Iterable, Sequence
 from dataclasses import dataclass
 
-from lockspoke.balancing.interface import ListEntry, ListKind, ListUpdate, ReplicaState
+from lockspoke.balancing.events import ListEntry, ListKind, ListUpdate, ReplicaState
 
 from .identifiers import Numbers, kind_number
 
--- a/lockspoke/core/requests.py
+++ b/lockspoke/core/requests.py
@@ -8,7 +8,8 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from lockspoke.balancing.interface import Effect, Outcome, RequestClass, Scope
+from lockspoke.balancing.events import Outcome
+from lockspoke.balancing.settings import Effect, RequestClass, Scope
 
 from .replica_set import Replica
 
--- a/lockspoke/inventory/reconcile.py
+++ b/lockspoke/inventory/reconcile.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from lockspoke.balancing.interface import ReplicaState
+from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import Entry
 
 from .model import Snapshot, WorkerRecord
--- a/lockspoke/lifecycle/config.py
+++ b/lockspoke/lifecycle/config.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.balancing.interface import Settings
+from lockspoke.balancing.settings import Settings
 from lockspoke.core.replica_set import ReplicaUpdate
 from lockspoke.simulator.protocol import decode_settings
 from lockspoke.wire.discovery.messages import decode_endpoint, read_list
--- a/lockspoke/simulator/program.py
+++ b/lockspoke/simulator/program.py
@@ -9,7 +9,7 @@
 from typing import BinaryIO
 
 from lockspoke.balancing.balancer import Balancer
-from lockspoke.balancing.interface import Event
+from lockspoke.balancing.events import Event
 
 from .protocol import (
     LENGTH,
--- a/lockspoke/simulator/protocol.py
+++ b/lockspoke/simulator/protocol.py
@@ -12,31 +12,21 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lockspoke.balancing.interface import (
-    Action,
+from lockspoke.balancing.actions import Action, Fail, Log, Refuse, Send, SetTimer, Watch
+from lockspoke.balancing.events import (
     Arrived,
     AttemptEnded,
     ClientLeft,
-    Effect,
     Event,
-    Fail,
     FirstToken,
     ListEntry,
     ListKind,
     ListUpdate,
-    Log,
     Outcome,
-    Refuse,
     ReplicaState,
-    RequestClass,
-    Scope,
-    Send,
-    SetTimer,
-    Settings,
-    Tenant,
     TimerFired,
-    Watch,
 )
+from lockspoke.balancing.settings import Effect, RequestClass, Scope, Settings, Tenant
 
 OUTCOMES = {
     0: Outcome.OK,
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from lockspoke.balancing.interface import ReplicaState
+from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import UNKNOWN_VERSION, Entry, ReplicaUpdate
 from lockspoke.wire.http.http1 import Data, End, HttpError, ResponseHead, ResponseParser
 
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -10,7 +10,7 @@
 import structlog
 from tornado.iostream import IOStream, StreamClosedError
 
-from lockspoke.balancing.interface import Outcome, ReplicaState
+from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.core.replica_set import Replica
 from lockspoke.core.requests import Attempt, Clearance
 from lockspoke.wire.clients.request_fields import decode_load
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -6,28 +6,21 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from lockspoke.balancing.actions import Action, Fail, Refuse, Send, SetTimer
 from lockspoke.balancing.balancer import Balancer
-from lockspoke.balancing.interface import (
-    Action,
+from lockspoke.balancing.events import (
     Arrived,
     AttemptEnded,
-    Effect,
     Event,
-    Fail,
     FirstToken,
     ListEntry,
     ListKind,
     ListUpdate,
     Outcome,
-    Refuse,
     ReplicaState,
-    RequestClass,
-    Scope,
-    Send,
-    SetTimer,
-    Settings,
     TimerFired,
 )
+from lockspoke.balancing.settings import Effect, RequestClass, Scope, Settings
 
 MS = 1_000_000
 SECOND = 1_000 * MS
--- a/tests/balancing/test_breaker.py
+++ b/tests/balancing/test_breaker.py
@@ -4,11 +4,10 @@
 
 import pytest
 
-from lockspoke.balancing import interface as api
-from lockspoke.balancing.balancer import (
-    COME_BACK,
+from lockspoke.balancing.actions import Refuse
+from lockspoke.balancing.balancer import COME_BACK, FIRST_LIMIT
+from lockspoke.balancing.breaker import (
     FAILURE_THRESHOLD,
-    FIRST_LIMIT,
     LONGEST_RECOVERY,
     RECOVERY,
     STALE_TRIAL,
@@ -16,6 +15,7 @@
     Breaker,
     State,
 )
+from lockspoke.balancing.events import ListKind, Outcome
 from lockspoke.balancing.records import Attempt, Replica
 from tests.balancing.helpers import MS, SECOND, World, ready, settings
 
@@ -105,7 +105,7 @@
     assert breaker.trial is None and breaker.look(RECOVERY) is State.HALF_OPEN
 
 
-def fail_on(world: World, replica: int, outcome: api.Outcome, base: int) -> None:
+def fail_on(world: World, replica: int, outcome: Outcome, base: int) -> None:
     """Let every request sent to `replica` end so, until its breaker opens; others answer."""
     number = base
     while world.balancer.replicas[replica].breaker.state is State.CLOSED:
@@ -116,20 +116,18 @@
             actions = world.end(number, outcome)
         if world.sent_to(actions):
             world.first_token(number)
-            world.end(number, api.Outcome.OK)
+            world.end(number, Outcome.OK)
         world.pass_time(10 * MS)
 
 
-@pytest.mark.parametrize(
-    "outcome", [api.Outcome.ERROR, api.Outcome.RESET, api.Outcome.CONNECT_FAILED, api.Outcome.TIMEOUT]
-)
-def test_counted_outcomes_open_and_the_replica_gets_no_sends(outcome: api.Outcome) -> None:
+@pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT])
+def test_counted_outcomes_open_and_the_replica_gets_no_sends(outcome: Outcome) -> None:
     world = World(replicas=(1, 2, 3, 4))
     fail_on(world, 2, outcome, 0)
     for number in range(1000, 1050):
         assert world.sent_to(world.arrive(number)) != [2]
         world.first_token(number)
-        world.end(number, api.Outcome.OK)
+        world.end(number, Outcome.OK)
 
 
 def test_full_never_opens() -> None:
@@ -137,14 +135,14 @@
     for number in range(40):
         world.arrive(number)
         if world.calls[number].attempts:
-            world.end(number, api.Outcome.FULL)
+            world.end(number, Outcome.FULL)
         world.pass_time(SECOND)
     assert world.balancer.replicas[1].breaker.state is State.CLOSED
 
 
 def test_one_trial_at_a_time_and_it_succeeds_at_its_first_token() -> None:
     world = World(replicas=(1, 2, 3, 4))
-    fail_on(world, 2, api.Outcome.RESET, 0)
+    fail_on(world, 2, Outcome.RESET, 0)
     world.pass_time(RECOVERY)
     assert world.sent_to(world.arrive(500)) == [2]
     assert world.sent_to(world.arrive(501)) != [2]
@@ -157,7 +155,7 @@
 def test_a_replica_that_was_open_returns_with_a_low_limit() -> None:
     """All gateways find a returned replica empty at once; it must earn its share."""
     world = World(replicas=(1, 2, 3, 4))
-    fail_on(world, 2, api.Outcome.RESET, 0)
+    fail_on(world, 2, Outcome.RESET, 0)
     assert world.balancer.replicas[2].limit == FIRST_LIMIT
 
 
@@ -177,15 +175,15 @@
     for number in range(100):
         world.arrive(number)
         while not world.calls[number].final and world.calls[number].attempts:
-            world.end(number, api.Outcome.CONNECT_FAILED)
+            world.end(number, Outcome.CONNECT_FAILED)
         world.pass_time(10 * MS)
     assert all(replica.breaker.state is State.OPEN for replica in world.balancer.replicas.values())
 
 
 def test_a_restart_under_the_same_id_closes_the_breaker() -> None:
     world = World(replicas=(1, 2, 3, 4))
-    fail_on(world, 2, api.Outcome.RESET, 0)
-    world.list(api.ListKind.DELTA, ready(2, started_at=world.now))
+    fail_on(world, 2, Outcome.RESET, 0)
+    world.list(ListKind.DELTA, ready(2, started_at=world.now))
     assert world.balancer.replicas[2].breaker.state is State.CLOSED
 
 
@@ -195,20 +193,20 @@
     for number in (1, 2):
         world.arrive(number)
         assert world.balancer.replicas[1].breaker.state is State.CLOSED
-        world.end(number, api.Outcome.CONNECT_FAILED)
+        world.end(number, Outcome.CONNECT_FAILED)
     assert world.balancer.replicas[1].breaker.state is State.OPEN
 
 
 def test_a_refused_client_is_told_when_a_replica_may_have_room() -> None:
     """Sooner it would meet the same jam; and it is told at once, never held until then."""
     world = World(replicas=())
-    assert world.arrive(1)[0] == api.Refuse(1, RECOVERY)
+    assert world.arrive(1)[0] == Refuse(1, RECOVERY)
     world = World(replicas=(1,))
     for request in range(1, 6):
         actions = world.arrive(request)
         if world.sent_to(actions):
-            actions = world.end(request, api.Outcome.CONNECT_FAILED)
-    refused = [action for action in actions if isinstance(action, api.Refuse)]
+            actions = world.end(request, Outcome.CONNECT_FAILED)
+    refused = [action for action in actions if isinstance(action, Refuse)]
     assert [action.retry_after for action in refused] == [RECOVERY]
     world.now += RECOVERY - COME_BACK // 2
-    assert world.arrive(9)[0] == api.Refuse(9, COME_BACK)
+    assert world.arrive(9)[0] == Refuse(9, COME_BACK)
--- a/tests/balancing/test_cold_sum.py
+++ b/tests/balancing/test_cold_sum.py
@@ -17,18 +17,9 @@
 import pytest
 
 from lockspoke.balancing import Balancer
+from lockspoke.balancing.actions import Action, Send
 from lockspoke.balancing.balancer import ANSWER_TOKENS
-from lockspoke.balancing.interface import (
-    Action,
-    Arrived,
-    AttemptEnded,
-    Event,
-    FirstToken,
-    ListKind,
-    ListUpdate,
-    Outcome,
-    Send,
-)
+from lockspoke.balancing.events import Arrived, AttemptEnded, Event, FirstToken, ListKind, ListUpdate, Outcome
 from tests.balancing.helpers import MS, SECOND, ready, settings
 
 REPLICAS = range(1, 21)
--- a/tests/balancing/test_overload.py
+++ b/tests/balancing/test_overload.py
@@ -9,22 +9,18 @@
 import pytest
 
 from lockspoke.balancing import Balancer
-from lockspoke.balancing.interface import (
-    Action,
+from lockspoke.balancing.actions import Action, Fail, Refuse, Send, SetTimer
+from lockspoke.balancing.events import (
     Arrived,
     AttemptEnded,
     Event,
-    Fail,
     FirstToken,
     ListKind,
     ListUpdate,
     Outcome,
-    Refuse,
-    RequestClass,
-    Send,
-    SetTimer,
     TimerFired,
 )
+from lockspoke.balancing.settings import RequestClass
 from tests.balancing.helpers import MS, SECOND, ready, settings
 
 WORKERS, SLOTS, READ = 6, 8, 10_000.0  # a worker reads so many prompt tokens a second, one prompt at a time
--- a/tests/balancing/test_pick.py
+++ b/tests/balancing/test_pick.py
@@ -8,8 +8,11 @@
 
 import pytest
 
-from lockspoke.balancing import interface as api
-from lockspoke.balancing.balancer import FULL_PAUSE, State
+from lockspoke.balancing.actions import Send, Watch
+from lockspoke.balancing.balancer import FULL_PAUSE
+from lockspoke.balancing.breaker import State
+from lockspoke.balancing.events import Arrived, FirstToken, ListEntry, ListKind, Outcome
+from lockspoke.balancing.settings import Tenant
 from tests.balancing.helpers import MS, SECOND, Call, World, ready, settings
 
 REQUEST_AND_ANSWER = 1_500 * MS  # the longest that a first request, which may not wait, can take
@@ -18,7 +21,7 @@
 
 def test_work_follows_listed_size() -> None:
     world = World(replicas=())
-    world.list(api.ListKind.FULL, ready(1, 2, weight=1.0) + ready(3, 4, weight=3.0))
+    world.list(ListKind.FULL, ready(1, 2, weight=1.0) + ready(3, 4, weight=3.0))
     sent = Counter(replica for n in range(200) for replica in world.sent_to(world.arrive(n)))
     assert 2.2 < (sent[3] + sent[4]) / (sent[1] + sent[2]) < 3.8
 
@@ -44,12 +47,12 @@
     for session in range(1, 21):
         holders[session] = world.sent_to(world.arrive(session, session=session, prompt_tokens=4000.0))[0]
         world.first_token(session)
-        world.end(session, api.Outcome.OK)
+        world.end(session, Outcome.OK)
     for session, home in holders.items():
         number = 100 + session
         assert world.sent_to(world.arrive(number, session=session, prompt_tokens=4300.0)) == [home]
         world.first_token(number)
-        world.end(number, api.Outcome.OK)
+        world.end(number, Outcome.OK)
 
 
 def holders_of(prefix: int, seeds: range, among: Iterable[int]) -> Counter[int]:
@@ -60,7 +63,7 @@
         for number, other in enumerate(among):
             world.arrive(number, prefix=other, prefix_tokens=3000.0, prompt_tokens=3500.0)
             world.first_token(number)
-            world.end(number, api.Outcome.OK)
+            world.end(number, Outcome.OK)
         holders.update(
             world.sent_to(world.arrive(999, prefix=prefix, prefix_tokens=3000.0, prompt_tokens=3500.0))
         )
@@ -89,7 +92,7 @@
             for number in range(30):  # what each gateway has seen of the traffic is another thing
                 world.arrive(number, prefix=100 + (gateway + number) % 25, prefix_tokens=3000.0)
                 world.first_token(number)
-                world.end(number, api.Outcome.OK)
+                world.end(number, Outcome.OK)
             turn: dict[str, float] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
             turns.update(world.sent_to(world.arrive(999, prompt_tokens=9000.0 + 1000.0 * gateway, **turn)))
         together += turns.most_common(1)[0][1]
@@ -110,8 +113,8 @@
     near = 0
     for session in range(1, 201):
         world = World(settings(gateways=200, cross_zone_price=0.08, zone=0), replicas=(), seed=session)
-        entries = tuple(api.ListEntry(number, zone=number % 3) for number in range(1, 91))
-        world.list(api.ListKind.FULL, entries)
+        entries = tuple(ListEntry(number, zone=number % 3) for number in range(1, 91))
+        world.list(ListKind.FULL, entries)
         turn: dict[str, float] = {"session": session, "prefix": 1000 + session, "prefix_tokens": 9000.0}
         near += world.sent_to(world.arrive(1, prompt_tokens=15_000.0, **turn))[0] % 3 == 0
     assert near >= 145
@@ -131,7 +134,7 @@
     sent: Counter[int] = Counter()
     for seed in range(80):
         world = World(replicas=(), seed=seed)
-        world.list(api.ListKind.FULL, ready(1, 2, 3, 4, weight=0.25) + ready(5, weight=3.0))
+        world.list(ListKind.FULL, ready(1, 2, 3, 4, weight=0.25) + ready(5, weight=3.0))
         sent.update(world.sent_to(world.arrive(1)))
     assert sent[5] >= 45 and sent.total() - sent[5] >= 5
 
@@ -143,7 +146,7 @@
         for seed in range(20):
             given = settings(cross_zone_price=0.08, zone=0, gateways=gateways)
             world = World(given, replicas=(), seed=seed)
-            world.list(api.ListKind.FULL, ready(1, 2, 3, 4, zone=1) + ready(5, 6, 7, 8, zone=0))
+            world.list(ListKind.FULL, ready(1, 2, 3, 4, zone=1) + ready(5, 6, 7, 8, zone=0))
             sent = [replica for n in range(24) for replica in world.sent_to(world.arrive(n))]
             crossed[gateways] += sum(replica < 5 for replica in sent)
     assert 2 * crossed[1] < crossed[16]
@@ -152,7 +155,7 @@
 def test_a_small_replica_is_not_left_idle_beside_a_loaded_large_one() -> None:
     """Reading and crossing divided by the size kept small replicas empty while large ones jammed."""
     world = World(settings(gateways=4), replicas=())
-    world.list(api.ListKind.FULL, ready(1, weight=4.0) + ready(2, 3, 4))
+    world.list(ListKind.FULL, ready(1, weight=4.0) + ready(2, 3, 4))
     sent = Counter(replica for n in range(28) for replica in world.sent_to(world.arrive(n)))
     assert min(sent[2], sent[3], sent[4]) >= 2
 
@@ -161,7 +164,7 @@
     world = World(replicas=(1, 2))
     home = world.sent_to(world.arrive(1, session=5))[0]
     assert world.balancer.replicas[home].cached
-    world.list(api.ListKind.DELTA, ready(home, started_at=world.now))
+    world.list(ListKind.DELTA, ready(home, started_at=world.now))
     assert not world.balancer.replicas[home].cached
 
 
@@ -170,7 +173,7 @@
     stayed = 0
     for seed in range(100):
         world = World(settings(cross_zone_price=0.08, zone=0), replicas=(), seed=seed)
-        world.list(api.ListKind.FULL, ready(1, 2, zone=1) + ready(3, 4, zone=0, weight=near))
+        world.list(ListKind.FULL, ready(1, 2, zone=1) + ready(3, 4, zone=0, weight=near))
         stayed += world.sent_to(world.arrive(1))[0] >= 3
     return stayed / 100
 
@@ -200,8 +203,8 @@
         assert not world.sent_to(world.arrive(number))
         world.pass_time(10 * MS)
     for number in range(1, 41):
-        for action in world.end(number, api.Outcome.OK):
-            if isinstance(action, api.Send):
+        for action in world.end(number, Outcome.OK):
+            if isinstance(action, Send):
                 assert action.request == 103
                 return
     raise AssertionError("nothing left the line")
@@ -216,28 +219,28 @@
 
 
 def test_the_tenant_least_served_against_its_share_goes_first() -> None:
-    tenants = (api.Tenant(0.5), api.Tenant(0.5))
+    tenants = (Tenant(0.5), Tenant(0.5))
     world = World(settings(tenants=tenants), replicas=(1, 2))
     jammed(world)  # all of it for tenant 0
     world.arrive(101, tenant=1)
     world.pass_time(10 * MS)
     world.arrive(102, tenant=0)
     for number in range(1, 41):
-        for action in world.end(number, api.Outcome.OK):
-            if isinstance(action, api.Send):
+        for action in world.end(number, Outcome.OK):
+            if isinstance(action, Send):
                 assert action.request == 101
                 return
     raise AssertionError("nothing left the line")
 
 
 def test_fewer_tenants_after_a_reload_leave_no_held_call_without_an_answer() -> None:
-    world = World(settings(tenants=(api.Tenant(0.5), api.Tenant(0.5))), replicas=(1, 2))
+    world = World(settings(tenants=(Tenant(0.5), Tenant(0.5))), replicas=(1, 2))
     jammed(world)
     world.arrive(101, tenant=1)
     world.arrive(102, tenant=1)
-    world.balancer.reconfigure(settings(tenants=(api.Tenant(1.0),)))
+    world.balancer.reconfigure(settings(tenants=(Tenant(1.0),)))
     for number in range(1, 41):
-        world.end(number, api.Outcome.OK)
+        world.end(number, Outcome.OK)
     assert world.calls[101].attempts and world.calls[102].attempts
 
 
@@ -250,8 +253,8 @@
     world.arrive(102, client_retry=True)
     world.arrive(103, time_left=SECOND // 2)
     for number in range(1, 41):
-        for action in world.end(number, api.Outcome.OK):
-            if isinstance(action, api.Send):
+        for action in world.end(number, Outcome.OK):
+            if isinstance(action, Send):
                 assert action.request == 101
                 return
     raise AssertionError("nothing left the line")
@@ -263,7 +266,7 @@
     jammed(world)
     replica = world.balancer.replicas[1]
     for number in range(1, 41):
-        world.end(number, api.Outcome.OK)
+        world.end(number, Outcome.OK)
     before, fed = replica.limit, 0
     for number in range(200, 300):
         world.arrive(number)
@@ -273,7 +276,7 @@
             world.first_token(request, attempt)
             fed += 1
         if len(world.out()) >= int(replica.limit):
-            world.end(world.out()[0][0], api.Outcome.OK)
+            world.end(world.out()[0][0], Outcome.OK)
     assert fed > 40
     assert replica.limit >= before + 5
 
@@ -282,7 +285,7 @@
     """'Full' was answered by the next attempt at once; and with nothing in flight no event would come."""
     world = World(replicas=(1,))
     world.arrive(1)
-    assert not world.sent_to(world.end(1, api.Outcome.FULL))
+    assert not world.sent_to(world.end(1, Outcome.FULL))
     world.pass_time(FULL_PAUSE + MS)
     assert len(world.calls[1].attempts) == 2
 
@@ -291,7 +294,7 @@
     world = World(settings(max_attempts=6), replicas=(1, 2, 3))
     world.arrive(1)
     while not world.calls[1].final:
-        world.end(1, api.Outcome.CONNECT_FAILED)
+        world.end(1, Outcome.CONNECT_FAILED)
     assert len({replica for replica, _ in world.calls[1].attempts}) == len(world.calls[1].attempts) == 3
 
 
@@ -302,14 +305,14 @@
         number += 1
         world.arrive(number)
         while not world.calls[number].final:
-            world.end(number, api.Outcome.CONNECT_FAILED)
+            world.end(number, Outcome.CONNECT_FAILED)
         world.pass_time(100 * MS)
     for _ in range(180):  # all is well again
         number += 1
         world.arrive(number)
         if not world.calls[number].final:
             world.first_token(number)
-            world.end(number, api.Outcome.OK)
+            world.end(number, Outcome.OK)
         world.pass_time(100 * MS)
     assert {replica.breaker.state for replica in world.balancer.replicas.values()} == {State.CLOSED}
 
@@ -317,18 +320,18 @@
 def until_it_asks(world: World, step: int = 20 * MS) -> int:
     """How long it takes from now until the gateway calls for the list."""
     start = world.now
-    while api.Watch(True) not in world.log:
+    while Watch(True) not in world.log:
         world.pass_time(step)
     return world.now - start
 
 
 def test_the_list_is_asked_for_at_the_start_and_not_again_once_it_has_come() -> None:
     world = World(settings(ask_for_list=True))
-    assert api.Watch(True) in world.log
-    world.list(api.ListKind.FULL, ready(1, 2))
+    assert Watch(True) in world.log
+    world.list(ListKind.FULL, ready(1, 2))
     world.log.clear()
     world.pass_time(60 * SECOND)
-    assert api.Watch(True) not in world.log
+    assert Watch(True) not in world.log
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 6])
@@ -339,7 +342,7 @@
     world = World(settings(ask_for_list=True, gateways=gateways))
     for _ in range(8):
         world.log.clear()
-        world.list(api.ListKind.FAILED, ())
+        world.list(ListKind.FAILED, ())
         assert 500 * MS <= until_it_asks(world) <= SECOND
 
 
@@ -368,7 +371,7 @@
         world = World(settings(ask_for_list=True, gateways=40, index=index), seed=index)
         world.pass_time(5 * SECOND)
         world.log.clear()
-        world.list(api.ListKind.FAILED, ())
+        world.list(ListKind.FAILED, ())
         again.append(until_it_asks(world))
     assert max(sum(when <= other < when + SECOND for other in again) for when in again) <= 24
     assert max(again) <= 5 * SECOND
@@ -386,7 +389,7 @@
         world.pass_time(5 * SECOND)
         for _ in range(8):
             world.log.clear()
-            world.list(api.ListKind.FAILED, ())
+            world.list(ListKind.FAILED, ())
             assert until_it_asks(world) <= 6 * SECOND - CONNECT_AND_ANSWER
 
 
@@ -394,7 +397,7 @@
     world = World(settings(ask_for_list=True))
     world.log.clear()
     world.pass_time(6 * SECOND)
-    assert api.Watch(True) in world.log
+    assert Watch(True) in world.log
 
 
 def test_a_clock_that_jumps_far_ahead_answers_everything() -> None:
@@ -410,12 +413,12 @@
     for number in range(1, 6001):
         if number % 20 == 0:
             world.list(
-                api.ListKind.FULL, ready(1, 2, 3, 1000 + number, started_at=world.now if number % 40 else 0)
+                ListKind.FULL, ready(1, 2, 3, 1000 + number, started_at=world.now if number % 40 else 0)
             )
         world.arrive(number, session=number, prefix=number % 500, prefix_tokens=100.0)
         if world.calls[number].attempts:
             world.first_token(number)
-            world.end(number, api.Outcome.OK)
+            world.end(number, Outcome.OK)
         world.pass_time(50 * MS)
         del world.calls[number]
     balancer = world.balancer
@@ -437,8 +440,8 @@
         sent: list[tuple[int, int]] = []
         for number in range(1, 41):
             if world.calls[number].attempts and world.calls[number].attempts[-1][0] == mine:
-                actions = world.end(number, api.Outcome.OK)
-                sent += [(a.request, a.replica) for a in actions if isinstance(a, api.Send)]
+                actions = world.end(number, Outcome.OK)
+                sent += [(a.request, a.replica) for a in actions if isinstance(a, Send)]
         assert sent[0] == (101, mine)
 
 
@@ -464,7 +467,7 @@
     replicas = {number: world.calls[number].attempts[0][0] for number in range(1, 21)}
     for number in sorted(replicas, key=lambda number: replicas[number] in set(late)):
         elapsed = 900 * MS if replicas[number] in set(late) else 10 * MS
-        world.step(api.FirstToken(number, 0, replicas[number], elapsed))
+        world.step(FirstToken(number, 0, replicas[number], elapsed))
         world.calls[number].streaming = True
     return world
 
@@ -500,11 +503,11 @@
     for number in range(1, 7):
         world.arrive(number)
         if world.calls[number].attempts:
-            world.end(number, api.Outcome.CONNECT_FAILED)
+            world.end(number, Outcome.CONNECT_FAILED)
     assert world.balancer.replicas[1].breaker.state is State.OPEN
     for number in (11, 12, 13):
-        world.calls[number] = Call(api.Arrived(number, 5 * SECOND), world.settings.classes[0], world.now)
-    world.step(*(api.Arrived(number, 5 * SECOND) for number in (11, 12, 13)))
+        world.calls[number] = Call(Arrived(number, 5 * SECOND), world.settings.classes[0], world.now)
+    world.step(*(Arrived(number, 5 * SECOND) for number in (11, 12, 13)))
     assert [world.calls[number].final for number in (11, 12, 13)] == ["Refuse"] * 3
 
 
@@ -514,14 +517,14 @@
     for number in range(1, 9):
         world.arrive(number, time_left=60 * SECOND)
         if world.calls[number].attempts[-1][0] == 1:
-            world.end(number, api.Outcome.CONNECT_FAILED)
+            world.end(number, Outcome.CONNECT_FAILED)
     assert world.balancer.replicas[1].breaker.state is State.OPEN
     world.pass_time(3 * SECOND)
     trials = 0
     for number in range(101, 121):
         if world.sent_to(world.arrive(number)) == [1]:
             trials += 1
-            world.end(number, api.Outcome.FULL)
+            world.end(number, Outcome.FULL)
     assert trials == 1
 
 
@@ -531,7 +534,7 @@
     for number in range(1, 31):
         world.arrive(number)
         if world.calls[number].attempts[-1][0] == 1:
-            world.end(number, api.Outcome.FULL)
+            world.end(number, Outcome.FULL)
         world.pass_time(MS)
     assert world.balancer.fleet.limit == math.inf
 
--- a/tests/balancing/test_reports.py
+++ b/tests/balancing/test_reports.py
@@ -5,8 +5,10 @@
 import math
 from typing import Any
 
-from lockspoke.balancing import interface as api
-from lockspoke.balancing.balancer import FULL_PAUSE, REPORT_LIVES, State
+from lockspoke.balancing.balancer import FULL_PAUSE, REPORT_LIVES
+from lockspoke.balancing.breaker import State
+from lockspoke.balancing.events import AttemptEnded, ListEntry, ListKind, Outcome, ReplicaState
+from lockspoke.balancing.settings import RequestClass
 from tests.balancing.helpers import MS, SECOND, World, settings
 
 
@@ -16,8 +18,8 @@
     for number in range(1, 6):
         world.arrive(number)
         world.first_token(number)
-    world.end(1, api.Outcome.OK, report=(busy,))
-    world.end(2, api.Outcome.OK, report=(busy,))  # the first may speak of a time with fewer in flight
+    world.end(1, Outcome.OK, report=(busy,))
+    world.end(2, Outcome.OK, report=(busy,))  # the first may speak of a time with fewer in flight
     return world
 
 
@@ -44,13 +46,13 @@
     replica = world.balancer.replicas[1]
     assert late(world, 9, 700 * MS) < 4
     world.pass_time(REPORT_LIVES + MS)
-    world.end(3, api.Outcome.OK, report=(0.1,))
+    world.end(3, Outcome.OK, report=(0.1,))
     assert replica.limit > 10
 
 
 def test_a_class_that_a_replica_turns_away_slowly_is_kept_off_it_and_others_are_not() -> None:
     """A worker took 0.9 s to turn away each request of one class, and got the next one all the same."""
-    kinds = (api.RequestClass(), api.RequestClass())
+    kinds = (RequestClass(), RequestClass())
     world = World(settings(classes=kinds, max_attempts=9), replicas=(1, 2))
     asked = 0
     for number in range(1, 21):
@@ -58,9 +60,9 @@
         if world.calls[number].attempts[-1][0] == 1:
             asked += 1
             world.pass_time(900 * MS)
-            world.end(number, api.Outcome.FULL)
+            world.end(number, Outcome.FULL)
         world.first_token(number)
-        world.end(number, api.Outcome.OK)
+        world.end(number, Outcome.OK)
         world.pass_time(300 * MS)
     assert asked <= 3
     replica = world.balancer.replicas[1]
@@ -73,8 +75,8 @@
     world = World(settings(max_attempts=3), replicas=(1, 2, 3))
     for number in range(1, 30):
         world.arrive(number)
-        world.end(number, api.Outcome.REJECTED)
-        world.end(number, api.Outcome.REJECTED)
+        world.end(number, Outcome.REJECTED)
+        world.end(number, Outcome.REJECTED)
         assert world.calls[number].final == "Fail" and len(world.calls[number].attempts) == 2
     assert all(replica.breaker.failures == 0 for replica in world.balancer.replicas.values())
 
@@ -84,9 +86,9 @@
     for number in range(1, 60):
         world.arrive(number)
         if world.calls[number].attempts[0][0] == 1:
-            world.end(number, api.Outcome.REJECTED)
+            world.end(number, Outcome.REJECTED)
         world.first_token(number)
-        world.end(number, api.Outcome.OK)
+        world.end(number, Outcome.OK)
     assert world.balancer.replicas[1].breaker.state is State.OPEN
 
 
@@ -98,10 +100,10 @@
         for number in range(1, 9):
             world.arrive(number)
             replica, sent = world.calls[number].attempts[0]
-            world.calls[number].outcomes[0] = api.Outcome.RESET
+            world.calls[number].outcomes[0] = Outcome.RESET
             world.calls[number].final = "Fail"
             elapsed = world.now - sent
-            world.step(api.AttemptEnded(number, 0, replica, api.Outcome.RESET, elapsed, True, reused=reused))
+            world.step(AttemptEnded(number, 0, replica, Outcome.RESET, elapsed, True, reused=reused))
         breakers = [replica.breaker for replica in world.balancer.replicas.values()]
         opened.append(sum(breaker.state is State.OPEN for breaker in breakers))
     assert opened[0] < opened[1]
@@ -110,7 +112,7 @@
 def test_a_replica_that_turns_away_at_once_is_full_for_all() -> None:
     world = World(settings(max_attempts=9), replicas=(1,))
     world.arrive(1)
-    world.end(1, api.Outcome.FULL)
+    world.end(1, Outcome.FULL)
     replica = world.balancer.replicas[1]
     assert replica.full_until == world.now + FULL_PAUSE and not replica.class_until
 
@@ -119,16 +121,16 @@
     world = World(replicas=range(1, 9))
     before = world.balancer._ranking(77)
     assert before == sorted(world.balancer.ready, key=lambda replica: replica.rank(77))
-    world.list(api.ListKind.DELTA, (api.ListEntry(before[0].number, api.ReplicaState.DRAINING),))
+    world.list(ListKind.DELTA, (ListEntry(before[0].number, ReplicaState.DRAINING),))
     assert world.balancer._ranking(77) == before[1:]
 
 
 def kinds_of_machine(**changes: Any) -> World:
     """A gateway among many; replicas 1 to 20 are of one kind and listed as larger, the others of another."""
     world = World(settings(gateways=100, **changes), replicas=())
-    large = tuple(api.ListEntry(number, weight=6.0, kind=1) for number in range(1, 21))
-    small = tuple(api.ListEntry(number, weight=4.0, kind=2) for number in range(21, 41))
-    world.list(api.ListKind.FULL, large + small)
+    large = tuple(ListEntry(number, weight=6.0, kind=1) for number in range(1, 21))
+    small = tuple(ListEntry(number, weight=4.0, kind=2) for number in range(21, 41))
+    world.list(ListKind.FULL, large + small)
     return world
 
 
@@ -142,7 +144,7 @@
         world.pass_time(late if large else 10 * MS)
         world.first_token(number)
         reported = () if late else (busy if large else 0.3,)
-        world.end(number, api.Outcome.OK, report=reported)
+        world.end(number, Outcome.OK, report=reported)
         world.pass_time(SECOND)
     return sent / len(numbers)
 
@@ -170,11 +172,11 @@
     for number in range(101, 111):
         world.arrive(number)
         world.first_token(number)
-        world.end(number, api.Outcome.OK, report=(0.2,))
+        world.end(number, Outcome.OK, report=(0.2,))
     world.arrive(1, session=8, prompt_tokens=4000.0)
     keeper = world.calls[1].attempts[0][0]
     world.first_token(1)
-    world.end(1, api.Outcome.OK, report=(1.0,))
+    world.end(1, Outcome.OK, report=(1.0,))
     world.arrive(2, session=8, prompt_tokens=4200.0)
     assert world.calls[2].attempts[0][0] != keeper
     world.pass_time(60 * SECOND)
@@ -185,7 +187,7 @@
 
 def test_kinds_that_left_the_list_are_forgotten() -> None:
     world = kinds_of_machine(busy_field=0)
-    world.list(api.ListKind.FULL, (api.ListEntry(50, kind=3),))
+    world.list(ListKind.FULL, (ListEntry(50, kind=3),))
     assert list(world.balancer.kinds) == [3]
-    world.list(api.ListKind.FULL, ())
+    world.list(ListKind.FULL, ())
     assert not world.balancer.kinds
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -11,22 +11,32 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from lockspoke.balancing import interface as api
-from lockspoke.balancing.balancer import RECOVERY
+from lockspoke.balancing.actions import Fail, Refuse, SetTimer
+from lockspoke.balancing.breaker import RECOVERY
+from lockspoke.balancing.events import (
+    AttemptEnded,
+    ClientLeft,
+    FirstToken,
+    ListEntry,
+    ListKind,
+    Outcome,
+    ReplicaState,
+)
+from lockspoke.balancing.settings import Effect, RequestClass, Scope, Tenant
 from tests.balancing.helpers import MS, SECOND, World, ready, settings
 
 CLASSES = (
-    api.RequestClass(aim=SECOND),
-    api.RequestClass(effect=api.Effect.KEYED, scope=api.Scope.ALL, window=2 * SECOND),
-    api.RequestClass(effect=api.Effect.KEYED, scope=api.Scope.ZONE, window=2 * SECOND),
-    api.RequestClass(effect=api.Effect.KEYED, scope=api.Scope.CELL, window=300 * MS),
-    api.RequestClass(effect=api.Effect.UNSAFE),
+    RequestClass(aim=SECOND),
+    RequestClass(effect=Effect.KEYED, scope=Scope.ALL, window=2 * SECOND),
+    RequestClass(effect=Effect.KEYED, scope=Scope.ZONE, window=2 * SECOND),
+    RequestClass(effect=Effect.KEYED, scope=Scope.CELL, window=300 * MS),
+    RequestClass(effect=Effect.UNSAFE),
 )
-TENANTS = (api.Tenant(0.5), api.Tenant(0.0), api.Tenant(0.5))
+TENANTS = (Tenant(0.5), Tenant(0.0), Tenant(0.5))
 
 
-def entry(number: int, now: int, state: api.ReplicaState, started: bool) -> api.ListEntry:
-    return api.ListEntry(
+def entry(number: int, now: int, state: ReplicaState, started: bool) -> ListEntry:
+    return ListEntry(
         number,
         state,
         zone=number % 2,
@@ -36,7 +46,7 @@
     )
 
 
-ENDS = st.sampled_from(list(api.Outcome))
+ENDS = st.sampled_from(list(Outcome))
 STEP = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 4), st.integers(0, 2), st.integers(0, 3)),
     st.tuples(st.just("arrive"), st.integers(0, 4), st.integers(0, 2), st.integers(0, 3)),
@@ -45,7 +55,7 @@
     st.tuples(st.just("first"), st.integers(0, 50)),
     st.tuples(st.just("time"), st.sampled_from([0, MS, 40 * MS, 400 * MS, 3 * SECOND])),
     st.tuples(
-        st.just("list"), st.sampled_from(list(api.ListKind)), st.lists(st.integers(1, 6)), st.integers(0, 3)
+        st.just("list"), st.sampled_from(list(ListKind)), st.lists(st.integers(1, 6)), st.integers(0, 3)
     ),
     st.tuples(st.just("left"), st.integers(0, 50)),
 )
@@ -96,17 +106,17 @@
             case ("time", span):
                 world.pass_time(span)
             case ("list", kind, numbers, state):
-                states = (api.ReplicaState.READY, api.ReplicaState.READY, *api.ReplicaState)
+                states = (ReplicaState.READY, ReplicaState.READY, *ReplicaState)
                 entries = tuple(entry(n, world.now, states[state], n % 2 == 0) for n in sorted(set(numbers)))
                 world.list(kind, entries)
             case ("left", which) if world.calls:
                 request = sorted(world.calls)[which % len(world.calls)]
                 call = world.calls[request]
                 call.final = call.final or "left"
-                world.step(api.ClientLeft(request))
+                world.step(ClientLeft(request))
     world.pass_time(10 * SECOND)
     for request, attempt in world.out():
-        world.end(request, api.Outcome.RESET, attempt)
+        world.end(request, Outcome.RESET, attempt)
     world.pass_time(10 * SECOND)
     assert all(call.final for call in world.calls.values())
     assert not world.balancer.requests and not world.balancer.waiting
@@ -115,37 +125,37 @@
 def test_an_unsafe_request_that_might_have_run_is_failed_not_refused() -> None:
     world = World(settings(classes=CLASSES))
     world.arrive(1, request_class=4)
-    actions = world.end(1, api.Outcome.RESET)
-    assert [type(action) for action in actions] == [api.Fail]
+    actions = world.end(1, Outcome.RESET)
+    assert [type(action) for action in actions] == [Fail]
 
 
 def test_an_unsafe_request_that_never_ran_is_tried_again() -> None:
     world = World(settings(classes=CLASSES))
     world.arrive(1, request_class=4)
-    assert world.sent_to(world.end(1, api.Outcome.CONNECT_FAILED))
+    assert world.sent_to(world.end(1, Outcome.CONNECT_FAILED))
 
 
 def test_a_keyed_request_stays_in_its_group_and_window() -> None:
     world = World(settings(classes=CLASSES), replicas=())
-    world.list(api.ListKind.FULL, tuple(api.ListEntry(n, zone=n % 2) for n in range(1, 7)))
+    world.list(ListKind.FULL, tuple(ListEntry(n, zone=n % 2) for n in range(1, 7)))
     first = world.sent_to(world.arrive(1, request_class=2))[0]
-    second = world.sent_to(world.end(1, api.Outcome.RESET))[0]
+    second = world.sent_to(world.end(1, Outcome.RESET))[0]
     assert second != first and second % 2 == first % 2
     world.pass_time(2 * SECOND)  # past the window: nobody discards a repeat any more
-    assert not world.sent_to(world.end(1, api.Outcome.RESET))
+    assert not world.sent_to(world.end(1, Outcome.RESET))
 
 
 def test_attempts_are_capped() -> None:
     world = World(settings(max_attempts=2), replicas=range(1, 9))
     world.arrive(1)
-    world.end(1, api.Outcome.CONNECT_FAILED)
-    actions = world.end(1, api.Outcome.CONNECT_FAILED)
-    assert [type(action) for action in actions if not isinstance(action, api.SetTimer)] == [api.Refuse]
+    world.end(1, Outcome.CONNECT_FAILED)
+    actions = world.end(1, Outcome.CONNECT_FAILED)
+    assert [type(action) for action in actions if not isinstance(action, SetTimer)] == [Refuse]
 
 
 def test_no_replica_at_all_refuses_at_once() -> None:
     world = World(replicas=())
-    assert api.Refuse(1, RECOVERY) in world.arrive(1)
+    assert Refuse(1, RECOVERY) in world.arrive(1)
 
 
 def test_a_stream_that_has_begun_has_no_deadline() -> None:
@@ -154,7 +164,7 @@
     world.first_token(1)
     world.pass_time(20 * SECOND)
     assert world.calls[1].final == ""
-    world.end(1, api.Outcome.OK)
+    world.end(1, Outcome.OK)
     assert not world.balancer.requests
 
 
@@ -162,13 +172,13 @@
     world = World()
     world.arrive(1)
     world.first_token(1)
-    assert not world.sent_to(world.end(1, api.Outcome.RESET, closed=True))
+    assert not world.sent_to(world.end(1, Outcome.RESET, closed=True))
 
 
 def test_drains_and_removals_stop_sends_at_once() -> None:
     world = World(replicas=(1, 2, 3))
-    world.list(api.ListKind.DELTA, (api.ListEntry(1, api.ReplicaState.DRAINING),))
-    world.list(api.ListKind.FULL, ready(1, 2))  # 3 is missing: gone; 1 is ready again
+    world.list(ListKind.DELTA, (ListEntry(1, ReplicaState.DRAINING),))
+    world.list(ListKind.FULL, ready(1, 2))  # 3 is missing: gone; 1 is ready again
     sent = {replica for n in range(1, 20) for replica in world.sent_to(world.arrive(n))}
     assert sent == {1, 2}
 
@@ -186,7 +196,7 @@
         for world in worlds:
             world.pass_time(100 * MS)
             if tick == 200:
-                world.list(api.ListKind.DELTA, ready(9, started_at=started))
+                world.list(ListKind.DELTA, ready(9, started_at=started))
         for _ in range(int(rate / 10)):
             number += 1
             world = rng.choice(worlds)
@@ -196,7 +206,7 @@
         for world in worlds:
             for request, _ in world.out():
                 if world.now - world.calls[request].attempts[0][1] >= SECOND:
-                    world.end(request, api.Outcome.OK)
+                    world.end(request, Outcome.OK)
     per_replica = rate / 5  # what a warm replica was seen to take, all gateways together
     assert cold_sends, "a cold replica must get some work"
     for when in cold_sends:
@@ -218,7 +228,7 @@
         for world in worlds:
             world.pass_time(100 * MS)
             if tick == 100:
-                world.list(api.ListKind.DELTA, ready(*sends, started_at=started))
+                world.list(ListKind.DELTA, ready(*sends, started_at=started))
         for _ in range(calls):
             number += 1
             world = rng.choice(worlds)
@@ -226,7 +236,7 @@
                 if replica > 100:
                     sends[replica].append(world.now)
             world.first_token(number)
-            world.end(number, api.Outcome.OK)
+            world.end(number, Outcome.OK)
     warm = calls * 10 / 16  # calls a second that a warm worker was seen to take
     due = sum(warm * (0.13 + 0.87 * second / 24) for second in range(6))
     assert sum(map(len, sends.values())) >= 0.4 * due * len(sends), "what they can do by now is made use of"
@@ -244,7 +254,7 @@
     started, rng, number = worlds[0].now, random.Random(6), 0
     sends: dict[int, list[int]] = {}
     for world in worlds:
-        world.list(api.ListKind.CACHED, ready(*range(1, 14), started_at=started))
+        world.list(ListKind.CACHED, ready(*range(1, 14), started_at=started))
     for _ in range(60):
         for world in worlds:
             world.pass_time(100 * MS)
@@ -254,7 +264,7 @@
             for replica in world.sent_to(world.arrive(number, prompt_tokens=3000.0)):
                 sends.setdefault(replica, []).append(world.now)
                 world.first_token(number)
-                world.end(number, api.Outcome.OK)
+                world.end(number, Outcome.OK)
     assert len(sends) >= 10, "nearly all of them get work, though nobody has seen a warm one"
     for times in sends.values():
         most = max(sum(when <= other < when + fleet.fall_time for other in times) for when in times)
@@ -267,7 +277,7 @@
     for number in range(1, 2000):
         world.arrive(number, time_left=SECOND)
         world.pass_time(5 * MS)
-    world.list(api.ListKind.DELTA, ready(9, started_at=world.now))
+    world.list(ListKind.DELTA, ready(9, started_at=world.now))
     assert not [r for n in range(3000, 3100) for r in world.sent_to(world.arrive(n)) if r == 9]
 
 
@@ -276,12 +286,12 @@
     for number in range(200):
         world.arrive(number)
         world.first_token(number)
-        world.end(number, api.Outcome.OK)
+        world.end(number, Outcome.OK)
         world.pass_time(20 * MS)
     started, sent = world.now, 0
     for number in range(1000, 1100):
-        world.list(api.ListKind.FULL, ready(1, 2, 3, 4))
-        world.list(api.ListKind.FULL, ready(1, 2, 3, 4) + ready(9, started_at=started))
+        world.list(ListKind.FULL, ready(1, 2, 3, 4))
+        world.list(ListKind.FULL, ready(1, 2, 3, 4) + ready(9, started_at=started))
         sent += world.sent_to(world.arrive(number)) == [9]
     assert sent
     per_replica = 200 / 4 / 4  # 50 a second over four replicas for the two seconds of the window
@@ -297,7 +307,7 @@
         call = world.calls[number]
         if call.attempts and call.attempts[-1][0] > 4:
             world.first_token(number)
-            world.end(number, api.Outcome.OK)
+            world.end(number, Outcome.OK)
         elif number > 400:
             late += 1
         world.pass_time(50 * MS)
@@ -311,22 +321,20 @@
     for number in range(1, 801):
         flapping = {n for n in range(1, 6) if (number // 40 + n) % 3 == 0}
         if number % 40 == 0:
-            gone = tuple(api.ListEntry(n, api.ReplicaState.GONE) for n in sorted(flapping))
-            world.list(api.ListKind.DELTA, gone)
+            gone = tuple(ListEntry(n, ReplicaState.GONE) for n in sorted(flapping))
+            world.list(ListKind.DELTA, gone)
             back = sorted(set(range(1, 6)) - flapping)
-            world.list(api.ListKind.DELTA, ready(*back, started_at=world.now if number % 80 else 0))
+            world.list(ListKind.DELTA, ready(*back, started_at=world.now if number % 80 else 0))
         world.arrive(number, time_left=SECOND)
         while not world.calls[number].final and world.calls[number].attempts:
             replica = world.calls[number].attempts[-1][0]
             if len(world.calls[number].outcomes) == len(world.calls[number].attempts):
                 break
             if replica in flapping:
-                world.end(
-                    number, rng.choice([api.Outcome.RESET, api.Outcome.CONNECT_FAILED, api.Outcome.ERROR])
-                )
+                world.end(number, rng.choice([Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.ERROR]))
             else:
                 world.first_token(number)
-                world.end(number, api.Outcome.OK)
+                world.end(number, Outcome.OK)
         world.pass_time(20 * MS)
     world.pass_time(5 * SECOND)
     assert all(call.final for call in world.calls.values()) and not world.balancer.requests
@@ -340,10 +348,10 @@
         actions = world.arrive(number)
         while world.sent_to(actions):
             bad = world.sent_to(actions) == [2]
-            actions = world.end(number, api.Outcome.RESET if bad else api.Outcome.OK)
+            actions = world.end(number, Outcome.RESET if bad else Outcome.OK)
     world.pass_time(3 * SECOND)
     assert world.sent_to(world.arrive(900)) == [2]
-    world.list(api.ListKind.DELTA, (api.ListEntry(2, api.ReplicaState.DRAINING),))
+    world.list(ListKind.DELTA, (ListEntry(2, ReplicaState.DRAINING),))
     world.first_token(900)
     assert all(world.sent_to(world.arrive(n)) != [2] for n in range(901, 930))
 
@@ -351,35 +359,35 @@
 def test_late_outcomes_after_the_end_of_a_request_are_passed_over() -> None:
     world = World(replicas=(1, 2))
     world.arrive(1, time_left=SECOND)
-    world.step(api.ClientLeft(1))
+    world.step(ClientLeft(1))
     world.calls[1].final = "left"
-    assert not world.sent_to(world.end(1, api.Outcome.RESET, closed=True))
+    assert not world.sent_to(world.end(1, Outcome.RESET, closed=True))
     replica, _ = world.calls[1].attempts[0]
-    for outcome in api.Outcome:  # a second time, for a request that is gone
-        world.step(api.AttemptEnded(1, 0, replica, outcome, 5, False))
-        world.step(api.FirstToken(1, 0, replica, 5))
+    for outcome in Outcome:  # a second time, for a request that is gone
+        world.step(AttemptEnded(1, 0, replica, outcome, 5, False))
+        world.step(FirstToken(1, 0, replica, 5))
     assert world.balancer.replicas[replica].in_flight == 0
 
 
 def test_a_list_that_goes_stale_empty_and_full_again() -> None:
     world = World(replicas=(1, 2))
-    world.list(api.ListKind.FAILED, ())
+    world.list(ListKind.FAILED, ())
     assert world.sent_to(world.arrive(1))
-    world.list(api.ListKind.FULL, ())
-    assert api.Refuse(2, RECOVERY) in world.arrive(2)
-    world.list(api.ListKind.FULL, ready(1, 2))
+    world.list(ListKind.FULL, ())
+    assert Refuse(2, RECOVERY) in world.arrive(2)
+    world.list(ListKind.FULL, ready(1, 2))
     assert world.sent_to(world.arrive(3))
 
 
-@pytest.mark.parametrize("outcome", list(api.Outcome))
+@pytest.mark.parametrize("outcome", list(Outcome))
 @pytest.mark.parametrize("begun", [False, True])
 @pytest.mark.parametrize("kind", range(5))
-def test_every_outcome_at_every_point_of_a_request(outcome: api.Outcome, begun: bool, kind: int) -> None:
+def test_every_outcome_at_every_point_of_a_request(outcome: Outcome, begun: bool, kind: int) -> None:
     world = World(settings(classes=CLASSES), replicas=range(1, 7))
     world.arrive(1, request_class=kind)
     if begun:
         world.first_token(1)
-    world.end(1, outcome, closed=begun or outcome is api.Outcome.OK)
+    world.end(1, outcome, closed=begun or outcome is Outcome.OK)
     world.pass_time(10 * SECOND)
     assert world.calls[1].final and all(r.in_flight == 0 for r in world.balancer.replicas.values())
 
@@ -387,25 +395,25 @@
 def sent_while_cold(kept: int, weight: float) -> int:
     """How many requests a replica that has just started gets within the rule's span beside warm ones."""
     world = World(replicas=())
-    world.list(api.ListKind.FULL, ready(1, 2, 3, weight=4.0))
+    world.list(ListKind.FULL, ready(1, 2, 3, weight=4.0))
     number = 0
     for _ in range(300):
         number += 1
         world.arrive(number, prompt_tokens=4000.0)
         world.first_token(number)
         replica, sent = world.calls[number].attempts[-1]
-        world.calls[number].outcomes[0] = api.Outcome.OK
+        world.calls[number].outcomes[0] = Outcome.OK
         world.calls[number].final = "outcome"
-        world.step(api.AttemptEnded(number, 0, replica, api.Outcome.OK, world.now - sent, True, kept))
+        world.step(AttemptEnded(number, 0, replica, Outcome.OK, world.now - sent, True, kept))
         world.pass_time(10 * MS)
-    world.list(api.ListKind.DELTA, ready(4, weight=weight, started_at=world.now))
+    world.list(ListKind.DELTA, ready(4, weight=weight, started_at=world.now))
     cold = 0
     for _ in range(200):
         number += 1
         cold += world.sent_to(world.arrive(number, prompt_tokens=4000.0)).count(4)
         if world.calls[number].attempts:
             world.first_token(number)
-            world.end(number, api.Outcome.OK)
+            world.end(number, Outcome.OK)
         world.pass_time(10 * MS)
     return cold
 
@@ -440,12 +448,12 @@
     world = World(settings(**extreme), replicas=())
     cold, warm = ready(1, 2, started_at=world.now + ahead), ready(3, zone=9, weight=0.0)
     for entries in (cold + warm, cold):
-        world.list(api.ListKind.FULL, entries)
+        world.list(ListKind.FULL, entries)
         for number in range(len(world.calls), len(world.calls) + 12):
             world.arrive(number, prompt_tokens=100.0 * number)
             if world.calls[number].attempts and not world.calls[number].final:
                 world.first_token(number)
-                world.end(number, api.Outcome.OK)
+                world.end(number, Outcome.OK)
             world.pass_time(SECOND)
     world.pass_time(10 * SECOND)
     assert all(call.final for call in world.calls.values())
--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -13,7 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lockspoke.balancing.interface import Outcome
+from lockspoke.balancing.events import Outcome
 from lockspoke.batch.journal import Journal, StoreError
 from lockspoke.batch.lines import BatchLines
 from lockspoke.batch.runner import ENDING, LIVE_PAUSE, BatchRunner
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from lockspoke.balancing.interface import Effect, Outcome, ReplicaState, RequestClass, Scope
+from lockspoke.balancing.events import Outcome, ReplicaState
+from lockspoke.balancing.settings import Effect, RequestClass, Scope
 from lockspoke.core.core import MS, OVERDUE, SECOND, SILENT, SWEEP, Core
 from lockspoke.core.identifiers import Numbers, key_number
 from lockspoke.core.replica_set import UNKNOWN_VERSION, Entry, Replica, ReplicaSet, ReplicaUpdate
--- a/tests/inventory/test_reconcile.py
+++ b/tests/inventory/test_reconcile.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lockspoke.balancing.interface import ReplicaState
+from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import Entry
 from lockspoke.inventory.model import Snapshot, WorkerRecord
 from lockspoke.inventory.reading import FileText
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lockspoke.balancing.interface import ReplicaState
+from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import Entry
 from lockspoke.lifecycle.program import give_back
 from lockspoke.wire.discovery.messages import decode_list
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -12,7 +12,8 @@
 import struct
 from typing import Any
 
-from lockspoke.balancing.interface import ReplicaState, RequestClass, Settings
+from lockspoke.balancing.events import ReplicaState
+from lockspoke.balancing.settings import RequestClass, Settings
 from lockspoke.core.core import Core
 from lockspoke.core.identifiers import Numbers
 from lockspoke.core.replica_set import Entry, ReplicaSet, ReplicaUpdate
--- a/tests/simulator/test_program.py
+++ b/tests/simulator/test_program.py
@@ -10,7 +10,8 @@
 import sys
 from pathlib import Path
 
-from lockspoke.balancing import interface as api
+from lockspoke.balancing.actions import Action
+from lockspoke.balancing.events import Event, TimerFired
 from lockspoke.simulator import protocol as wire
 from lockspoke.simulator.program import Drill
 from tests.simulator.test_protocol import GOOD
@@ -138,12 +139,12 @@
 
 def test_a_failure_of_one_instance_is_reported_as_its_crash() -> None:
     class Broken:
-        def handle(self, now: int, events: list[api.Event]) -> list[api.Action]:
+        def handle(self, now: int, events: list[Event]) -> list[Action]:
             raise IndexError("out of range")
 
     drill = Drill()
     drill.balancers[3] = Broken()  # type: ignore[assignment]
-    assert drill.play(5, [(3, api.TimerFired(1))]) == [wire.encode_crash(3, "IndexError: out of range")]
+    assert drill.play(5, [(3, TimerFired(1))]) == [wire.encode_crash(3, "IndexError: out of range")]
 
 
 def bad(stream: bytes, *words: bytes) -> None:
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -7,7 +7,20 @@
 
 import pytest
 
-from lockspoke.balancing import interface as api
+from lockspoke.balancing.actions import Action, Fail, Log, Refuse, Send, SetTimer, Watch
+from lockspoke.balancing.events import (
+    Arrived,
+    AttemptEnded,
+    ClientLeft,
+    FirstToken,
+    ListEntry,
+    ListKind,
+    ListUpdate,
+    Outcome,
+    ReplicaState,
+    TimerFired,
+)
+from lockspoke.balancing.settings import Effect, Scope, Tenant
 from lockspoke.simulator import protocol as wire
 
 GOOD: dict[str, Any] = {
@@ -46,7 +59,7 @@
 
 def test_order() -> None:
     event = only(ORDER)
-    assert event == api.Arrived(
+    assert event == Arrived(
         request=0x5D3A91C4,
         time_left=240_000_000,
         request_class=0,
@@ -72,22 +85,22 @@
         "00 074a1203 00 0000803f 0000000000000000 0000 01"
         "02 f211902c 01 0000c03f 009d966b01000000 0500 02"
     )
-    one = api.ListEntry(0x03124A07, api.ReplicaState.READY, 0, 0, 1.0, 0)
-    two = api.ListEntry(0x2C9011F2, api.ReplicaState.DRAINING, 1, 5, 1.5, 6_100_000_000, kind=2)
-    assert event == api.ListUpdate(api.ListKind.CACHED, (one, two))
+    one = ListEntry(0x03124A07, ReplicaState.READY, 0, 0, 1.0, 0)
+    two = ListEntry(0x2C9011F2, ReplicaState.DRAINING, 1, 5, 1.5, 6_100_000_000, kind=2)
+    assert event == ListUpdate(ListKind.CACHED, (one, two))
 
 
 def test_under_way() -> None:
     event = only("0604 0300 c4913a5d 0000 074a1203 d0248d0000000000")
-    assert event == api.FirstToken(0x5D3A91C4, 0, 0x03124A07, 9_250_000)
+    assert event == FirstToken(0x5D3A91C4, 0, 0x03124A07, 9_250_000)
 
 
 def test_resolved_with_a_report() -> None:
     event = only(
         "1004 0300 c4913a5d a0491a0100000000 00000000 074a1203 0000 0000 01 03 0000e0400000404000000c43"
     )
-    assert event == api.AttemptEnded(
-        0x5D3A91C4, 0, 0x03124A07, api.Outcome.OK, 18_500_000, True, 0, (7.0, 3.0, 140.0)
+    assert event == AttemptEnded(
+        0x5D3A91C4, 0, 0x03124A07, Outcome.OK, 18_500_000, True, 0, (7.0, 3.0, 140.0)
     )
 
 
@@ -99,8 +112,8 @@
 
 
 def test_small_events() -> None:
-    assert only("1a04 0300 192b6f0e") == api.ClientLeft(0x0E6F2B19)
-    assert only("2404 0300 4d000000") == api.TimerFired(77)
+    assert only("1a04 0300 192b6f0e") == ClientLeft(0x0E6F2B19)
+    assert only("2404 0300 4d000000") == TimerFired(77)
     assert only("4204 0300") == wire.Teardown()
 
 
@@ -112,26 +125,26 @@
 
 
 @pytest.mark.parametrize(("code", "outcome"), list(wire.OUTCOMES.items()))
-def test_every_outcome_code(code: int, outcome: api.Outcome) -> None:
+def test_every_outcome_code(code: int, outcome: Outcome) -> None:
     record = (
         f"1a04 0300 192b6f0e 1004 0300 c4913a5d a0491a0100000000 00000000 074a1203 0000 {code:02x}00 00 00"
     )
     _, _, records = wire.decode_batch(frame(record[:22], record[22:]))
-    assert isinstance(records[1][1], api.AttemptEnded) and records[1][1].outcome is outcome
+    assert isinstance(records[1][1], AttemptEnded) and records[1][1].outcome is outcome
 
 
 @pytest.mark.parametrize(
     ("action", "expected"),
     [
-        (api.Send(0x5D3A91C4, 0x03124A07, 80_000_000), "e803 0300 c4913a5d 074a1203 00b4c40400000000"),
-        (api.Refuse(0x0E6F2B19, 250_000_000), "f203 0300 192b6f0e 80b2e60e00000000"),
-        (api.Fail(0x0E6F2B19), "fc03 0300 192b6f0e"),
-        (api.SetTimer(500_000_000, 77), "1004 0300 0065cd1d00000000 4d000000"),
-        (api.Log("two servers known"), "3804 0300 1100 74776f2073657276657273206b6e6f776e"),
-        (api.Watch(True), "4c04 0300 01"),
+        (Send(0x5D3A91C4, 0x03124A07, 80_000_000), "e803 0300 c4913a5d 074a1203 00b4c40400000000"),
+        (Refuse(0x0E6F2B19, 250_000_000), "f203 0300 192b6f0e 80b2e60e00000000"),
+        (Fail(0x0E6F2B19), "fc03 0300 192b6f0e"),
+        (SetTimer(500_000_000, 77), "1004 0300 0065cd1d00000000 4d000000"),
+        (Log("two servers known"), "3804 0300 1100 74776f2073657276657273206b6e6f776e"),
+        (Watch(True), "4c04 0300 01"),
     ],
 )
-def test_actions(action: api.Action, expected: str) -> None:
+def test_actions(action: Action, expected: str) -> None:
     assert wire.encode_action(3, action) == bytes.fromhex(expected.replace(" ", ""))
 
 
@@ -142,7 +155,7 @@
 
 
 def test_a_timer_beyond_the_wires_bound_is_cut_to_it() -> None:
-    record = wire.encode_action(0, api.SetTimer(10**15, 1))
+    record = wire.encode_action(0, SetTimer(10**15, 1))
     assert int.from_bytes(record[4:12], "little") == wire.LONGEST_TIMER
 
 
@@ -216,10 +229,10 @@
     full["weights"], full["peersTotal"], full["prices"] = "live", 4, {"crossZone": 0.02}
     settings = wire.decode_settings(json.dumps(full).encode())
     kind = settings.classes[0]
-    assert (kind.effect, kind.scope, kind.window) == (api.Effect.KEYED, api.Scope.CELL, 9)
+    assert (kind.effect, kind.scope, kind.window) == (Effect.KEYED, Scope.CELL, 9)
     assert kind.aim_per_token == 60_000.0  # 60,000 us for 1,000 tokens: so many ns for each
     assert settings.ask_for_list and settings.ask_every == 10_000
-    assert settings.tenants == (api.Tenant(0.5),)
+    assert settings.tenants == (Tenant(0.5),)
     assert settings.busy_field is None
     full["loadInfo"] = {"fields": ["rif", "busy"], "via": "pull"}
     assert wire.decode_settings(json.dumps(full).encode()).busy_field is None, "probes alone are told"
--- a/tests/wire/clients/test_front.py
+++ b/tests/wire/clients/test_front.py
@@ -10,7 +10,7 @@
 import pytest
 from tornado.iostream import IOStream
 
-from lockspoke.balancing.interface import Outcome
+from lockspoke.balancing.events import Outcome
 from lockspoke.wire.clients import front as clients
 from lockspoke.wire.clients.front import ClientConnection, ClientFront
 from tests.core.test_core import World
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lockspoke.balancing.interface import ReplicaState
+from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import UNKNOWN_VERSION
 from lockspoke.wire.clients.request_fields import decode_call, decode_load
 from lockspoke.wire.discovery.messages import STATES, ListError, decode_list, out_of_use_only
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_play.py
@@ -18,7 +18,8 @@
 from functools import partial
 from typing import Any
 
-from lockspoke.balancing.interface import ReplicaState, RequestClass
+from lockspoke.balancing.events import ReplicaState
+from lockspoke.balancing.settings import RequestClass
 from lockspoke.core.core import Core
 from lockspoke.core.identifiers import Numbers
 from lockspoke.core.replica_set import Entry, ReplicaSet, ReplicaUpdate
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -6,7 +6,7 @@
 import contextlib
 import time
 
-from lockspoke.balancing.interface import Outcome, ReplicaState
+from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.core.replica_set import Replica
 from lockspoke.core.requests import Attempt, Clearance, ClientRequest
 from lockspoke.wire.clients.front import StreamedAnswer
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -16,7 +16,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from lockspoke.balancing.interface import ReplicaState
+from lockspoke.balancing.events import ReplicaState
 from lockspoke.wire.clients.front import ClientConnection
 from lockspoke.wire.discovery import connection as discovery_link
 from lockspoke.wire.discovery.connection import GRACE
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -11,7 +11,8 @@
 import pytest
 from tornado.iostream import IOStream
 
-from lockspoke.balancing.interface import Effect, Outcome, ReplicaState, RequestClass
+from lockspoke.balancing.events import Outcome, ReplicaState
+from lockspoke.balancing.settings import Effect, RequestClass
 from lockspoke.core.replica_set import Entry
 from lockspoke.wire.clients.front import LINGER, ClientConnection, Intake
 from lockspoke.wire.replicas import transport as replica_side
