--- /dev/null
+++ b/tests/golden/decision_codec.py
@@ -0,0 +1,87 @@
+"""The only place where the rows of the recorded decisions meet the Python types of the decision module.
+
+A row is a JSON array: a tag and the field values in order. Types are constructed and read positionally, and
+members of enumerations are given by their place, so a renamed type, field or member changes this file alone.
+"""
+
+from __future__ import annotations
+
+from dataclasses import fields
+from typing import Any
+
+from hillridge import interface as api
+from hillridge.policy import Balancer
+
+Row = list[Any]
+
+
+def decode_event(row: Row) -> api.Event:
+    """Build the event that a row holds."""
+    match row:
+        case ["list", kind, entries, answers]:
+            return api.ListUpdate(
+                list(api.ListKind)[kind], tuple(decode_entry(*entry) for entry in entries), answers
+            )
+        case ["arrived", *values]:
+            return api.Arrived(*values)
+        case ["first_token", *values]:
+            return api.FirstToken(*values)
+        case ["ended", request, attempt, replica, outcome, elapsed, closed, cached, report, reused]:
+            outcome = list(api.Outcome)[outcome]
+            return api.AttemptEnded(
+                request, attempt, replica, outcome, elapsed, closed, cached, tuple(report), reused
+            )
+        case ["client_left", request]:
+            return api.ClientLeft(request)
+        case ["timer", token]:
+            return api.TimerFired(token)
+    raise ValueError(f"unknown event {row}")
+
+
+ACTION_TAGS = {
+    api.Send: "send",
+    api.Refuse: "reject",
+    api.Fail: "fail",
+    api.SetTimer: "timer",
+    api.Watch: "watch",
+    api.Log: "log",
+}
+
+
+def encode_action(action: api.Action) -> Row:
+    """Write an action as a row: its tag and all its fields in order."""
+    return [ACTION_TAGS[type(action)], *(getattr(action, field.name) for field in fields(action))]
+
+
+def decode_entry(replica: int, state: int, *values: Any) -> api.ListEntry:
+    """Build one entry of an endpoint list."""
+    return api.ListEntry(replica, list(api.ReplicaState)[state], *values)
+
+
+def decode_settings(classes: list[Row], *values: Any) -> api.Settings:
+    """Build settings; the first value holds the request classes, the eighth the tenants' shares."""
+    request_classes = tuple(
+        api.RequestClass(list(api.Effect)[effect], list(api.Scope)[scope], *rest)
+        for effect, scope, *rest in classes
+    )
+    before, shares, after = values[:6], values[6], values[7:]
+    return api.Settings(request_classes, *before, tuple(api.Tenant(share) for share in shares), *after)
+
+
+class Decisions:
+    """One instance of the decision module that takes and returns rows."""
+
+    def __init__(self, settings: Row, seed: int) -> None:
+        self._balancer = Balancer(decode_settings(*settings), seed)
+
+    def reconfigure(self, settings: Row) -> None:
+        """Apply new settings."""
+        self._balancer.reconfigure(decode_settings(*settings))
+
+    def handle(self, now: int, events: list[Row]) -> list[Row]:
+        """Return the actions for a batch of events; a failure of the decisions is a row of its own."""
+        try:
+            actions = self._balancer.handle(now, [decode_event(row) for row in events])
+        except IndexError as error:
+            return [["crash", f"{type(error).__name__}: {error}"]]
+        return [encode_action(action) for action in actions]
--- /dev/null
+++ b/tests/golden/fleet.py
@@ -0,0 +1,336 @@
+"""A seeded, simulated fleet: clients and replicas that react to the actions of one instance.
+
+It speaks in rows (see `decision_codec.py`) and knows nothing of the decision module's types.
+"""
+
+from __future__ import annotations
+
+import heapq
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any
+
+Row = list[Any]
+
+MS = 1_000_000
+SECOND = 1_000 * MS
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NEVER_SENT, REJECTED = range(9)
+DELTA, WHOLE, CACHED, LIST_FAILED = range(4)
+GONE, READY, DRAINING = range(3)
+FAULTS = ("unreachable", "resetting", "failing", "slow", "sheds slowly", "rejecting")
+
+
+@dataclass(frozen=True)
+class Traffic:
+    """What the fleet and its clients are like."""
+
+    classes: int = 1
+    tenants: int = 0
+    zones: int = 1
+    replicas: int = 6
+    slots: int = 8  # of each replica
+    rate: float = 30.0  # requests a second; three times as many in the middle third
+    duration: int = 12 * SECOND
+    report_size: int = 0  # numbers in a load report; the last is the share of busy slots
+    subscribe: bool = False
+    whole_interface: bool = False  # also what the simulator's wire can't carry
+    crashes: bool = False  # events that make the decisions fail
+    calm: bool = False  # no faults
+
+
+@dataclass
+class Replica:
+    number: int
+    zone: int
+    cell: int
+    machine: int
+    weight: float
+    state: int = READY
+    started_at: int = 0
+    fault: str = ""
+    in_flight: int = 0
+    cached: set[int] = field(default_factory=set)
+
+    def entry(self) -> Row:
+        place = (self.number, self.state, self.zone, self.cell)
+        return [*place, self.weight, self.started_at, self.machine]
+
+
+@dataclass
+class Request:
+    arrived: Row
+    deadline: int
+    attempts: int = 0
+    closed: bool = False  # the client has its final answer or has gone
+
+
+class Fleet:
+    """Produces the events of one instance and takes its actions."""
+
+    def __init__(self, traffic: Traffic, seed: int, start: int) -> None:
+        self.traffic = traffic
+        self.random = random.Random(seed)
+        self.start = start
+        self.end = start + traffic.duration
+        self.queue: list[tuple[int, int, Callable[[int], list[Row]]]] = []
+        self.serial = 0
+        self.requests: dict[int, Request] = {}
+        self.next_request = self.random.randrange(1, 1 << 30)
+        self.replicas: dict[int, Replica] = {}
+        self.watching = not traffic.subscribe
+        for _ in range(traffic.replicas):
+            self._add_replica(0)
+        self._at(start, lambda now: [self._list(CACHED if traffic.subscribe else WHOLE)])
+        self._at(start + MS, self._arrival)
+        self._at(start + 500 * MS, self._change)
+
+    # Time
+
+    def next_time(self) -> int | None:
+        return self.queue[0][0] if self.queue else None
+
+    def due(self, now: int) -> list[Row]:
+        rows: list[Row] = []
+        while self.queue and self.queue[0][0] <= now:
+            when, _, occur = heapq.heappop(self.queue)
+            rows += occur(when)
+        return rows
+
+    def _at(self, when: int, occur: Callable[[int], list[Row]]) -> None:
+        self.serial += 1
+        heapq.heappush(self.queue, (when, self.serial, occur))
+
+    # Clients
+
+    def _arrival(self, now: int) -> list[Row]:
+        if now >= self.end:
+            return []
+        third = 3 * (now - self.start) // self.traffic.duration
+        rate = self.traffic.rate * (3.0 if third == 1 else 1.0)
+        self._at(now + int(self.random.expovariate(rate) * SECOND) + 1, self._arrival)
+        return self._request(now, retry=False)
+
+    def _request(self, now: int, retry: bool) -> list[Row]:
+        draw, traffic = self.random, self.traffic
+        number, self.next_request = self.next_request, self.next_request + 1
+        time_left = draw.choice((300 * MS, 2 * SECOND, 5 * SECOND, 5 * SECOND))
+        session = draw.choice((0, draw.randrange(1, 40), draw.randrange(1, 1 << 63)))
+        prefix = draw.choice((0, 1_000_003 * draw.randrange(1, 6)))
+        prompt = float(int(draw.lognormvariate(6.5, 1.2)))
+        shared = float(int(prompt * draw.random())) if prefix else 0.0
+        kind, tenant = draw.randrange(traffic.classes), draw.randrange(max(1, traffic.tenants))
+        hint = draw.choice((0, 5 * MS))
+        most_tokens = float(draw.randrange(16, 400))
+        row = ["arrived", number, time_left, kind, tenant, session, prefix, prompt, shared, most_tokens]
+        row += [hint, retry]
+        self.requests[number] = Request(row, now + time_left)
+        if draw.random() < 0.05:
+            self._at(now + draw.randrange(1, 3 * SECOND), lambda when: self._client_leaves(number))
+        return [row]
+
+    def _client_leaves(self, number: int) -> list[Row]:
+        if self.requests[number].closed:
+            return []
+        self.requests[number].closed = True
+        return [["client_left", number]]
+
+    # Actions
+
+    def apply(self, now: int, actions: list[Row]) -> None:
+        for row in actions:
+            match row:
+                case ["send", number, replica, *_]:
+                    self._send(now, number, replica)
+                case ["reject", number, retry_after]:
+                    self.requests[number].closed = True
+                    if now < self.end and self.random.random() < 0.4:
+                        self._at(now + retry_after, lambda when: self._request(when, retry=True))
+                case ["fail", number]:
+                    self.requests[number].closed = True
+                case ["timer", delay, token]:
+                    self._at(now + delay, lambda when, token=token: [["timer", token]])
+                case ["watch", enable]:
+                    if enable:
+                        self._at(now + self.random.randrange(5 * MS, 80 * MS), self._watch_answer)
+
+    def _send(self, now: int, number: int, replica_number: int) -> None:
+        draw, request, replica = self.random, self.requests[number], self.replicas[replica_number]
+        attempt, request.attempts = request.attempts, request.attempts + 1
+        replica.in_flight += 1
+
+        def ends(outcome: int, delay: int, streaming: bool = False) -> None:
+            def occur(when: int) -> list[Row]:
+                return self._ended(request, attempt, replica, outcome, when - now, streaming)
+
+            self._at(now + delay, occur)
+
+        chance = draw.random()
+        if request.closed:
+            ends(NEVER_SENT, 0)
+        elif replica.state == GONE or replica.fault == "unreachable":
+            ends(CONNECT_FAILED, draw.choice((MS, 400 * MS)))
+        elif replica.fault == "resetting":
+            ends(RESET, draw.randrange(5 * MS, 200 * MS))
+        elif replica.fault == "failing" and chance < 0.8:
+            ends(ERROR, draw.randrange(5 * MS, 50 * MS))
+        elif replica.fault == "sheds slowly":
+            ends(FULL, draw.randrange(120 * MS, 600 * MS))
+        elif replica.in_flight > self.traffic.slots:
+            ends(FULL, draw.randrange(MS, 5 * MS))
+        elif self.traffic.whole_interface and (number % 23 == 0 or replica.fault == "rejecting"):
+            ends(REJECTED, draw.randrange(2 * MS, 30 * MS))
+        elif chance < 0.01:
+            ends(CANCELLED, draw.randrange(MS, 100 * MS))
+        elif chance < 0.02:
+            ends(NEVER_SENT, draw.randrange(0, 5 * MS))
+        else:
+            self._serve(now, request, attempt, replica, ends)
+
+    def _serve(
+        self, now: int, request: Request, attempt: int, replica: Replica, ends: Callable[..., None]
+    ) -> None:
+        draw, row = self.random, request.arrived
+        session, prefix, prompt, shared, most_tokens = row[5:10]
+        read = prompt if session not in replica.cached else 0.1 * prompt
+        read -= shared if prefix in replica.cached and read > shared else 0.0
+        replica.cached |= {session, prefix}
+        slowness = (1.0 + 3.0 * replica.in_flight / self.traffic.slots) / replica.weight
+        slowness *= 12.0 if replica.fault == "slow" else 1.0
+        to_first = int((10 * MS + read * 40_000) * slowness * draw.uniform(0.7, 1.5))
+        to_end = to_first + int(most_tokens * draw.random() * 2 * MS * slowness)
+        if now + to_first >= request.deadline:
+            ends(TIMEOUT, max(0, request.deadline - now))
+            return
+        if draw.random() < 0.1:  # a short answer: its end is all that is seen of it
+            ends(OK, to_first)
+            return
+
+        def first_token(when: int) -> list[Row]:
+            rows = [["first_token", row[1], attempt, replica.number, when - now]]
+            return rows * 2 if draw.random() < 0.01 else rows
+
+        self._at(now + to_first, first_token)
+        outcome = draw.choice((ERROR, RESET, CANCELLED)) if draw.random() < 0.03 else OK
+        ends(outcome, to_end, streaming=True)
+
+    def _ended(
+        self, request: Request, attempt: int, replica: Replica, outcome: int, elapsed: int, streaming: bool
+    ) -> list[Row]:
+        draw, prompt = self.random, request.arrived[7]
+        request.closed = request.closed or streaming or outcome == OK
+        busy = min(1.0, replica.in_flight / self.traffic.slots)
+        replica.in_flight -= 1
+        report: list[float] = []
+        if self.traffic.report_size and outcome in (OK, FULL, ERROR) and draw.random() < 0.8:
+            report = [float(draw.randrange(9)) for _ in range(self.traffic.report_size - 1)] + [busy]
+        if report and self.traffic.crashes and draw.random() < 0.01:
+            report.pop()
+        cached = int(prompt * draw.random()) if outcome == OK and draw.random() < 0.5 else 0
+        reused = self.traffic.whole_interface and outcome in (OK, RESET, ERROR) and draw.random() < 0.6
+        number = request.arrived[1]
+        ended = ["ended", number, attempt, replica.number, outcome, elapsed, request.closed, cached, report]
+        rows = [[*ended, reused]]
+        return rows * 2 if draw.random() < 0.01 else rows
+
+    # The endpoint list and the faults
+
+    def _add_replica(self, started_at: int) -> Replica:
+        draw, number = self.random, 100 + 7 * len(self.replicas)
+        zone, cell = draw.randrange(self.traffic.zones), draw.randrange(3)
+        weight = draw.choice((0.5, 1.0, 1.0, 2.0))
+        replica = Replica(number, zone, cell, draw.randrange(2), weight, started_at=started_at)
+        self.replicas[number] = replica
+        return replica
+
+    def _list(self, kind: int, entries: list[Row] | None = None, answers: bool = True) -> Row:
+        if entries is None:
+            entries = [replica.entry() for replica in self.replicas.values() if replica.state != GONE]
+        return ["list", kind, entries, answers]
+
+    def _watch_answer(self, now: int) -> list[Row]:
+        chance = self.random.random()
+        if chance < 0.1:
+            return []
+        if chance < 0.4:
+            return [self._list(LIST_FAILED, [])]
+        self.watching = True
+        return [self._list(WHOLE)]
+
+    def _changed(self, replica: Replica) -> list[Row]:
+        return [self._list(DELTA, [replica.entry()])] if self.watching else []
+
+    def _change(self, now: int) -> list[Row]:
+        if now >= self.end:
+            return []
+        draw = self.random
+        self._at(now + draw.randrange(100 * MS, 700 * MS), self._change)
+        replica = draw.choice(list(self.replicas.values()))
+        changes = [
+            self._drain,
+            self._restart,
+            self._remove,
+            self._grow,
+            self._reweigh,
+            self._relist,
+            self._relist,
+        ]
+        changes += [self._stray, self._stray] + [self._fault] * (0 if self.traffic.calm else 6)
+        return draw.choice(changes)(now, replica)
+
+    def _fault(self, now: int, replica: Replica) -> list[Row]:
+        replica.fault = self.random.choice(FAULTS)
+
+        def recovers(when: int) -> list[Row]:
+            replica.fault = ""
+            return []
+
+        self._at(now + self.random.randrange(SECOND, 6 * SECOND), recovers)
+        return []
+
+    def _drain(self, now: int, replica: Replica) -> list[Row]:
+        replica.state = DRAINING
+        self._at(now + SECOND, lambda when: self._restart(when, replica))
+        return self._changed(replica)
+
+    def _restart(self, now: int, replica: Replica) -> list[Row]:
+        replica.state, replica.started_at, replica.cached = READY, now, set()
+        return self._changed(replica)
+
+    def _remove(self, now: int, replica: Replica) -> list[Row]:
+        if sum(one.state == READY for one in self.replicas.values()) > 2:
+            replica.state = GONE
+            self._at(now + 3 * SECOND, lambda when: self._restart(when, replica))
+        return self._changed(replica)
+
+    def _grow(self, now: int, replica: Replica) -> list[Row]:
+        return self._changed(self._add_replica(now) if len(self.replicas) < 40 else replica)
+
+    def _reweigh(self, now: int, replica: Replica) -> list[Row]:
+        replica.weight = self.random.choice((0.25, 0.5, 1.0, 2.0))
+        return self._changed(replica)
+
+    def _relist(self, now: int, replica: Replica) -> list[Row]:
+        if self.traffic.whole_interface and self.random.random() < 0.5:
+            return [self._list(DELTA, [replica.entry()], answers=False)]
+        kind = self.random.choice((WHOLE, CACHED, LIST_FAILED))
+        if kind == LIST_FAILED:
+            self.watching = not self.traffic.subscribe
+        return [self._list(kind, [] if kind == LIST_FAILED else None)]
+
+    def _stray(self, now: int, replica: Replica) -> list[Row]:
+        """An event that names nothing that is held."""
+        draw = self.random
+        known = draw.choice(list(self.requests)) if self.requests else 5
+        strays: list[Row] = [
+            ["ended", 4_000_000_000, 0, replica.number, draw.randrange(8), MS, True, 0, [], False],
+            ["ended", known, 60, replica.number, OK, MS, True, 0, [], False],
+            ["first_token", known, 60, replica.number, MS],
+            ["first_token", 4_000_000_000, 0, replica.number, MS],
+            ["client_left", 4_000_000_000],
+            ["timer", draw.randrange(1 << 31)],
+        ]
+        if self.traffic.crashes:
+            arrived = ["arrived", 4_000_000_001, SECOND, 999, 0, 0, 0, 10.0, 0.0, 10.0, 0, False]
+            strays += [arrived, arrived]
+        return [draw.choice(strays)]
