--- a/lockspoke/balancing/actions.py
+++ b/lockspoke/balancing/actions.py
@@ -9,17 +9,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendAttempt:
     """Send the request's next attempt to a replica. `timeout` 0: until the client gives up."""
 
     request: int
     replica: int
     timeout: int = 0
-    begin_within: int = 0  # its first byte has to go out within this time, or not at all; 0: no bound
+    start_within: int = 0  # its first byte has to go out within this time, or not at all; 0: no bound
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: not served, and a retry does no harm."""
 
     request: int
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchEndpointList:
     """Subscribe to changes of the list, or end that."""
 
     enable: bool = True
@@ -55,4 +55,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | SetTimer | Watch | Log
+Action = SendAttempt | Reject | Fail | SetTimer | WatchEndpointList | Log
--- a/lockspoke/balancing/balancer.py
+++ b/lockspoke/balancing/balancer.py
@@ -11,21 +11,21 @@
 import random
 from itertools import islice
 
-from .actions import Action, Fail, Log, Refuse, Send, SetTimer, Watch
-from .breaker import LONGEST_RECOVERY, RECOVERY, Breaker, State
+from .actions import Action, Fail, Log, Reject, SendAttempt, SetTimer, WatchEndpointList
+from .breaker import LONGEST_RECOVERY, RECOVERY, Breaker, BreakerState
 from .events import (
-    Arrived,
     AttemptEnded,
-    ClientLeft,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
     FirstToken,
-    ListKind,
-    ListUpdate,
     Outcome,
     ReplicaState,
+    RequestArrived,
 )
 from .records import Attempt, DecayingSum, Kind, PromptBands, Recent, Replica, Request, appraise, tally
-from .settings import Effect, Settings
+from .settings import Idempotency, Settings
 
 SECOND = 1_000_000_000
 UNREACHED_WEIGHT = 3  # failures that a failed or broken connection counts for: a gateway among many sees few
@@ -107,15 +107,15 @@
         self.armed = self.armed if self.armed > now else _NEVER
         for event in events:
             match event:
-                case Arrived():
+                case RequestArrived():
                     self._arrived(event)
                 case FirstToken():
                     self._first_token(event)
                 case AttemptEnded():
                     self._ended(event)
-                case ListUpdate():
+                case EndpointListUpdate():
                     self._listed(event)
-                case ClientLeft(number) if number in self.requests:
+                case ClientDisconnected(number) if number in self.requests:
                     self._close(number, self.requests[number])
         self._admit()
         # After the events: an answer in this very batch beats the deadline that it met.
@@ -125,8 +125,10 @@
             if request is not None and request.open and not any(a.streaming for a in request.attempts):
                 self._answer(number, request)  # a stream that has begun has no deadline
         if self.ask_at is not None and self.ask_at <= now:
-            self.out.append(Watch(True))  # an answer may never come: asked again before that counts
-            self.ask_at = now + self.settings.ask_every // 2
+            self.out.append(
+                WatchEndpointList(True)
+            )  # an answer may never come: asked again before that counts
+            self.ask_at = now + self.settings.poll_interval // 2
         wake = min(self.due[0][0] if self.due else _NEVER, self.ask_at if self.ask_at is not None else _NEVER)
         wake = min(wake, now + FULL_PAUSE) if self.waiting else wake  # time alone ends a pause
         if wake < self.armed:
@@ -134,16 +136,16 @@
             self.out.append(SetTimer(wake - now, 0))
         return self.out
 
-    def _listed(self, update: ListUpdate) -> None:
-        if self.settings.ask_for_list and update.answers:
+    def _listed(self, update: EndpointListUpdate) -> None:
+        if self.settings.polls_endpoint_list and update.completes_poll:
             self._plan_to_ask(update.kind)
-        if update.kind is ListKind.FAILED:
+        if update.kind is EndpointListKind.FAILED:
             return
-        if update.kind is not ListKind.DELTA:
+        if update.kind is not EndpointListKind.DELTA:
             named = {entry.replica for entry in update.entries}
             for replica in self.replicas.values():
-                if replica.number not in named and replica.state is not ReplicaState.GONE:
-                    replica.state, replica.told_at = ReplicaState.GONE, self.now
+                if replica.number not in named and replica.state is not ReplicaState.REMOVED:
+                    replica.state, replica.told_at = ReplicaState.REMOVED, self.now
         for entry in update.entries:
             if entry.replica not in self.replicas:
                 self.replicas[entry.replica] = Replica(entry.replica, Breaker())
@@ -151,16 +153,16 @@
             if entry.started_at > replica.started_at:
                 # A process that has begun anew owes nothing for the failures of the one before it.
                 replica.started_at, replica.breaker = entry.started_at, Breaker()
-                replica.warm_at = entry.started_at + self.settings.warm_up
+                replica.warm_at = entry.started_at + self.settings.slow_start_duration
                 replica.cached.clear()
                 replica.limit = FIRST_LIMIT if self.now < replica.warm_at else math.inf
             replica.state, replica.told_at = entry.state, self.now
             replica.zone, replica.cell, replica.listed = entry.zone, entry.cell, max(entry.weight, 1e-9)
             replica.nominal = max(replica.nominal, replica.listed)
-            replica.kind = self.kinds.setdefault(entry.kind, Kind())
+            replica.kind = self.kinds.setdefault(entry.machine_kind, Kind())
         # A gone replica is remembered while it could come back cold: its spent warm-up budget must hold.
-        since = self.now - self.settings.warm_up - self.settings.fall_time
-        for replica in [r for r in self.replicas.values() if r.state is ReplicaState.GONE]:
+        since = self.now - self.settings.slow_start_duration - self.settings.overload_duration
+        for replica in [r for r in self.replicas.values() if r.state is ReplicaState.REMOVED]:
             if replica.in_flight == 0 and replica.told_at < since:
                 del self.replicas[replica.number]
         self.ready = [r for r in self.replicas.values() if r.state is ReplicaState.READY]
@@ -168,20 +170,20 @@
         self.kinds = tally(self.kinds, self.ready)
         self.warm_at = max((r.warm_at for r in self.ready), default=0)
 
-    def _plan_to_ask(self, kind: ListKind) -> None:
+    def _plan_to_ask(self, kind: EndpointListKind) -> None:
         """When to ask for the list next: in turn at the start, spaced after failures, else not at all."""
-        gateways = self.settings.gateways
-        gap = min(ASK_GAP, LAST_TURN // gateways, self.settings.ask_every // (2 * gateways))
-        if kind is ListKind.FAILED:
+        gateways = self.settings.gateway_count
+        gap = min(ASK_GAP, LAST_TURN // gateways, self.settings.poll_interval // (2 * gateways))
+        if kind is EndpointListKind.FAILED:
             # All gateways may have failed together; spread, so that they do not call together again.
-            pause = min(ASK_AGAIN, self.settings.ask_every // 4)
+            pause = min(ASK_AGAIN, self.settings.poll_interval // 4)
             spread = min(max(gap * gateways, pause), LONGEST_UNASKED - pause)
             self.ask_at = self.now + pause + int(self.random.random() * spread)
         else:  # Many start at once in a release: each calls in its place in the line.
-            place = gap * (self.settings.index % gateways)
-            self.ask_at = self.now + place if kind is ListKind.CACHED else None
+            place = gap * (self.settings.gateway_index % gateways)
+            self.ask_at = self.now + place if kind is EndpointListKind.CACHED else None
 
-    def _arrived(self, event: Arrived) -> None:
+    def _arrived(self, event: RequestArrived) -> None:
         request = Request(event, self.now, self.settings.classes[event.request_class])
         self.requests[event.request] = self.waiting[event.request] = request
         heapq.heappush(self.due, (request.deadline, event.request))
@@ -193,9 +195,11 @@
         """Give what waits to replicas with room: in time, no flood, fair by length, least reading."""
         if not self.waiting:
             return
-        closed = [replica for replica in self.ready if replica.breaker.look(self.now) is State.CLOSED]
+        closed = [replica for replica in self.ready if replica.breaker.look(self.now) is BreakerState.CLOSED]
         free = [r for r in closed if self._has_room(r)] if self._has_room(self.fleet) else []
-        trials = any(r.breaker.state is State.HALF_OPEN and r.breaker.trial is None for r in self.ready)
+        trials = any(
+            r.breaker.state is BreakerState.HALF_OPEN and r.breaker.trial is None for r in self.ready
+        )
         if closed and not free and not trials:
             return  # guards the gateway's CPU: a jam in a large fleet is looked at for every event
         stuck, line = 0, list(self.waiting)
@@ -208,7 +212,9 @@
     def _turn(self, request: Request, free: list[Replica]) -> tuple[bool, bool, bool, float, int]:
         arrived = request.arrived
         # A client's later try has lost the aim of its first one: flagged, or with less time than the aim.
-        late = arrived.client_retry or not self.now - request.arrived_at <= request.aim <= arrived.time_left
+        late = (
+            arrived.client_retry or not self.now - request.arrived_at <= request.aim <= arrived.time_remaining
+        )
         # Guards a jam against itself: with one free place at a time prompts would be read anew everywhere.
         reading = min((self._work(request, replica) for replica in free), default=0.0)
         owner = min(arrived.tenant, len(self.taken) - 1)  # a reload may have left fewer
@@ -232,27 +238,31 @@
             return True
         if self.taken:
             owner = min(request.arrived.tenant, len(self.taken) - 1)
-            share = max(self.settings.tenants[owner].share, 1e-9)
+            share = max(self.settings.tenants[owner].quota, 1e-9)
             self.taken[owner].add(self.now, self._work(request, replica) / share)
         if not request.attempts:
             self.bands.note(self.now, request.arrived.prompt_tokens, sent=True)
         attempt = Attempt(replica, self.now, self._work(request, replica), replica.unread(request.arrived))
         replica.take(request.arrived, attempt.work)
         self.fleet.in_flight += 1
-        if replica.breaker.look(self.now) is State.HALF_OPEN:
+        if replica.breaker.look(self.now) is BreakerState.HALF_OPEN:
             replica.breaker.trial, replica.breaker.trial_at = attempt, self.now
         if self.now < replica.warm_at:
             replica.cold_sends.append((self.now, request.arrived.prompt_tokens + ANSWER_TOKENS))
-        ran = request.ran if request.kind.effect is Effect.KEYED else ()  # repeats have their time
-        left = request.kind.window - self.now + ran[0].sent_at if ran else 0  # to connect in, too
+        ran = (
+            request.ran if request.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY else ()
+        )  # repeats have their time
+        left = (
+            request.kind.deduplication_window - self.now + ran[0].sent_at if ran else 0
+        )  # to connect in, too
         request.attempts.append(attempt)
-        self.out.append(Send(number, replica.number, request.deadline - self.now, left))
+        self.out.append(SendAttempt(number, replica.number, request.deadline - self.now, left))
         return True
 
     def _answer(self, number: int, request: Request) -> None:
         if not request.attempts:
             self.bands.note(self.now, request.arrived.prompt_tokens, sent=False)
-        self.out.append(Fail(number) if request.ran else Refuse(number, self._come_back()))
+        self.out.append(Fail(number) if request.ran else Reject(number, self._come_back()))
         self._close(number, request)
 
     def _come_back(self) -> int:
@@ -269,11 +279,13 @@
             attempt.streaming, self.fleet.in_flight = True, self.fleet.in_flight - 1
             attempt.replica.turned.pop(request.arrived.request_class, None)
             for other in request.attempts:
-                if other.outcome is Outcome.REJECTED:  # this replica takes what that one found at fault
+                if (
+                    other.outcome is Outcome.INVALID_REQUEST
+                ):  # this replica takes what that one found at fault
                     other.replica.breaker.failed(self.now, self._may_open())
             read = 1.0 + attempt.unread / max(1.0, request.arrived.prompt_tokens)  # reading takes its time
             self._learn(attempt, event.elapsed / request.aim / read)
-            if self.settings.busy_field is None:  # no reports: a late one tells that it is full
+            if self.settings.utilization_field is None:  # no reports: a late one tells that it is full
                 self._saw(attempt.replica, 1.0 if event.elapsed / request.aim / read > LATE_PART else 0.5)
             attempt.replica.breaker.succeeded(attempt)
             attempt.replica.work -= attempt.work - ANSWER_TOKENS  # the prompt is read, the answer goes on
@@ -287,9 +299,9 @@
         if not attempt.out:
             return
         kind, attempt.outcome = request.arrived.request_class, event.outcome
-        full = event.outcome is Outcome.FULL and self._is_full(attempt.replica, kind, event.elapsed)
-        if event.report and self.settings.busy_field is not None:
-            self._reported(attempt.replica, event.report[self.settings.busy_field])
+        full = event.outcome is Outcome.OVERLOADED and self._is_full(attempt.replica, kind, event.elapsed)
+        if event.load_report and self.settings.utilization_field is not None:
+            self._reported(attempt.replica, event.load_report[self.settings.utilization_field])
         if not attempt.streaming and (full or event.outcome is Outcome.TIMEOUT):
             self._learn(attempt, math.inf)
         breaker, before = attempt.replica.breaker, attempt.replica.breaker.state
@@ -305,16 +317,16 @@
                 warm = sum(self.now >= replica.warm_at for replica in self.ready)
                 self.done.add(self.now, (max(0.0, unread) + ANSWER_TOKENS) / max(1, warm))
         elif event.outcome in COUNTED:
-            weight = UNREACHED_WEIGHT if event.outcome in UNREACHED and not event.reused else 1
+            weight = UNREACHED_WEIGHT if event.outcome in UNREACHED and not event.connection_reused else 1
             breaker.failed(self.now, weight > 1 or self._may_open(), weight)
-            if before is State.CLOSED and breaker.state is State.OPEN:
+            if before is BreakerState.CLOSED and breaker.state is BreakerState.OPEN:
                 # It comes back to a few requests and earns more: all gateways find it empty at once.
                 attempt.replica.limit = FIRST_LIMIT
                 self.out.append(Log(f"breaker open: replica {event.replica}, last {event.outcome.name}"))
         breaker.released(attempt)
-        if event.closed or not request.open:
+        if event.request_answered or not request.open:
             self._close(event.request, request)
-        elif sum(other.outcome is Outcome.REJECTED for other in request.attempts) >= REJECTIONS:
+        elif sum(other.outcome is Outcome.INVALID_REQUEST for other in request.attempts) >= REJECTIONS:
             self._answer(event.request, request)
         elif not any(other.streaming and other.out for other in request.attempts):
             self.waiting[event.request] = request
@@ -322,7 +334,7 @@
     def _learn(self, attempt: Attempt, part: float) -> None:
         """Move the limits: what is sent past the pace of a replica, or of all, makes all of it late."""
         # 'Full' is one replica's alone: its quick refusals would outnumber all other signs.
-        shared, replica = attempt.outcome is not Outcome.FULL, attempt.replica
+        shared, replica = attempt.outcome is not Outcome.OVERLOADED, attempt.replica
         roomy = self.now - replica.busy_at < REPORT_LIVES and replica.in_flight <= replica.floor
         if shared and LATE_PART < part <= MILD_PART and roomy:
             return  # it was reading: a prompt that nobody keeps, or a heavy one before it
@@ -330,7 +342,7 @@
         for holder in (attempt.replica, self.fleet)[: 1 + shared]:
             if part <= LATE_PART:
                 if holder.in_flight + 1 >= holder.limit:
-                    holder.limit += RISE / min(self.settings.gateways, RISE_GATEWAYS)
+                    holder.limit += RISE / min(self.settings.gateway_count, RISE_GATEWAYS)
             elif attempt.sent_at >= holder.cut_at and (holder is not self.fleet or self.lateness > 0.5):
                 holder.limit = LIMIT_CUT * min(holder.limit, holder.in_flight)
                 holder.limit = max(FIRST_LIMIT if holder is self.fleet else 1.0, holder.limit)
@@ -357,11 +369,11 @@
         replica.busy, replica.busy_at = busy, self.now
         if self.now >= replica.warm_at:
             replica.kind.reported(busy)
-        appraise(list(self.kinds.values()), self.settings.busy_field is not None)
+        appraise(list(self.kinds.values()), self.settings.utilization_field is not None)
 
     def _may_open(self) -> bool:
         """Guards against a shared slowdown that would open the whole fleet and refuse everything."""
-        shut = sum(r.breaker.state is not State.CLOSED for r in self.ready)
+        shut = sum(r.breaker.state is not BreakerState.CLOSED for r in self.ready)
         return shut + 1 <= OPEN_SHARE * len(self.ready)
 
     def _close(self, number: int, request: Request) -> None:
@@ -371,30 +383,39 @@
             self.requests.pop(number, None)
 
     def _may_run(self, request: Request, replica: Replica) -> bool:
-        if not self.settings.may_duplicate and any(attempt.out for attempt in request.attempts):
+        if not self.settings.hedging_allowed and any(attempt.out for attempt in request.attempts):
             return False
         kind, ran = request.kind, request.ran
-        if kind.effect is Effect.SAFE or not ran:
+        if kind.idempotency is Idempotency.IDEMPOTENT or not ran:
             return True
-        if kind.effect is Effect.UNSAFE or self.now - ran[0].sent_at >= kind.window:
+        if (
+            kind.idempotency is Idempotency.NOT_IDEMPOTENT
+            or self.now - ran[0].sent_at >= kind.deduplication_window
+        ):
             return False
-        group = kind.scope.value
+        group = kind.deduplication_scope.value
         return group == "all" or all(getattr(replica, group) == getattr(a.replica, group) for a in ran)
 
     def _budget_allows(self, replica: Replica, work: float) -> bool:
         """Bounded by what warm ones get done; as many gateways have a turn as requests are due to all."""
-        settings, sends, gateways = self.settings, replica.cold_sends, self.settings.gateways
-        turn = (self.now - replica.started_at) // settings.fall_time
+        settings, sends, gateways = self.settings, replica.cold_sends, self.settings.gateway_count
+        turn = (self.now - replica.started_at) // settings.overload_duration
         if turn != replica.turn:
             replica.turn, replica.luck = turn, self.random.random()
-        while sends and self.now - sends[0][0] >= settings.fall_time:
+        while sends and self.now - sends[0][0] >= settings.overload_duration:
             sends.popleft()
         size = min(1.0, replica.nominal * len(self.ready) / sum(r.nominal for r in self.ready))
-        surely = FIRST_TURNS * self.asked * SECOND / settings.fall_time / max(settings.cold_share, 0.01)
-        pace = max(settings.fall_multiple * COLD_MARGIN * self._pace(), surely) * size
-        due = pace * replica.share_of_warm(self.now, settings) * settings.fall_time / SECOND
+        surely = (
+            FIRST_TURNS
+            * self.asked
+            * SECOND
+            / settings.overload_duration
+            / max(settings.slow_start_initial_share, 0.01)
+        )
+        pace = max(settings.overload_multiple * COLD_MARGIN * self._pace(), surely) * size
+        due = pace * replica.share_of_warm(self.now, settings) * settings.overload_duration / SECOND
         # Turns that follow one another go to others. A part of a request due is a chance of one.
-        place = (turn * (1 + int(STRIDE * gateways)) + replica.number + settings.index) % gateways
+        place = (turn * (1 + int(STRIDE * gateways)) + replica.number + settings.gateway_index) % gateways
         if place + replica.luck >= due / self.asked:
             return False
         most = max(due / gateways, self.asked * (1.0 if sends else HEAVY))
@@ -403,7 +424,7 @@
     def _pace(self) -> float:
         """What all gateways together get done on a mean warm replica, as this one has seen it, a second."""
         seen = 1.0 - 0.5 ** max(0.1, (self.now - self.began) / RATE_MEMORY)  # a young sum is still low
-        return float(self.done.rate(self.now) * self.settings.gateways / seen)
+        return float(self.done.rate(self.now) * self.settings.gateway_count / seen)
 
     @staticmethod
     def _work(request: Request, replica: Replica) -> float:
@@ -416,19 +437,21 @@
     def _pick(self, request: Request) -> tuple[Replica | None, bool]:
         """A half-open replica without a trial, else the least loaded of a sample; and whether any is busy."""
         # Never again where it failed, not even unreached: a dead replica looks idle and would win again.
-        tried = [a.replica for a in request.attempts if a.outcome is not Outcome.FULL]
+        tried = [a.replica for a in request.attempts if a.outcome is not Outcome.OVERLOADED]
         closed: list[Replica] = []
         busy, asked, again = False, request.arrived.prompt_tokens + ANSWER_TOKENS, bool(request.attempts)
         for replica in self.ready:
             state = replica.breaker.look(self.now)
-            if state is State.OPEN or (again and (replica in tried or not self._may_run(request, replica))):
+            if state is BreakerState.OPEN or (
+                again and (replica in tried or not self._may_run(request, replica))
+            ):
                 continue
             if self.now < replica.class_until.get(request.arrived.request_class, 0):
                 busy = True
                 continue
             if self.now < replica.warm_at and not self._budget_allows(replica, asked):
                 continue
-            if state is State.HALF_OPEN:
+            if state is BreakerState.HALF_OPEN:
                 # A full one's slot is free at once: without the pause it would take every request there is.
                 if replica.breaker.trial is None and self.now >= replica.full_until:
                     return replica, False
@@ -456,7 +479,7 @@
         self.last_winner = min(sample, key=lambda replica: self._cost(replica, request, mean_size))
         return self.last_winner, False
 
-    def _preferred(self, arrived: Arrived, closed: list[Replica]) -> list[Replica]:
+    def _preferred(self, arrived: RequestArrived, closed: list[Replica]) -> list[Replica]:
         """Two of the replicas that hold the request's prefix, of many if many ask for it.
 
         A session's are the same at all gateways of a zone: its next turn may come to any of them.
@@ -466,7 +489,7 @@
         holders = list(islice((replica for replica in self._ranking(key) if replica in closed), count))
         if not arrived.session:
             return self._draw(holders)
-        own, near = self.settings.zone, 1.0 + NEAR * self.settings.cross_zone_price
+        own, near = self.settings.zone, 1.0 + NEAR * self.settings.cross_zone_cost
         holders.sort(key=lambda r: r.rank(arrived.session) / (near if r.zone == own else 1.0))
         return holders[:SAMPLE]
 
@@ -481,7 +504,7 @@
 
     def _draw(self, replicas: list[Replica]) -> list[Replica]:
         # By size: weights that sink with the load move a part of the traffic, never all of it.
-        own, near = self.settings.zone, 1.0 + NEAR * self.settings.cross_zone_price
+        own, near = self.settings.zone, 1.0 + NEAR * self.settings.cross_zone_cost
         weights = [r.size * near if r.zone == own else r.size for r in replicas]
         return self.random.choices(replicas, weights, k=SAMPLE)
 
@@ -494,7 +517,7 @@
         fresh: float = 0.5 ** ((self.now - replica.busy_at) / RATE_MEMORY)  # of its own word
         busy = replica.kind.mean + (replica.busy - replica.kind.mean) * fresh
         load = replica.work / capacity + ANSWER_TOKENS * max(0.0, busy - SPARE) / (1.0 - SPARE)
-        cost = load * self.settings.gateways + READING * self._work(request, replica)
+        cost = load * self.settings.gateway_count + READING * self._work(request, replica)
         if replica.zone != self.settings.zone:
-            cost += self.settings.cross_zone_price * CROSSING_TOKENS
+            cost += self.settings.cross_zone_cost * CROSSING_TOKENS
         return cost
--- a/lockspoke/balancing/breaker.py
+++ b/lockspoke/balancing/breaker.py
@@ -16,7 +16,7 @@
 STALE_TRIAL = 30 * SECOND  # the source's figure: a silent trial frees its slot
 
 
-class State(Enum):
+class BreakerState(Enum):
     """The three states of a breaker."""
 
     CLOSED = "closed"
@@ -28,39 +28,39 @@
     """Closed while a replica answers, open after failures in a row, half-open while it is tried again."""
 
     def __init__(self) -> None:
-        self.state = State.CLOSED
+        self.state = BreakerState.CLOSED
         self.failures = self.successes = self.last_failure = self.trial_at = 0
         self.recovery = RECOVERY
         self.trial: Attempt | None = None
 
-    def look(self, now: int) -> State:
+    def look(self, now: int) -> BreakerState:
         """The state at this moment; time alone half-opens a breaker and frees a stale trial's slot."""
-        if self.state is State.OPEN and now - self.last_failure >= self.recovery:
-            self.state, self.successes, self.trial = State.HALF_OPEN, 0, None
+        if self.state is BreakerState.OPEN and now - self.last_failure >= self.recovery:
+            self.state, self.successes, self.trial = BreakerState.HALF_OPEN, 0, None
         if self.trial is not None and now - self.trial_at >= STALE_TRIAL:
             self.trial = None
         return self.state
 
     def shut_until(self) -> int:
         """When it half-opens; 0 unless it is open."""
-        return self.last_failure + self.recovery if self.state is State.OPEN else 0
+        return self.last_failure + self.recovery if self.state is BreakerState.OPEN else 0
 
     def succeeded(self, attempt: Attempt) -> None:
         """A first token, or an answer without one. Only a trial's own success counts when not closed."""
-        if self.state is State.CLOSED:
+        if self.state is BreakerState.CLOSED:
             self.failures = 0
         elif self.trial is attempt:
             self.trial, self.successes = None, self.successes + 1
             if self.successes >= SUCCESS_THRESHOLD:
-                self.state, self.failures, self.recovery = State.CLOSED, 0, RECOVERY
+                self.state, self.failures, self.recovery = BreakerState.CLOSED, 0, RECOVERY
 
     def failed(self, now: int, may_open: bool, weight: int = 1) -> None:
         """A counted failure; in any state but closed it opens the breaker and restarts the timer."""
         self.failures, self.last_failure = self.failures + weight, now
-        if self.state is State.HALF_OPEN:
+        if self.state is BreakerState.HALF_OPEN:
             self.recovery = min(2 * self.recovery, LONGEST_RECOVERY)
-        if self.state is not State.CLOSED or (self.failures >= FAILURE_THRESHOLD and may_open):
-            self.state, self.trial = State.OPEN, None
+        if self.state is not BreakerState.CLOSED or (self.failures >= FAILURE_THRESHOLD and may_open):
+            self.state, self.trial = BreakerState.OPEN, None
 
     def released(self, attempt: Attempt) -> None:
         """The trial ended without a verdict (full, cancelled): its slot is free."""
--- a/lockspoke/balancing/events.py
+++ b/lockspoke/balancing/events.py
@@ -14,24 +14,26 @@
 
     OK = 0
     ERROR = 1  # the replica answered with an error; the request may have run
-    FULL = 2  # turned away unseen: proves that it never ran
+    OVERLOADED = 2  # turned away unseen: proves that it never ran
     TIMEOUT = 3  # no answer in time; it may have run or still run
     CONNECT_FAILED = 4  # no connection: proves that it never ran
     RESET = 5  # the connection broke under it; it may have run
     CANCELLED = 6  # called off by the balancer; it may have run
-    MOOT = 7  # never issued: proves that it never ran
-    REJECTED = 8  # the replica finds the request itself at fault; the wire of the simulator has no such word
+    NEVER_SENT = 7  # never issued: proves that it never ran
+    INVALID_REQUEST = (
+        8  # the replica finds the request itself at fault; the wire of the simulator has no such word
+    )
 
 
 class ReplicaState(IntEnum):
     """What the list says of a replica."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class ListKind(IntEnum):
+class EndpointListKind(IntEnum):
     """How a `ListUpdate` is to be read."""
 
     DELTA = 0  # changed entries only
@@ -41,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListEntry:
+class EndpointListEntry:
     """One replica as the list names it."""
 
     replica: int
@@ -50,26 +52,26 @@
     cell: int = 0
     weight: float = 1.0
     started_at: int = 0  # 0: long ago
-    kind: int = 0  # of machine: those of one kind can do about the same
+    machine_kind: int = 0  # of machine: those of one kind can do about the same
 
 
 @dataclass(frozen=True, slots=True)
-class ListUpdate:
+class EndpointListUpdate:
     """The list of replicas, or a change to it."""
 
-    kind: ListKind
-    entries: tuple[ListEntry, ...] = ()
-    answers: bool = (
+    kind: EndpointListKind
+    entries: tuple[EndpointListEntry, ...] = ()
+    completes_poll: bool = (
         True  # whether it ends the request for the list that is out, or due; an operator's word doesn't
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class RequestArrived:
     """A client's request, now owed one final answer."""
 
     request: int
-    time_left: int  # until the client gives this try up
+    time_remaining: int  # until the client gives this try up
     request_class: int = 0
     tenant: int = 0
     session: int = 0  # requests of one session share what a replica has cached; 0: none
@@ -100,14 +102,16 @@
     replica: int
     outcome: Outcome
     elapsed: int
-    closed: bool  # the request has its final answer, by this outcome or before it
+    request_answered: bool  # the request has its final answer, by this outcome or before it
     cached_tokens: int = 0
-    report: tuple[float, ...] = ()
-    reused: bool = False  # on a connection kept from before: that it broke says little of the replica
+    load_report: tuple[float, ...] = ()
+    connection_reused: bool = (
+        False  # on a connection kept from before: that it broke says little of the replica
+    )
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class ClientDisconnected:
     """The client has gone; nothing is owed any more."""
 
     request: int
@@ -120,4 +124,4 @@
     token: int
 
 
-Event = ListUpdate | Arrived | FirstToken | AttemptEnded | ClientLeft | TimerFired
+Event = EndpointListUpdate | RequestArrived | FirstToken | AttemptEnded | ClientDisconnected | TimerFired
--- a/lockspoke/balancing/records.py
+++ b/lockspoke/balancing/records.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-from .events import Arrived, Outcome, ReplicaState
+from .events import Outcome, ReplicaState, RequestArrived
 from .settings import RequestClass, Settings
 
 SECOND = 1_000_000_000  # nanoseconds
@@ -19,7 +19,7 @@
 MOST_HALF_LIVES = 300  # for which weights double, before they begin anew at one
 NEGLIGIBLE = 1e-9  # of a request
 _MASK = (1 << 64) - 1
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
 
 if TYPE_CHECKING:
     from .breaker import Breaker
@@ -135,7 +135,7 @@
     def __init__(self, number: int, breaker: Breaker) -> None:
         self.number = number
         self.breaker = breaker
-        self.state = ReplicaState.GONE
+        self.state = ReplicaState.REMOVED
         self.zone = 0
         self.cell = 0
         self.kind = Kind()
@@ -170,10 +170,10 @@
         if now >= self.warm_at:
             return 1.0
         # No cold phase at all, and a machine whose clock is ahead of ours: it has just begun.
-        age = max(0, now - self.started_at) / max(1, settings.warm_up)
-        return settings.cold_share + (1.0 - settings.cold_share) * age
+        age = max(0, now - self.started_at) / max(1, settings.slow_start_duration)
+        return settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * age
 
-    def unread(self, arrived: Arrived) -> float:
+    def unread(self, arrived: RequestArrived) -> float:
         """Prompt tokens that this replica would have to read, as far as own sends tell."""
         prefix = self.cached.get(arrived.prefix, 0.0)
         if prefix > arrived.prefix_tokens:
@@ -182,7 +182,7 @@
         left = arrived.prompt_tokens - (session if session > prefix else prefix)
         return left if left > 0.0 else 0.0
 
-    def take(self, arrived: Arrived, work: float) -> None:
+    def take(self, arrived: RequestArrived, work: float) -> None:
         """Count a sent request, and remember what its prompt leaves behind; the oldest is forgotten first."""
         self.in_flight += 1
         self.work += work
@@ -252,12 +252,14 @@
 class Request:
     """One request, kept until it has its final answer and the outcomes of all its attempts."""
 
-    def __init__(self, arrived: Arrived, now: int, kind: RequestClass) -> None:
+    def __init__(self, arrived: RequestArrived, now: int, kind: RequestClass) -> None:
         self.arrived = arrived
         self.kind = kind
         self.arrived_at = now
-        self.deadline = now + arrived.time_left
-        self.aim = kind.aim + int(kind.aim_per_token * arrived.prompt_tokens)  # for the first token
+        self.deadline = now + arrived.time_remaining
+        self.aim = kind.latency_objective + int(
+            kind.latency_objective_per_token * arrived.prompt_tokens
+        )  # for the first token
         self.attempts: list[Attempt] = []
         self.open = True
 
--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -14,16 +14,16 @@
 import structlog
 
 from lockspoke.balancing import Balancer
-from lockspoke.balancing.actions import Action, Fail, Log, Refuse, Send, SetTimer, Watch
+from lockspoke.balancing.actions import Action, Fail, Log, Reject, SendAttempt, SetTimer, WatchEndpointList
 from lockspoke.balancing.events import (
-    Arrived,
     AttemptEnded,
-    ClientLeft,
+    ClientDisconnected,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
     FirstToken,
-    ListKind,
-    ListUpdate,
     Outcome,
+    RequestArrived,
     TimerFired,
 )
 from lockspoke.balancing.settings import Settings
@@ -83,7 +83,7 @@
         self.requests: dict[int, ClientRequest] = {}
         self.totals: Counter[str] = Counter()
         self.live_refused_at = 0  # when a request that somebody waits for was last turned away
-        self._asks = settings.ask_for_list
+        self._asks = settings.polls_endpoint_list
 
     def start(self) -> None:
         """Begin to look after streams and overdue answers."""
@@ -94,7 +94,7 @@
 
     def reconfigure(self, settings: Settings, zones: Sequence[str]) -> bool:
         """New settings from now on; whether the replica set has to be told the whole list again for them."""
-        self._asks = settings.ask_for_list
+        self._asks = settings.polls_endpoint_list
         self.balancer.reconfigure(settings)
         return self.replica_set.rename_zones(zones)
 
@@ -109,9 +109,9 @@
         self.requests[request.number] = request
         self.totals["calls"] += 1
         self._post(
-            Arrived(
+            RequestArrived(
                 request=request.number,
-                time_left=max(0, request.deadline - now),
+                time_remaining=max(0, request.deadline - now),
                 request_class=request.request_class,
                 tenant=request.tenant,
                 session=request.session,
@@ -130,7 +130,7 @@
         # A replica does not stop for a client that left; read to its end, the stream still tells the
         # decisions how busy that replica is.
         self._answered(request, "left")
-        self._post(ClientLeft(request.number))
+        self._post(ClientDisconnected(request.number))
 
     def list_changed(self, update: ReplicaUpdate, cached: bool = False, answers: bool = True) -> None:
         """The list of replicas, or a change of it; `answers`: it ends the request that is out, or due."""
@@ -156,7 +156,7 @@
     def list_failed(self) -> None:
         """A request for the list has failed; the old list still holds."""
         self.totals["list_failed"] += 1
-        self._post(ListUpdate(ListKind.FAILED))
+        self._post(EndpointListUpdate(EndpointListKind.FAILED))
         if not self._asks:
             self.timers.later(SECOND, lambda: self.discovery.watch(True))
 
@@ -188,7 +188,7 @@
                 else:
                     self._answered(request, "failed")
                     request.sink.fail()
-                self._post(ClientLeft(request.number))
+                self._post(ClientDisconnected(request.number))
             for attempt in request.attempts:
                 self._give_up(attempt, Outcome.CANCELLED)
 
@@ -196,7 +196,7 @@
         """End an attempt that is out; of one that was never sent nothing may have run, whatever ends it."""
         if attempt.outcome is None:
             self.transport.stop(attempt)
-            self.ended(attempt, outcome if attempt.maybe_ran else Outcome.MOOT)
+            self.ended(attempt, outcome if attempt.maybe_ran else Outcome.NEVER_SENT)
 
     def live_held(self) -> bool:
         """Whether a request that somebody waits for is held, since no replica has room for it."""
@@ -223,7 +223,7 @@
         late = now >= attempt.deadline or (attempt.begin_by and now >= attempt.begin_by)
         moved = replica.place != attempt.place or not self.replica_set.takes(replica)
         if request.answered or request.owner is not None or late or moved:
-            self.ended(attempt, Outcome.MOOT)
+            self.ended(attempt, Outcome.NEVER_SENT)
             return Clearance.OVER
         if self.discovery.changes_unread or request.sink.unread:
             return Clearance.ASK_AGAIN
@@ -308,15 +308,15 @@
 
     def _decisions_failed(self, event: Event) -> None:
         self.totals["decisions_failed"] += 1
-        if isinstance(event, ListUpdate):
+        if isinstance(event, EndpointListUpdate):
             # They may know a part of it only: the whole list is asked for next.
             self.replica_set.rev = UNKNOWN_VERSION
 
     def _carry_out(self, action: Action) -> None:
         match action:
-            case Send(number, replica, timeout, begin_within):
+            case SendAttempt(number, replica, timeout, begin_within):
                 self._send(number, replica, timeout, begin_within)
-            case Refuse(number, retry_after):
+            case Reject(number, retry_after):
                 request = self.requests.get(number)
                 if request is not None and not request.answered:
                     if not request.background:
@@ -330,7 +330,7 @@
                     request.sink.fail()
             case SetTimer(delay, token):
                 self.timers.later(delay, lambda: self._post(TimerFired(token)))
-            case Watch(enable):
+            case WatchEndpointList(enable):
                 self.discovery.watch(enable)
             case Log(text):
                 log.warning("decision", text=text)
@@ -347,7 +347,7 @@
         attempt.begin_by = now + begin_within if begin_within else 0
         request.attempts.append(attempt)
         if request.answered or request.owner is not None or now >= deadline:
-            self.ended(attempt, Outcome.MOOT)
+            self.ended(attempt, Outcome.NEVER_SENT)
             return
         self.totals["attempts"] += 1
         attempt.timer = self.timers.later(deadline - now, lambda: self._timed_out(attempt))
@@ -389,5 +389,5 @@
                 self._answered(request, "overdue")
                 log.error("answer_overdue", call=request.number)
                 request.sink.fail()
-                self._post(ClientLeft(request.number))
+                self._post(ClientDisconnected(request.number))
         self.timers.later(SWEEP, self._sweep)
--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -5,7 +5,7 @@
 from collections.abc import Container, Iterable, Sequence
 from dataclasses import dataclass
 
-from lockspoke.balancing.events import ListEntry, ListKind, ListUpdate, ReplicaState
+from lockspoke.balancing.events import EndpointListEntry, EndpointListKind, EndpointListUpdate, ReplicaState
 
 from .identifiers import Numbers, kind_number
 
@@ -80,11 +80,11 @@
 
     def apply(
         self, update: ReplicaUpdate, cached: bool = False, answers: bool = True
-    ) -> tuple[ListUpdate, list[Replica]]:
+    ) -> tuple[EndpointListUpdate, list[Replica]]:
         """Take an update: what the decisions are told of it, and the replicas that have moved or left."""
         self.rev = update.rev
         left: list[Replica] = []
-        entries: dict[int, ListEntry] = {}
+        entries: dict[int, EndpointListEntry] = {}
         touched: dict[tuple[str, int], None] = {}
         for entry in update.entries:
             number = self.numbers.replica(entry.uid)
@@ -104,7 +104,7 @@
             self._stand(replica, touched)
         if update.whole:
             for replica in self.replicas.values():
-                if replica.number in entries or replica.state == ReplicaState.GONE:
+                if replica.number in entries or replica.state == ReplicaState.REMOVED:
                     continue
                 if replica.uid in update.unread:
                     # To the decisions, too, what a whole list does not name is gone.
@@ -114,12 +114,18 @@
                 left.append(replica)
         for replica in self._superseded(touched):
             self._end(replica)
-            entries[replica.number] = ListEntry(replica.number, ReplicaState.GONE)
+            entries[replica.number] = EndpointListEntry(replica.number, ReplicaState.REMOVED)
             left.append(replica)
-        kind = ListKind.CACHED if cached else ListKind.FULL if update.whole else ListKind.DELTA
-        return ListUpdate(kind, tuple(entries.values()), answers), left
+        kind = (
+            EndpointListKind.CACHED
+            if cached
+            else EndpointListKind.FULL
+            if update.whole
+            else EndpointListKind.DELTA
+        )
+        return EndpointListUpdate(kind, tuple(entries.values()), answers), left
 
-    def ban(self, uid: str, banned: bool) -> tuple[ListUpdate, list[Replica]] | None:
+    def ban(self, uid: str, banned: bool) -> tuple[EndpointListUpdate, list[Replica]] | None:
         """Take a replica out of use, or put it back: what the decisions are told, and what connections close.
 
         None where no list has named it and no ban holds. A ban given twice is one ban.
@@ -128,10 +134,12 @@
         if number is None and uid not in self._banned:
             return None
         (self._banned.add if banned else self._banned.discard)(uid)
-        if number is None or self.replicas[number].state == ReplicaState.GONE:
-            return ListUpdate(ListKind.DELTA), []
+        if number is None or self.replicas[number].state == ReplicaState.REMOVED:
+            return EndpointListUpdate(EndpointListKind.DELTA), []
         told = self._entry(number, self._listed[number])
-        return ListUpdate(ListKind.DELTA, (told,), answers=False), [self.replicas[number]] if banned else []
+        return EndpointListUpdate(EndpointListKind.DELTA, (told,), completes_poll=False), [
+            self.replicas[number]
+        ] if banned else []
 
     def takes(self, replica: Replica) -> bool:
         """Whether something new may be sent to a replica: it is listed as ready and not taken out of use."""
@@ -148,7 +156,7 @@
 
     def _stand(self, replica: Replica, touched: dict[tuple[str, int], None]) -> None:
         """A replica is listed as it is now; its address is one to be looked at."""
-        if replica.state == ReplicaState.GONE:
+        if replica.state == ReplicaState.REMOVED:
             self._gone.add(replica.number)
         elif replica.endpoint is not None:
             self._at.setdefault(replica.endpoint, set()).add(replica.number)
@@ -164,7 +172,7 @@
 
     def _end(self, replica: Replica) -> None:
         self._leave(replica)
-        replica.state = ReplicaState.GONE
+        replica.state = ReplicaState.REMOVED
         self._gone.add(replica.number)
 
     def _superseded(self, touched: Iterable[tuple[str, int]]) -> list[Replica]:
@@ -186,9 +194,9 @@
             self._listed.pop(number, None)
             self.numbers.forget(self.replicas.pop(number).uid)
 
-    def _entry(self, number: int, entry: Entry) -> ListEntry:
+    def _entry(self, number: int, entry: Entry) -> EndpointListEntry:
         banned = entry.state == ReplicaState.READY and entry.uid in self._banned
-        return ListEntry(
+        return EndpointListEntry(
             replica=number,
             # To the decisions it drains: what it has goes on, nothing new is sent.
             state=ReplicaState.DRAINING if banned else entry.state,
@@ -197,5 +205,5 @@
             cell=entry.cell,
             weight=entry.weight,
             started_at=entry.boot_ms * MS,
-            kind=kind_number(entry.kind),
+            machine_kind=kind_number(entry.kind),
         )
--- a/lockspoke/core/requests.py
+++ b/lockspoke/core/requests.py
@@ -9,11 +9,11 @@
 from typing import Any, Protocol
 
 from lockspoke.balancing.events import Outcome
-from lockspoke.balancing.settings import Effect, RequestClass, Scope
+from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass
 
 from .replica_set import Replica
 
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)  # outcomes that prove it
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)  # outcomes that prove it
 
 
 class Sink(Protocol):
@@ -77,9 +77,12 @@
     @property
     def refusable(self) -> bool:
         """Whether it may be answered as turned away: a repeat of it does no harm."""
-        if self.kind.effect is Effect.SAFE or not any(one.maybe_ran for one in self.attempts):
+        if self.kind.idempotency is Idempotency.IDEMPOTENT or not any(one.maybe_ran for one in self.attempts):
             return True
-        return self.kind.effect is Effect.KEYED and self.kind.scope is Scope.ALL
+        return (
+            self.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and self.kind.deduplication_scope is DeduplicationScope.ALL
+        )
 
 
 class Stage(Enum):
--- a/lockspoke/inventory/reconcile.py
+++ b/lockspoke/inventory/reconcile.py
@@ -21,7 +21,7 @@
 
 from .model import Snapshot, WorkerRecord
 
-_STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.GONE}
+_STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.REMOVED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -369,7 +369,7 @@
                     if self.out.get(name) != wish.reason:
                         self._decide(wish.act, name, wish.reason)
                     continue
-                less.append(Entry(name, ReplicaState.GONE, None))
+                less.append(Entry(name, ReplicaState.REMOVED, None))
                 self._take_out(name, known, wish, now_ms)
                 continue
             files = snapshot.files.get(name, known.files if known is not None else ())
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -49,7 +49,9 @@
     def __init__(self, config: Config) -> None:
         if config.discovery is None:
             raise ConfigError("discovery is missing")
-        super().__init__(config.discovery, hold_of(config.settings.index, config.settings.gateways))
+        super().__init__(
+            config.discovery, hold_of(config.settings.gateway_index, config.settings.gateway_count)
+        )
         self._config = config
 
     def first(self) -> ReplicaUpdate | None:
@@ -60,7 +62,7 @@
         """Discovery may have moved; a whole list is got by asking it anew."""
         moved = config.discovery != self._config.discovery
         self._config = config
-        self.hold_ms = hold_of(config.settings.index, config.settings.gateways)
+        self.hold_ms = hold_of(config.settings.gateway_index, config.settings.gateway_count)
         if config.discovery is not None and (moved or anew):
             self.move(config.discovery)
 
@@ -121,7 +123,7 @@
 
         Where lists are pushed, what discovery has counts as told from a process's first moment.
         """
-        return self.config.settings.ask_for_list or self.watch.settled
+        return self.config.settings.polls_endpoint_list or self.watch.settled
 
     def _operated(self, call: OperatorCall) -> str:
         """Do what an operator asks; raises HttpError for a no."""
--- a/lockspoke/simulator/protocol.py
+++ b/lockspoke/simulator/protocol.py
@@ -12,36 +12,45 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lockspoke.balancing.actions import Action, Fail, Log, Refuse, Send, SetTimer, Watch
+from lockspoke.balancing.actions import Action, Fail, Log, Reject, SendAttempt, SetTimer, WatchEndpointList
 from lockspoke.balancing.events import (
-    Arrived,
     AttemptEnded,
-    ClientLeft,
+    ClientDisconnected,
+    EndpointListEntry,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
     FirstToken,
-    ListEntry,
-    ListKind,
-    ListUpdate,
     Outcome,
     ReplicaState,
+    RequestArrived,
     TimerFired,
 )
-from lockspoke.balancing.settings import Effect, RequestClass, Scope, Settings, Tenant
+from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
 
 OUTCOMES = {
     0: Outcome.OK,
     13: Outcome.ERROR,
-    8: Outcome.FULL,
+    8: Outcome.OVERLOADED,
     4: Outcome.TIMEOUT,
     14: Outcome.CONNECT_FAILED,
     10: Outcome.RESET,
     1: Outcome.CANCELLED,
-    9: Outcome.MOOT,
+    9: Outcome.NEVER_SENT,
 }
-LIST_KINDS = {0: ListKind.DELTA, 1: ListKind.FULL, 3: ListKind.CACHED, 2: ListKind.FAILED}
-STATES = {0: ReplicaState.GONE, 1: ReplicaState.READY, 2: ReplicaState.DRAINING}
-EFFECTS = {"free": Effect.SAFE, "guarded": Effect.KEYED, "single_shot": Effect.UNSAFE}
-SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
+LIST_KINDS = {
+    0: EndpointListKind.DELTA,
+    1: EndpointListKind.FULL,
+    3: EndpointListKind.CACHED,
+    2: EndpointListKind.FAILED,
+}
+STATES = {0: ReplicaState.REMOVED, 1: ReplicaState.READY, 2: ReplicaState.DRAINING}
+EFFECTS = {
+    "free": Idempotency.IDEMPOTENT,
+    "guarded": Idempotency.IDEMPOTENT_WITH_KEY,
+    "single_shot": Idempotency.NOT_IDEMPOTENT,
+}
+SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
 
 LONGEST_TIMER = 71 * 60 * 1_000_000_000  # the wire takes no longer delay
 LONGEST_TEXT = 0xFFFF
@@ -137,14 +146,16 @@
     if not isinstance(profile, dict):
         raise SettingsError(f"settings: {path} is {profile!r}, want an object")
     effect = _word(profile, "effect", path, EFFECTS)
-    keyed = effect is Effect.KEYED
+    keyed = effect is Idempotency.IDEMPOTENT_WITH_KEY
     per_1000 = _listed(settings, "familyInfo.aimUsPer1000PromptTokens")
     return RequestClass(
-        effect=effect,
-        scope=_word(profile, "dedupScope", path, SCOPES, default=_NEEDED if keyed else Scope.ALL),
-        window=int(_number(profile, "window", _NEEDED if keyed else 0)),
-        aim=int(_number(profile, "aim", 1_000_000_000)),
-        aim_per_token=float(per_1000[index]) if index < len(per_1000) else 0.0,
+        idempotency=effect,
+        deduplication_scope=_word(
+            profile, "dedupScope", path, SCOPES, default=_NEEDED if keyed else DeduplicationScope.ALL
+        ),
+        deduplication_window=int(_number(profile, "window", _NEEDED if keyed else 0)),
+        latency_objective=int(_number(profile, "aim", 1_000_000_000)),
+        latency_objective_per_token=float(per_1000[index]) if index < len(per_1000) else 0.0,
     )
 
 
@@ -164,23 +175,23 @@
     for index, tenant in enumerate(_listed(raw, "tenants")):
         if not isinstance(tenant, dict):
             raise SettingsError(f"settings: tenants[{index}] is {tenant!r}, want an object")
-        tenants.append(Tenant(share=float(_number(tenant, "share", 0.0))))
+        tenants.append(Tenant(quota=float(_number(tenant, "share", 0.0))))
     return Settings(
         classes=tuple(_class(profile, index, raw) for index, profile in enumerate(profiles)),
         max_attempts=int(_number(raw, "limits.attemptsCap", low=1)),
-        may_duplicate=_flag(raw, "limits.mayDuplicate"),
-        cold_share=float(_number(raw, "contract.coldShare", low=0, high=1)),
-        warm_up=int(_number(raw, "contract.warmUp")),
-        fall_multiple=float(_number(raw, "contract.fallMultiple")),
-        fall_time=int(_number(raw, "contract.fall", low=1)),
+        hedging_allowed=_flag(raw, "limits.mayDuplicate"),
+        slow_start_initial_share=float(_number(raw, "contract.coldShare", low=0, high=1)),
+        slow_start_duration=int(_number(raw, "contract.warmUp")),
+        overload_multiple=float(_number(raw, "contract.fallMultiple")),
+        overload_duration=int(_number(raw, "contract.fall", low=1)),
         tenants=tuple(tenants),
         zone=int(_number(raw, "zone", 0)),
-        gateways=int(_number(raw, "peersTotal", 1, low=1)),
-        index=int(_number(raw, "index", 0, low=0)),
-        ask_for_list=ask,
-        busy_field=_busy_field(raw),
-        ask_every=int(_number(raw, "contract.askEvery", _NEEDED if ask else 10_000_000_000, low=1)),
-        cross_zone_price=float(_number(raw, "prices.crossZone", 0.0)),
+        gateway_count=int(_number(raw, "peersTotal", 1, low=1)),
+        gateway_index=int(_number(raw, "index", 0, low=0)),
+        polls_endpoint_list=ask,
+        utilization_field=_busy_field(raw),
+        poll_interval=int(_number(raw, "contract.askEvery", _NEEDED if ask else 10_000_000_000, low=1)),
+        cross_zone_cost=float(_number(raw, "prices.crossZone", 0.0)),
     )
 
 
@@ -230,23 +241,23 @@
     return Provision(decode_settings(reader.take_bytes(size)), seed)
 
 
-def _list(reader: _Reader) -> ListUpdate:
+def _list(reader: _Reader) -> EndpointListUpdate:
     _, kind, count = reader.take(_LIST)
     # Lists are the bulk of what a large fleet sends: read in one go.
     entries = [
-        ListEntry(replica, _known(STATES, state, "state"), zone, cell, weight, started, kind)
+        EndpointListEntry(replica, _known(STATES, state, "state"), zone, cell, weight, started, kind)
         for kind, replica, zone, weight, started, cell, state in ENTRY.iter_unpack(
             reader.take_bytes(ENTRY.size * count)
         )
     ]
-    return ListUpdate(_known(LIST_KINDS, kind, "list kind"), tuple(entries))
+    return EndpointListUpdate(_known(LIST_KINDS, kind, "list kind"), tuple(entries))
 
 
-def _order(reader: _Reader) -> Arrived:
+def _order(reader: _Reader) -> RequestArrived:
     req, cls, tenant, session, left, hint, prefix, prompt, prefix_len, most, bits = reader.take(_ORDER)
-    return Arrived(
+    return RequestArrived(
         request=req,
-        time_left=left,
+        time_remaining=left,
         request_class=cls,
         tenant=tenant,
         session=session,
@@ -288,7 +299,7 @@
     1020: _order,
     1030: _under_way,
     1040: _resolved,
-    1050: lambda reader: ClientLeft(*reader.take(_U32)),
+    1050: lambda reader: ClientDisconnected(*reader.take(_U32)),
     1060: lambda reader: TimerFired(*reader.take(_U32)),
     1070: _probed,
     1080: _peer,
@@ -339,17 +350,17 @@
 def encode_action(instance: int, action: Action) -> bytes:
     """Encode one action of one instance."""
     match action:
-        case Send(request, replica, timeout):
+        case SendAttempt(request, replica, timeout):
             return _SEND.pack(1000, instance, request, replica, timeout)
         case SetTimer(delay, token):
             return _TIMER.pack(1040, instance, max(0, min(delay, LONGEST_TIMER)), token)
-        case Refuse(request, retry_after):
+        case Reject(request, retry_after):
             return _REFUSE.pack(1010, instance, request, retry_after)
         case Fail(request):
             return _TWO.pack(1020, instance, request)
         case Log(text):
             return _text(1080, instance, text)
-        case Watch(enable):
+        case WatchEndpointList(enable):
             return _WATCH.pack(1100, instance, enable)
 
 
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -14,7 +14,7 @@
 
 LIST_PATH = "/discovery/hosts"
 LIST_LIMIT = 4 * 1024 * 1024  # bytes
-STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.GONE}
+STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.REMOVED}
 
 
 class ListError(ValueError):
@@ -180,7 +180,7 @@
     if state is None:
         raise ListError(f"targets[{at}].state is {named!r}; it can be {', '.join(STATES)}")
     # An entry that is gone may have lost its address; every other must have one.
-    endpoint = None if state is ReplicaState.GONE else decode_endpoint(_text(target, "endpoint", at))
+    endpoint = None if state is ReplicaState.REMOVED else decode_endpoint(_text(target, "endpoint", at))
     zone, kind = target.get("az", ""), target.get("model", "")
     return Entry(
         uid=uid,
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -117,7 +117,7 @@
         """Close the idle connections to a replica."""
         for connection in self.idle.pop(replica.number, ()):
             self._close(connection)
-        if replica.state == ReplicaState.GONE:
+        if replica.state == ReplicaState.REMOVED:
             self.limits.pop(replica.number, None)
 
     def sweep(self) -> None:
@@ -146,7 +146,7 @@
                 return
             self.exchanges[attempt] = connection
             answer = await self._exchange(connection, attempt)
-            if answer.outcome is Outcome.FULL and not attempt.reused:
+            if answer.outcome is Outcome.OVERLOADED and not attempt.reused:
                 self.keep_alive.turned_away(asyncio.get_running_loop().time())
             if answer.reusable:
                 self._release(connection)
@@ -161,7 +161,7 @@
                 self.keep_alive.turned_away(asyncio.get_running_loop().time())
             attempt.ended(Outcome.CONNECT_FAILED)
         except NoRoomError:
-            attempt.ended(Outcome.MOOT)
+            attempt.ended(Outcome.NEVER_SENT)
         except Exception:
             log.exception("attempt_failed", worker=attempt.replica.uid)
             attempt.ended(Outcome.RESET)
@@ -254,7 +254,7 @@
         Its others are as old or older, and later ones are kept for half as long as this one stood.
         """
         replica = connection.replica
-        if connection.stood <= 0.0 or replica.state == ReplicaState.GONE:
+        if connection.stood <= 0.0 or replica.state == ReplicaState.REMOVED:
             return
         self.forget(replica)
         limit = self.limits.get(replica.number, self.keep_alive.longest)
@@ -294,7 +294,7 @@
     if head.status == 200:
         return Outcome.OK
     if head.status in (503, 504) and head.headers.get("srv-declined") == "1":
-        return Outcome.FULL
+        return Outcome.OVERLOADED
     if 400 <= head.status < 500 and head.status not in (408, 429):
-        return Outcome.REJECTED  # a client's fault is no sign of a sick replica
+        return Outcome.INVALID_REQUEST  # a client's fault is no sign of a sick replica
     return Outcome.ERROR
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -6,50 +6,50 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from lockspoke.balancing.actions import Action, Fail, Refuse, Send, SetTimer
+from lockspoke.balancing.actions import Action, Fail, Reject, SendAttempt, SetTimer
 from lockspoke.balancing.balancer import Balancer
 from lockspoke.balancing.events import (
-    Arrived,
     AttemptEnded,
+    EndpointListEntry,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
     FirstToken,
-    ListEntry,
-    ListKind,
-    ListUpdate,
     Outcome,
     ReplicaState,
+    RequestArrived,
     TimerFired,
 )
-from lockspoke.balancing.settings import Effect, RequestClass, Scope, Settings
+from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass, Settings
 
 MS = 1_000_000
 SECOND = 1_000 * MS
 ANSWER_SLACK = 20 * MS
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
 
 
 def settings(**changes: Any) -> Settings:
     base: dict[str, Any] = {
-        "classes": (RequestClass(aim=SECOND),),
+        "classes": (RequestClass(latency_objective=SECOND),),
         "max_attempts": 3,
-        "may_duplicate": False,
-        "cold_share": 0.2,
-        "warm_up": 10 * SECOND,
-        "fall_multiple": 3.0,
-        "fall_time": 2 * SECOND,
+        "hedging_allowed": False,
+        "slow_start_initial_share": 0.2,
+        "slow_start_duration": 10 * SECOND,
+        "overload_multiple": 3.0,
+        "overload_duration": 2 * SECOND,
     }
     return Settings(**(base | changes))
 
 
-def ready(*numbers: int, **changes: Any) -> tuple[ListEntry, ...]:
-    return tuple(ListEntry(replica=number, **changes) for number in numbers)
+def ready(*numbers: int, **changes: Any) -> tuple[EndpointListEntry, ...]:
+    return tuple(EndpointListEntry(replica=number, **changes) for number in numbers)
 
 
 @dataclass
 class Call:
     """One request as the world sees it."""
 
-    arrived: Arrived
+    arrived: RequestArrived
     kind: RequestClass
     deadline: int
     attempts: list[tuple[int, int]] = field(default_factory=list)  # (replica, when)
@@ -68,10 +68,10 @@
         self.balancer = Balancer(self.settings, seed)
         self.now = 1_000 * SECOND
         self.calls: dict[int, Call] = {}
-        self.entries: dict[int, ListEntry] = {}
+        self.entries: dict[int, EndpointListEntry] = {}
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
-        self.list(ListKind.CACHED, ready(*replicas))
+        self.list(EndpointListKind.CACHED, ready(*replicas))
 
     def step(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
@@ -84,59 +84,66 @@
         if isinstance(action, SetTimer):
             assert action.delay >= 0
             self.timers.append((self.now + action.delay, action.token))
-        if isinstance(action, Refuse | Fail):
+        if isinstance(action, Reject | Fail):
             call = self.calls[action.request]
             assert not call.final, "a second final answer"
             assert self.now <= call.deadline + ANSWER_SLACK, "answered late"
-            if isinstance(action, Refuse) and not self._refusable(call):
+            if isinstance(action, Reject) and not self._refusable(call):
                 raise AssertionError("refused though it may have run")
             call.final = type(action).__name__
-        if isinstance(action, Send):
+        if isinstance(action, SendAttempt):
             self._check_send(action)
 
-    def _check_send(self, action: Send) -> None:
+    def _check_send(self, action: SendAttempt) -> None:
         call = self.calls[action.request]
         entry = self.entries[action.replica]
         assert not call.final and not call.streaming, "sent after its end"
         assert len(call.attempts) < self.settings.max_attempts, "too many attempts"
         assert entry.state is ReplicaState.READY, "sent to a replica that drains or is gone"
         out = [n for n in range(len(call.attempts)) if n not in call.outcomes]
-        assert self.settings.may_duplicate or not out, "two attempts out together"
+        assert self.settings.hedging_allowed or not out, "two attempts out together"
         ran = [n for n in range(len(call.attempts)) if call.outcomes.get(n) not in NEVER_RAN]
-        if call.kind.effect is Effect.UNSAFE:
+        if call.kind.idempotency is Idempotency.NOT_IDEMPOTENT:
             assert not ran, "an unsafe request might run twice"
-        if call.kind.effect is Effect.KEYED:
+        if call.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
             for n in ran:
                 first = self.entries[call.attempts[n][0]]
                 same = {
-                    Scope.ALL: True,
-                    Scope.ZONE: first.zone == entry.zone,
-                    Scope.CELL: first.cell == entry.cell,
+                    DeduplicationScope.ALL: True,
+                    DeduplicationScope.ZONE: first.zone == entry.zone,
+                    DeduplicationScope.CELL: first.cell == entry.cell,
                 }
-                assert same[call.kind.scope], "sent outside its dedup group"
-            assert not ran or self.now - call.attempts[ran[0]][1] < call.kind.window, "sent after the window"
+                assert same[call.kind.deduplication_scope], "sent outside its dedup group"
+            assert not ran or self.now - call.attempts[ran[0]][1] < call.kind.deduplication_window, (
+                "sent after the window"
+            )
         call.attempts.append((action.replica, self.now))
 
     def _refusable(self, call: Call) -> bool:
-        if call.kind.effect is Effect.SAFE:
+        if call.kind.idempotency is Idempotency.IDEMPOTENT:
             return True
         ran = [n for n in range(len(call.attempts)) if call.outcomes.get(n) not in NEVER_RAN]
-        return not ran or (call.kind.effect is Effect.KEYED and call.kind.scope is Scope.ALL)
+        return not ran or (
+            call.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and call.kind.deduplication_scope is DeduplicationScope.ALL
+        )
 
     # Events
 
-    def list(self, kind: ListKind, entries: tuple[ListEntry, ...]) -> list[Action]:
-        if kind in (ListKind.FULL, ListKind.CACHED):
+    def list(self, kind: EndpointListKind, entries: tuple[EndpointListEntry, ...]) -> list[Action]:
+        if kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             for number, old in self.entries.items():
-                self.entries[number] = ListEntry(number, ReplicaState.GONE, old.zone, old.cell)
-        if kind is not ListKind.FAILED:
+                self.entries[number] = EndpointListEntry(number, ReplicaState.REMOVED, old.zone, old.cell)
+        if kind is not EndpointListKind.FAILED:
             self.entries |= {entry.replica: entry for entry in entries}
-        return self.step(ListUpdate(kind, entries))
+        return self.step(EndpointListUpdate(kind, entries))
 
-    def arrive(self, request: int, time_left: int = 5 * SECOND, **changes: Any) -> list[Action]:
-        event = Arrived(request=request, time_left=time_left, **({"prompt_tokens": 1000.0} | changes))
+    def arrive(self, request: int, time_remaining: int = 5 * SECOND, **changes: Any) -> list[Action]:
+        event = RequestArrived(
+            request=request, time_remaining=time_remaining, **({"prompt_tokens": 1000.0} | changes)
+        )
         kind = self.settings.classes[event.request_class]
-        self.calls[request] = Call(event, kind, self.now + time_left)
+        self.calls[request] = Call(event, kind, self.now + time_remaining)
         return self.step(event)
 
     def first_token(self, request: int, attempt: int = -1) -> list[Action]:
@@ -195,4 +202,4 @@
             assert call.final or call.streaming or not late, f"request {number} has no answer"
 
     def sent_to(self, actions: Iterable[Action]) -> list[int]:
-        return [action.replica for action in actions if isinstance(action, Send)]
+        return [action.replica for action in actions if isinstance(action, SendAttempt)]
--- a/tests/balancing/test_breaker.py
+++ b/tests/balancing/test_breaker.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lockspoke.balancing.actions import Refuse
+from lockspoke.balancing.actions import Reject
 from lockspoke.balancing.balancer import COME_BACK, FIRST_LIMIT
 from lockspoke.balancing.breaker import (
     FAILURE_THRESHOLD,
@@ -13,9 +13,9 @@
     STALE_TRIAL,
     SUCCESS_THRESHOLD,
     Breaker,
-    State,
+    BreakerState,
 )
-from lockspoke.balancing.events import ListKind, Outcome
+from lockspoke.balancing.events import EndpointListKind, Outcome
 from lockspoke.balancing.records import Attempt, Replica
 from tests.balancing.helpers import MS, SECOND, World, ready, settings
 
@@ -28,7 +28,7 @@
     breaker = Breaker()
     for _ in range(FAILURE_THRESHOLD):
         breaker.failed(now, True)
-    assert breaker.look(now) is State.OPEN
+    assert breaker.look(now) is BreakerState.OPEN
     return breaker
 
 
@@ -37,48 +37,48 @@
     for _ in range(3):
         for _ in range(FAILURE_THRESHOLD - 1):
             breaker.failed(0, True)
-        assert breaker.look(0) is State.CLOSED
+        assert breaker.look(0) is BreakerState.CLOSED
         breaker.succeeded(attempt_on(breaker))
     for _ in range(FAILURE_THRESHOLD):
         breaker.failed(0, True)
-    assert breaker.look(0) is State.OPEN
+    assert breaker.look(0) is BreakerState.OPEN
 
 
 def test_closed_stays_closed_when_it_may_not_open() -> None:
     breaker = Breaker()
     for _ in range(10 * FAILURE_THRESHOLD):
         breaker.failed(0, False)
-    assert breaker.look(0) is State.CLOSED
+    assert breaker.look(0) is BreakerState.CLOSED
 
 
 def test_open_half_opens_after_the_recovery_since_the_last_failure() -> None:
     breaker = opened(now=0)
     breaker.failed(RECOVERY - 1, True)  # a late outcome restarts the timer
-    assert breaker.look(RECOVERY) is State.OPEN
-    assert breaker.look(2 * RECOVERY - 2) is State.OPEN
-    assert breaker.look(2 * RECOVERY - 1) is State.HALF_OPEN
+    assert breaker.look(RECOVERY) is BreakerState.OPEN
+    assert breaker.look(2 * RECOVERY - 2) is BreakerState.OPEN
+    assert breaker.look(2 * RECOVERY - 1) is BreakerState.HALF_OPEN
 
 
 def test_half_open_closes_after_successes_in_a_row_of_its_own_trials() -> None:
     breaker = opened()
     breaker.look(RECOVERY)
     breaker.succeeded(attempt_on(breaker))  # sent before it opened: no verdict
-    assert breaker.look(RECOVERY) is State.HALF_OPEN
+    assert breaker.look(RECOVERY) is BreakerState.HALF_OPEN
     for count in range(SUCCESS_THRESHOLD):
-        assert breaker.look(RECOVERY) is State.HALF_OPEN, count
+        assert breaker.look(RECOVERY) is BreakerState.HALF_OPEN, count
         breaker.trial = attempt_on(breaker)
         breaker.trial_at = RECOVERY
         breaker.succeeded(breaker.trial)
-    assert breaker.look(RECOVERY) is State.CLOSED
+    assert breaker.look(RECOVERY) is BreakerState.CLOSED
 
 
 def test_half_open_reopens_on_any_failure_and_waits_twice_as_long_up_to_a_bound() -> None:
     breaker, now, waits = opened(), 0, []
     for _ in range(6):
         wait = breaker.recovery
-        assert breaker.look(now + wait - 1) is State.OPEN
+        assert breaker.look(now + wait - 1) is BreakerState.OPEN
         now += wait
-        assert breaker.look(now) is State.HALF_OPEN
+        assert breaker.look(now) is BreakerState.HALF_OPEN
         breaker.failed(now, True)
         waits.append(wait)
     assert waits[:3] == [RECOVERY, 2 * RECOVERY, 4 * RECOVERY]
@@ -102,13 +102,13 @@
     breaker.released(attempt_on(breaker))
     assert breaker.trial is trial
     breaker.released(trial)
-    assert breaker.trial is None and breaker.look(RECOVERY) is State.HALF_OPEN
+    assert breaker.trial is None and breaker.look(RECOVERY) is BreakerState.HALF_OPEN
 
 
 def fail_on(world: World, replica: int, outcome: Outcome, base: int) -> None:
     """Let every request sent to `replica` end so, until its breaker opens; others answer."""
     number = base
-    while world.balancer.replicas[replica].breaker.state is State.CLOSED:
+    while world.balancer.replicas[replica].breaker.state is BreakerState.CLOSED:
         number += 1
         assert number < base + 200, "never opened"
         actions = world.arrive(number)
@@ -135,9 +135,9 @@
     for number in range(40):
         world.arrive(number)
         if world.calls[number].attempts:
-            world.end(number, Outcome.FULL)
+            world.end(number, Outcome.OVERLOADED)
         world.pass_time(SECOND)
-    assert world.balancer.replicas[1].breaker.state is State.CLOSED
+    assert world.balancer.replicas[1].breaker.state is BreakerState.CLOSED
 
 
 def test_one_trial_at_a_time_and_it_succeeds_at_its_first_token() -> None:
@@ -149,7 +149,7 @@
     world.first_token(500)
     assert world.sent_to(world.arrive(502)) == [2]
     world.first_token(502)
-    assert world.balancer.replicas[2].breaker.state is State.CLOSED
+    assert world.balancer.replicas[2].breaker.state is BreakerState.CLOSED
 
 
 def test_a_replica_that_was_open_returns_with_a_low_limit() -> None:
@@ -162,11 +162,11 @@
 def test_shared_time_outs_open_half_the_fleet_at_most() -> None:
     world = World(replicas=range(1, 9))
     for number in range(400):
-        world.arrive(number, time_left=SECOND)
+        world.arrive(number, time_remaining=SECOND)
         world.pass_time(50 * MS)
     world.pass_time(SECOND)
     states = [replica.breaker.state for replica in world.balancer.replicas.values()]
-    assert 1 <= sum(state is not State.CLOSED for state in states) <= 4
+    assert 1 <= sum(state is not BreakerState.CLOSED for state in states) <= 4
 
 
 def test_connection_failures_open_past_half_the_fleet() -> None:
@@ -177,14 +177,14 @@
         while not world.calls[number].final and world.calls[number].attempts:
             world.end(number, Outcome.CONNECT_FAILED)
         world.pass_time(10 * MS)
-    assert all(replica.breaker.state is State.OPEN for replica in world.balancer.replicas.values())
+    assert all(replica.breaker.state is BreakerState.OPEN for replica in world.balancer.replicas.values())
 
 
 def test_a_restart_under_the_same_id_closes_the_breaker() -> None:
     world = World(replicas=(1, 2, 3, 4))
     fail_on(world, 2, Outcome.RESET, 0)
-    world.list(ListKind.DELTA, ready(2, started_at=world.now))
-    assert world.balancer.replicas[2].breaker.state is State.CLOSED
+    world.list(EndpointListKind.DELTA, ready(2, started_at=world.now))
+    assert world.balancer.replicas[2].breaker.state is BreakerState.CLOSED
 
 
 def test_two_failed_connections_open_a_breaker() -> None:
@@ -192,21 +192,21 @@
     world = World(replicas=(1,))
     for number in (1, 2):
         world.arrive(number)
-        assert world.balancer.replicas[1].breaker.state is State.CLOSED
+        assert world.balancer.replicas[1].breaker.state is BreakerState.CLOSED
         world.end(number, Outcome.CONNECT_FAILED)
-    assert world.balancer.replicas[1].breaker.state is State.OPEN
+    assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
 
 
 def test_a_refused_client_is_told_when_a_replica_may_have_room() -> None:
     """Sooner it would meet the same jam; and it is told at once, never held until then."""
     world = World(replicas=())
-    assert world.arrive(1)[0] == Refuse(1, RECOVERY)
+    assert world.arrive(1)[0] == Reject(1, RECOVERY)
     world = World(replicas=(1,))
     for request in range(1, 6):
         actions = world.arrive(request)
         if world.sent_to(actions):
             actions = world.end(request, Outcome.CONNECT_FAILED)
-    refused = [action for action in actions if isinstance(action, Refuse)]
+    refused = [action for action in actions if isinstance(action, Reject)]
     assert [action.retry_after for action in refused] == [RECOVERY]
     world.now += RECOVERY - COME_BACK // 2
-    assert world.arrive(9)[0] == Refuse(9, COME_BACK)
+    assert world.arrive(9)[0] == Reject(9, COME_BACK)
--- a/tests/balancing/test_cold_sum.py
+++ b/tests/balancing/test_cold_sum.py
@@ -17,9 +17,17 @@
 import pytest
 
 from lockspoke.balancing import Balancer
-from lockspoke.balancing.actions import Action, Send
+from lockspoke.balancing.actions import Action, SendAttempt
 from lockspoke.balancing.balancer import ANSWER_TOKENS
-from lockspoke.balancing.events import Arrived, AttemptEnded, Event, FirstToken, ListKind, ListUpdate, Outcome
+from lockspoke.balancing.events import (
+    AttemptEnded,
+    EndpointListKind,
+    EndpointListUpdate,
+    Event,
+    FirstToken,
+    Outcome,
+    RequestArrived,
+)
 from tests.balancing.helpers import MS, SECOND, ready, settings
 
 REPLICAS = range(1, 21)
@@ -57,7 +65,10 @@
     def __init__(self, case: Case, seed: int) -> None:
         self.case, self.draw = case, random.Random(seed)
         self.fleet = settings(
-            cold_share=0.13, warm_up=24 * SECOND, fall_time=1_500 * MS, gateways=case.gateways
+            slow_start_initial_share=0.13,
+            slow_start_duration=24 * SECOND,
+            overload_duration=1_500 * MS,
+            gateway_count=case.gateways,
         )
         self.gateways = [self._gateway(index, seed) for index in range(case.gateways)]
         self.now, self.number, self.queue = START, 0, list[tuple[int, int, Callable[[], None]]]()
@@ -78,8 +89,8 @@
         heapq.heappush(self.queue, (when, self.draw.getrandbits(60), happens))
 
     def _gateway(self, index: int, seed: int) -> Balancer:
-        gateway = Balancer(replace(self.fleet, index=index), seed * 10_007 + index)
-        gateway.handle(START, [ListUpdate(ListKind.CACHED, ready(*REPLICAS))])
+        gateway = Balancer(replace(self.fleet, gateway_index=index), seed * 10_007 + index)
+        gateway.handle(START, [EndpointListUpdate(EndpointListKind.CACHED, ready(*REPLICAS))])
         return gateway
 
     def _news(self, index: int, seed: int) -> Callable[[], None]:
@@ -88,7 +99,7 @@
                 self.gateways[index] = self._gateway(index, seed + 1)
             self.told.add(index)
             started = ready(*self.case.cold, started_at=START + COLD_AT)
-            self._tell(index, ListUpdate(ListKind.DELTA, started))
+            self._tell(index, EndpointListUpdate(EndpointListKind.DELTA, started))
 
         return happens
 
@@ -96,14 +107,14 @@
         self.number += 1
         sigma = 1.3 if self.case.heavy_tail else 0.2
         prompt = MEAN_PROMPT * self.draw.lognormvariate(-sigma * sigma / 2, sigma)
-        self._tell(gateway, Arrived(self.number, 10 * SECOND, prompt_tokens=prompt), prompt)
+        self._tell(gateway, RequestArrived(self.number, 10 * SECOND, prompt_tokens=prompt), prompt)
 
     def _tell(self, gateway: int, event: Event, prompt: float = 0.0) -> None:
         for action in self.gateways[gateway].handle(self.now, [event]):
             self._do(gateway, action, prompt)
 
     def _do(self, gateway: int, action: Action, prompt: float) -> None:
-        if not isinstance(action, Send):
+        if not isinstance(action, SendAttempt):
             return
         request, number, sent_at, asked = action.request, action.replica, self.now, self.gateways[gateway]
         if number in self.sent and self.now >= START + COLD_AT:
@@ -115,7 +126,7 @@
                 self._tell(gateway, event)
 
         first = FirstToken(request, 0, number, 100 * MS)
-        ended = AttemptEnded(request, 0, number, Outcome.OK, SECOND, closed=True)
+        ended = AttemptEnded(request, 0, number, Outcome.OK, SECOND, request_answered=True)
         self._at(sent_at + 100 * MS, lambda: later(first))
         self._at(sent_at + SECOND, lambda: later(ended))
 
@@ -124,7 +135,9 @@
         broken = []
         for sends in self.sent.values():
             for first in sends:
-                window = [one for one in sends if first.when <= one.when < first.when + self.fleet.fall_time]
+                window = [
+                    one for one in sends if first.when <= one.when < first.when + self.fleet.overload_duration
+                ]
                 got = sum(one.work for one in window)
                 if sum(one.work for one in window if one.told) > got * 2 / 3 and got > self._stands(
                     first.when
@@ -133,9 +146,9 @@
         return broken
 
     def _stands(self, when: int) -> float:
-        share = 0.13 + 0.87 * (when - START - COLD_AT) / self.fleet.warm_up
-        warm = PACE / len(REPLICAS) * self.fleet.fall_time / SECOND
-        allowed = self.fleet.fall_multiple * share * warm
+        share = 0.13 + 0.87 * (when - START - COLD_AT) / self.fleet.slow_start_duration
+        warm = PACE / len(REPLICAS) * self.fleet.overload_duration / SECOND
+        allowed = self.fleet.overload_multiple * share * warm
         return allowed + 2 * math.sqrt(allowed) + 2
 
 
--- a/tests/balancing/test_overload.py
+++ b/tests/balancing/test_overload.py
@@ -9,15 +9,15 @@
 import pytest
 
 from lockspoke.balancing import Balancer
-from lockspoke.balancing.actions import Action, Fail, Refuse, Send, SetTimer
+from lockspoke.balancing.actions import Action, Fail, Reject, SendAttempt, SetTimer
 from lockspoke.balancing.events import (
-    Arrived,
     AttemptEnded,
+    EndpointListKind,
+    EndpointListUpdate,
     Event,
     FirstToken,
-    ListKind,
-    ListUpdate,
     Outcome,
+    RequestArrived,
     TimerFired,
 )
 from lockspoke.balancing.settings import RequestClass
@@ -32,8 +32,8 @@
     """Requests at a pace for a minute; one in ten has a long prompt. Each is answered or not."""
 
     def __init__(self, load: float, seed: int, sessions: int = ALL_NEW) -> None:
-        kinds = (RequestClass(aim=SECOND, aim_per_token=30_000.0),)
-        given = settings(classes=kinds, may_duplicate=True, busy_field=0)
+        kinds = (RequestClass(latency_objective=SECOND, latency_objective_per_token=30_000.0),)
+        given = settings(classes=kinds, hedging_allowed=True, utilization_field=0)
         self.balancer, self.draw = Balancer(given, seed), random.Random(seed)
         self.now, self.queue = 1_000 * SECOND, list[tuple[int, int, Callable[[], None]]]()
         self.taken, self.read_until = [0] * WORKERS, [0] * WORKERS
@@ -43,7 +43,7 @@
         self.deadlines = dict[int, int]()
         self.over, self.answered = set[int](), set[int]()
         self.attempts = dict[int, int]()
-        self._tell(ListUpdate(ListKind.CACHED, ready(*range(WORKERS))))
+        self._tell(EndpointListUpdate(EndpointListKind.CACHED, ready(*range(WORKERS))))
         when, pace = self.now, load * WORKERS * min(READ / 1_665, SLOTS / 2.3)
         while (when := when + int(self.draw.expovariate(pace) * SECOND)) < self.now + 60 * SECOND:
             self._at(when, self._arrive)
@@ -60,7 +60,7 @@
         prompt = self.prompts[number] = self.draw.uniform(*((6_000, 12_000) if long else (200, 1_500)))
         session = self.sessions[number] = 1 + self.draw.randrange(self.session_count)
         self.deadlines[number], self.attempts[number] = self.now + DEADLINE, 0
-        self._tell(Arrived(number, DEADLINE, session=session, prompt_tokens=prompt))
+        self._tell(RequestArrived(number, DEADLINE, session=session, prompt_tokens=prompt))
 
     def _tell(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, [event]):
@@ -69,9 +69,9 @@
     def _do(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             self._at(self.now + action.delay, lambda: self._tell(TimerFired(action.token)))
-        elif isinstance(action, Refuse | Fail):
+        elif isinstance(action, Reject | Fail):
             self.over.add(action.request)
-        elif isinstance(action, Send):
+        elif isinstance(action, SendAttempt):
             self._send(action.request, action.replica)
 
     def _send(self, number: int, worker: int) -> None:
@@ -79,7 +79,7 @@
         self.attempts[number] += 1
 
         def end(outcome: Outcome) -> None:
-            self.taken[worker] -= outcome is not Outcome.FULL
+            self.taken[worker] -= outcome is not Outcome.OVERLOADED
             closed, report = outcome is Outcome.OK or number in self.over, (self.taken[worker] / SLOTS,)
             self._tell(AttemptEnded(number, attempt, worker, outcome, self.now - sent, closed, 0, report))
 
@@ -91,7 +91,7 @@
             return self._at(self.now + int(self.draw.uniform(1, 3) * SECOND), lambda: end(Outcome.OK))
 
         if self.taken[worker] >= SLOTS:
-            return self._at(self.now + 2 * MS, lambda: end(Outcome.FULL))
+            return self._at(self.now + 2 * MS, lambda: end(Outcome.OVERLOADED))
         self.taken[worker] += 1
         held = worker, self.sessions[number]
         reading = int(max(0.0, self.prompts[number] - self.cached.get(held, 0.0)) / READ * SECOND)
--- a/tests/balancing/test_pick.py
+++ b/tests/balancing/test_pick.py
@@ -8,10 +8,16 @@
 
 import pytest
 
-from lockspoke.balancing.actions import Send, Watch
+from lockspoke.balancing.actions import SendAttempt, WatchEndpointList
 from lockspoke.balancing.balancer import FULL_PAUSE
-from lockspoke.balancing.breaker import State
-from lockspoke.balancing.events import Arrived, FirstToken, ListEntry, ListKind, Outcome
+from lockspoke.balancing.breaker import BreakerState
+from lockspoke.balancing.events import (
+    EndpointListEntry,
+    EndpointListKind,
+    FirstToken,
+    Outcome,
+    RequestArrived,
+)
 from lockspoke.balancing.settings import Tenant
 from tests.balancing.helpers import MS, SECOND, Call, World, ready, settings
 
@@ -21,7 +27,7 @@
 
 def test_work_follows_listed_size() -> None:
     world = World(replicas=())
-    world.list(ListKind.FULL, ready(1, 2, weight=1.0) + ready(3, 4, weight=3.0))
+    world.list(EndpointListKind.FULL, ready(1, 2, weight=1.0) + ready(3, 4, weight=3.0))
     sent = Counter(replica for n in range(200) for replica in world.sent_to(world.arrive(n)))
     assert 2.2 < (sent[3] + sent[4]) / (sent[1] + sent[2]) < 3.8
 
@@ -88,7 +94,7 @@
     for session in range(1, 11):
         turns = Counter[int]()
         for gateway in range(12):
-            world = World(settings(gateways=200, index=gateway), replicas=replicas, seed=gateway)
+            world = World(settings(gateway_count=200, gateway_index=gateway), replicas=replicas, seed=gateway)
             for number in range(30):  # what each gateway has seen of the traffic is another thing
                 world.arrive(number, prefix=100 + (gateway + number) % 25, prefix_tokens=3000.0)
                 world.first_token(number)
@@ -102,7 +108,7 @@
 def test_the_sessions_of_a_prefix_are_spread_over_its_holders() -> None:
     sent: Counter[int] = Counter()
     for session in range(1, 201):
-        world = World(settings(gateways=200), replicas=range(1, 92), seed=session)
+        world = World(settings(gateway_count=200), replicas=range(1, 92), seed=session)
         turn: dict[str, float] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
         sent.update(world.sent_to(world.arrive(1, prompt_tokens=9000.0, **turn)))
     assert len(sent) >= 8 and max(sent.values()) <= 60
@@ -112,9 +118,9 @@
     """Its first home elsewhere, each turn went there or to what was near by the load of the moment."""
     near = 0
     for session in range(1, 201):
-        world = World(settings(gateways=200, cross_zone_price=0.08, zone=0), replicas=(), seed=session)
-        entries = tuple(ListEntry(number, zone=number % 3) for number in range(1, 91))
-        world.list(ListKind.FULL, entries)
+        world = World(settings(gateway_count=200, cross_zone_cost=0.08, zone=0), replicas=(), seed=session)
+        entries = tuple(EndpointListEntry(number, zone=number % 3) for number in range(1, 91))
+        world.list(EndpointListKind.FULL, entries)
         turn: dict[str, float] = {"session": session, "prefix": 1000 + session, "prefix_tokens": 9000.0}
         near += world.sent_to(world.arrive(1, prompt_tokens=15_000.0, **turn))[0] % 3 == 0
     assert near >= 145
@@ -124,7 +130,7 @@
     """Of a young gateway's requests one is a great share: each prefix was read by the whole fleet."""
     holders = Counter[int]()
     for seed in range(200):
-        world = World(settings(gateways=200), replicas=range(1, 92), seed=seed)
+        world = World(settings(gateway_count=200), replicas=range(1, 92), seed=seed)
         holders.update(world.sent_to(world.arrive(1, prefix=100, prefix_tokens=3000.0, prompt_tokens=3500.0)))
     assert len(holders) <= 15
 
@@ -134,7 +140,7 @@
     sent: Counter[int] = Counter()
     for seed in range(80):
         world = World(replicas=(), seed=seed)
-        world.list(ListKind.FULL, ready(1, 2, 3, 4, weight=0.25) + ready(5, weight=3.0))
+        world.list(EndpointListKind.FULL, ready(1, 2, 3, 4, weight=0.25) + ready(5, weight=3.0))
         sent.update(world.sent_to(world.arrive(1)))
     assert sent[5] >= 45 and sent.total() - sent[5] >= 5
 
@@ -144,9 +150,9 @@
     crossed = Counter[int]()
     for gateways in (1, 16):
         for seed in range(20):
-            given = settings(cross_zone_price=0.08, zone=0, gateways=gateways)
+            given = settings(cross_zone_cost=0.08, zone=0, gateway_count=gateways)
             world = World(given, replicas=(), seed=seed)
-            world.list(ListKind.FULL, ready(1, 2, 3, 4, zone=1) + ready(5, 6, 7, 8, zone=0))
+            world.list(EndpointListKind.FULL, ready(1, 2, 3, 4, zone=1) + ready(5, 6, 7, 8, zone=0))
             sent = [replica for n in range(24) for replica in world.sent_to(world.arrive(n))]
             crossed[gateways] += sum(replica < 5 for replica in sent)
     assert 2 * crossed[1] < crossed[16]
@@ -154,8 +160,8 @@
 
 def test_a_small_replica_is_not_left_idle_beside_a_loaded_large_one() -> None:
     """Reading and crossing divided by the size kept small replicas empty while large ones jammed."""
-    world = World(settings(gateways=4), replicas=())
-    world.list(ListKind.FULL, ready(1, weight=4.0) + ready(2, 3, 4))
+    world = World(settings(gateway_count=4), replicas=())
+    world.list(EndpointListKind.FULL, ready(1, weight=4.0) + ready(2, 3, 4))
     sent = Counter(replica for n in range(28) for replica in world.sent_to(world.arrive(n)))
     assert min(sent[2], sent[3], sent[4]) >= 2
 
@@ -164,7 +170,7 @@
     world = World(replicas=(1, 2))
     home = world.sent_to(world.arrive(1, session=5))[0]
     assert world.balancer.replicas[home].cached
-    world.list(ListKind.DELTA, ready(home, started_at=world.now))
+    world.list(EndpointListKind.DELTA, ready(home, started_at=world.now))
     assert not world.balancer.replicas[home].cached
 
 
@@ -172,8 +178,8 @@
     """The share of light traffic that stays in the own zone, whose replicas are listed with this weight."""
     stayed = 0
     for seed in range(100):
-        world = World(settings(cross_zone_price=0.08, zone=0), replicas=(), seed=seed)
-        world.list(ListKind.FULL, ready(1, 2, zone=1) + ready(3, 4, zone=0, weight=near))
+        world = World(settings(cross_zone_cost=0.08, zone=0), replicas=(), seed=seed)
+        world.list(EndpointListKind.FULL, ready(1, 2, zone=1) + ready(3, 4, zone=0, weight=near))
         stayed += world.sent_to(world.arrive(1))[0] >= 3
     return stayed / 100
 
@@ -187,7 +193,7 @@
 def jammed(world: World) -> None:
     """Late first tokens on every replica, so that each has a concurrency limit."""
     for number in range(1, 41):
-        world.arrive(number, time_left=60 * SECOND)
+        world.arrive(number, time_remaining=60 * SECOND)
     world.pass_time(2 * SECOND)
     for number in range(1, 41):
         if world.calls[number].attempts:
@@ -204,7 +210,7 @@
         world.pass_time(10 * MS)
     for number in range(1, 41):
         for action in world.end(number, Outcome.OK):
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 assert action.request == 103
                 return
     raise AssertionError("nothing left the line")
@@ -213,9 +219,9 @@
 def test_what_waits_is_answered_by_its_deadline() -> None:
     world = World(replicas=(1, 2))
     jammed(world)
-    world.arrive(101, time_left=SECOND)
+    world.arrive(101, time_remaining=SECOND)
     world.pass_time(SECOND + 10 * MS)
-    assert world.calls[101].final == "Refuse"
+    assert world.calls[101].final == "Reject"
 
 
 def test_the_tenant_least_served_against_its_share_goes_first() -> None:
@@ -227,7 +233,7 @@
     world.arrive(102, tenant=0)
     for number in range(1, 41):
         for action in world.end(number, Outcome.OK):
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 assert action.request == 101
                 return
     raise AssertionError("nothing left the line")
@@ -251,10 +257,10 @@
     world.arrive(101)
     world.pass_time(10 * MS)
     world.arrive(102, client_retry=True)
-    world.arrive(103, time_left=SECOND // 2)
+    world.arrive(103, time_remaining=SECOND // 2)
     for number in range(1, 41):
         for action in world.end(number, Outcome.OK):
-            if isinstance(action, Send):
+            if isinstance(action, SendAttempt):
                 assert action.request == 101
                 return
     raise AssertionError("nothing left the line")
@@ -285,7 +291,7 @@
     """'Full' was answered by the next attempt at once; and with nothing in flight no event would come."""
     world = World(replicas=(1,))
     world.arrive(1)
-    assert not world.sent_to(world.end(1, Outcome.FULL))
+    assert not world.sent_to(world.end(1, Outcome.OVERLOADED))
     world.pass_time(FULL_PAUSE + MS)
     assert len(world.calls[1].attempts) == 2
 
@@ -314,24 +320,24 @@
             world.first_token(number)
             world.end(number, Outcome.OK)
         world.pass_time(100 * MS)
-    assert {replica.breaker.state for replica in world.balancer.replicas.values()} == {State.CLOSED}
+    assert {replica.breaker.state for replica in world.balancer.replicas.values()} == {BreakerState.CLOSED}
 
 
 def until_it_asks(world: World, step: int = 20 * MS) -> int:
     """How long it takes from now until the gateway calls for the list."""
     start = world.now
-    while Watch(True) not in world.log:
+    while WatchEndpointList(True) not in world.log:
         world.pass_time(step)
     return world.now - start
 
 
 def test_the_list_is_asked_for_at_the_start_and_not_again_once_it_has_come() -> None:
-    world = World(settings(ask_for_list=True))
-    assert Watch(True) in world.log
-    world.list(ListKind.FULL, ready(1, 2))
+    world = World(settings(polls_endpoint_list=True))
+    assert WatchEndpointList(True) in world.log
+    world.list(EndpointListKind.FULL, ready(1, 2))
     world.log.clear()
     world.pass_time(60 * SECOND)
-    assert Watch(True) not in world.log
+    assert WatchEndpointList(True) not in world.log
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 6])
@@ -339,17 +345,17 @@
     gateways: int,
 ) -> None:
     """Pauses grew to 3.5 s: one failed request after discovery was back, and its changes came after 6 s."""
-    world = World(settings(ask_for_list=True, gateways=gateways))
+    world = World(settings(polls_endpoint_list=True, gateway_count=gateways))
     for _ in range(8):
         world.log.clear()
-        world.list(ListKind.FAILED, ())
+        world.list(EndpointListKind.FAILED, ())
         assert 500 * MS <= until_it_asks(world) <= SECOND
 
 
 def test_two_hundred_gateways_that_start_at_once_have_all_asked_before_changes_count_as_told() -> None:
     """The last one's turn came after 5 s, and with it the answer after 6 s."""
     for index in range(0, 200, 9):
-        world = World(settings(ask_for_list=True, gateways=200, index=index), seed=index)
+        world = World(settings(polls_endpoint_list=True, gateway_count=200, gateway_index=index), seed=index)
         assert until_it_asks(world) <= 6 * SECOND - REQUEST_AND_ANSWER
 
 
@@ -357,7 +363,7 @@
     """Discovery works through calls in turn: of 28 at once it failed 19, which stayed blind for 15 s."""
     asked = []
     for index in range(40):
-        world = World(settings(ask_for_list=True, gateways=40, index=index), seed=index)
+        world = World(settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index)
         asked.append(until_it_asks(world))
     asked.sort()
     assert asked[0] == 0 and asked[-1] <= 5 * SECOND, "none may count as not asking"
@@ -368,41 +374,43 @@
 def test_gateways_whose_calls_failed_together_do_not_call_again_together() -> None:
     again = []
     for index in range(40):
-        world = World(settings(ask_for_list=True, gateways=40, index=index), seed=index)
+        world = World(settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index)
         world.pass_time(5 * SECOND)
         world.log.clear()
-        world.list(ListKind.FAILED, ())
+        world.list(EndpointListKind.FAILED, ())
         again.append(until_it_asks(world))
     assert max(sum(when <= other < when + SECOND for other in again) for when in again) <= 24
     assert max(again) <= 5 * SECOND
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 25, 200, 1024])
-@pytest.mark.parametrize("ask_every", [2 * SECOND, 10 * SECOND, 60 * SECOND])
+@pytest.mark.parametrize("poll_interval", [2 * SECOND, 10 * SECOND, 60 * SECOND])
 def test_however_often_calls_have_failed_the_next_is_read_before_changes_count_as_told(
-    gateways: int, ask_every: int
+    gateways: int, poll_interval: int
 ) -> None:
     """Pauses grew to 7.5 s with many gateways, and 6 s after discovery is back all it has counts as told."""
     for index in range(0, gateways, max(1, gateways // 12)):
-        given = settings(ask_for_list=True, gateways=gateways, index=index, ask_every=ask_every)
+        given = settings(
+            polls_endpoint_list=True, gateway_count=gateways, gateway_index=index, poll_interval=poll_interval
+        )
         world = World(given, seed=index)
         world.pass_time(5 * SECOND)
         for _ in range(8):
             world.log.clear()
-            world.list(ListKind.FAILED, ())
+            world.list(EndpointListKind.FAILED, ())
             assert until_it_asks(world) <= 6 * SECOND - CONNECT_AND_ANSWER
 
 
 def test_an_unanswered_call_for_the_list_is_repeated() -> None:
-    world = World(settings(ask_for_list=True))
+    world = World(settings(polls_endpoint_list=True))
     world.log.clear()
     world.pass_time(6 * SECOND)
-    assert Watch(True) in world.log
+    assert WatchEndpointList(True) in world.log
 
 
 def test_a_clock_that_jumps_far_ahead_answers_everything() -> None:
     world = World()
-    world.arrive(1, time_left=10**13)
+    world.arrive(1, time_remaining=10**13)
     world.pass_time(2 * 10**13)
     assert world.calls[1].final
 
@@ -413,7 +421,8 @@
     for number in range(1, 6001):
         if number % 20 == 0:
             world.list(
-                ListKind.FULL, ready(1, 2, 3, 1000 + number, started_at=world.now if number % 40 else 0)
+                EndpointListKind.FULL,
+                ready(1, 2, 3, 1000 + number, started_at=world.now if number % 40 else 0),
             )
         world.arrive(number, session=number, prefix=number % 500, prefix_tokens=100.0)
         if world.calls[number].attempts:
@@ -441,7 +450,7 @@
         for number in range(1, 41):
             if world.calls[number].attempts and world.calls[number].attempts[-1][0] == mine:
                 actions = world.end(number, Outcome.OK)
-                sent += [(a.request, a.replica) for a in actions if isinstance(a, Send)]
+                sent += [(a.request, a.replica) for a in actions if isinstance(a, SendAttempt)]
         assert sent[0] == (101, mine)
 
 
@@ -449,7 +458,7 @@
     """A cut takes a part of each gateway's limit; a fixed rise would outrun running answers with many."""
     risen = {}
     for gateways in (1, 4):
-        world = World(settings(gateways=gateways), replicas=(1,))
+        world = World(settings(gateway_count=gateways), replicas=(1,))
         replica = world.balancer.replicas[1]
         replica.limit = 1.0
         world.arrive(1)
@@ -460,9 +469,9 @@
 
 def shared_jam(late: Iterable[int]) -> World:
     """A gateway among a hundred, twenty requests on as many replicas; on some the first token is late."""
-    world = World(settings(gateways=100), replicas=range(1, 21))
+    world = World(settings(gateway_count=100), replicas=range(1, 21))
     for number in range(1, 21):
-        world.arrive(number, time_left=60 * SECOND)
+        world.arrive(number, time_remaining=60 * SECOND)
     world.pass_time(900 * MS)
     replicas = {number: world.calls[number].attempts[0][0] for number in range(1, 21)}
     for number in sorted(replicas, key=lambda number: replicas[number] in set(late)):
@@ -485,7 +494,7 @@
     world = shared_jam(late=range(1, 21))
     assert sum(call.streaming for call in world.calls.values()) == 20
     for number in range(101, 131):  # answers begin at once again, none ends
-        world.arrive(number, time_left=60 * SECOND)
+        world.arrive(number, time_remaining=60 * SECOND)
         world.pass_time(50 * MS)
         for request, attempt in world.out():
             if not world.calls[request].streaming:
@@ -504,27 +513,27 @@
         world.arrive(number)
         if world.calls[number].attempts:
             world.end(number, Outcome.CONNECT_FAILED)
-    assert world.balancer.replicas[1].breaker.state is State.OPEN
+    assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
     for number in (11, 12, 13):
-        world.calls[number] = Call(Arrived(number, 5 * SECOND), world.settings.classes[0], world.now)
-    world.step(*(Arrived(number, 5 * SECOND) for number in (11, 12, 13)))
-    assert [world.calls[number].final for number in (11, 12, 13)] == ["Refuse"] * 3
+        world.calls[number] = Call(RequestArrived(number, 5 * SECOND), world.settings.classes[0], world.now)
+    world.step(*(RequestArrived(number, 5 * SECOND) for number in (11, 12, 13)))
+    assert [world.calls[number].final for number in (11, 12, 13)] == ["Reject"] * 3
 
 
 def test_a_full_half_open_replica_does_not_take_every_request() -> None:
     """A trial answered 'full' frees its slot at once: 99% of all attempts went to that one replica."""
     world = World(replicas=(1, 2))
     for number in range(1, 9):
-        world.arrive(number, time_left=60 * SECOND)
+        world.arrive(number, time_remaining=60 * SECOND)
         if world.calls[number].attempts[-1][0] == 1:
             world.end(number, Outcome.CONNECT_FAILED)
-    assert world.balancer.replicas[1].breaker.state is State.OPEN
+    assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
     world.pass_time(3 * SECOND)
     trials = 0
     for number in range(101, 121):
         if world.sent_to(world.arrive(number)) == [1]:
             trials += 1
-            world.end(number, Outcome.FULL)
+            world.end(number, Outcome.OVERLOADED)
     assert trials == 1
 
 
@@ -534,7 +543,7 @@
     for number in range(1, 31):
         world.arrive(number)
         if world.calls[number].attempts[-1][0] == 1:
-            world.end(number, Outcome.FULL)
+            world.end(number, Outcome.OVERLOADED)
         world.pass_time(MS)
     assert world.balancer.fleet.limit == math.inf
 
--- a/tests/balancing/test_reports.py
+++ b/tests/balancing/test_reports.py
@@ -6,15 +6,21 @@
 from typing import Any
 
 from lockspoke.balancing.balancer import FULL_PAUSE, REPORT_LIVES
-from lockspoke.balancing.breaker import State
-from lockspoke.balancing.events import AttemptEnded, ListEntry, ListKind, Outcome, ReplicaState
+from lockspoke.balancing.breaker import BreakerState
+from lockspoke.balancing.events import (
+    AttemptEnded,
+    EndpointListEntry,
+    EndpointListKind,
+    Outcome,
+    ReplicaState,
+)
 from lockspoke.balancing.settings import RequestClass
 from tests.balancing.helpers import MS, SECOND, World, settings
 
 
 def reported(busy: float) -> World:
     """One replica with three requests in flight, which has just reported the share of slots taken."""
-    world = World(settings(busy_field=0), replicas=(1,))
+    world = World(settings(utilization_field=0), replicas=(1,))
     for number in range(1, 6):
         world.arrive(number)
         world.first_token(number)
@@ -56,11 +62,11 @@
     world = World(settings(classes=kinds, max_attempts=9), replicas=(1, 2))
     asked = 0
     for number in range(1, 21):
-        world.arrive(number, request_class=1, time_left=20 * SECOND)
+        world.arrive(number, request_class=1, time_remaining=20 * SECOND)
         if world.calls[number].attempts[-1][0] == 1:
             asked += 1
             world.pass_time(900 * MS)
-            world.end(number, Outcome.FULL)
+            world.end(number, Outcome.OVERLOADED)
         world.first_token(number)
         world.end(number, Outcome.OK)
         world.pass_time(300 * MS)
@@ -75,8 +81,8 @@
     world = World(settings(max_attempts=3), replicas=(1, 2, 3))
     for number in range(1, 30):
         world.arrive(number)
-        world.end(number, Outcome.REJECTED)
-        world.end(number, Outcome.REJECTED)
+        world.end(number, Outcome.INVALID_REQUEST)
+        world.end(number, Outcome.INVALID_REQUEST)
         assert world.calls[number].final == "Fail" and len(world.calls[number].attempts) == 2
     assert all(replica.breaker.failures == 0 for replica in world.balancer.replicas.values())
 
@@ -86,10 +92,10 @@
     for number in range(1, 60):
         world.arrive(number)
         if world.calls[number].attempts[0][0] == 1:
-            world.end(number, Outcome.REJECTED)
+            world.end(number, Outcome.INVALID_REQUEST)
         world.first_token(number)
         world.end(number, Outcome.OK)
-    assert world.balancer.replicas[1].breaker.state is State.OPEN
+    assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
 
 
 def test_a_reset_on_a_kept_connection_says_less_than_one_on_a_new_one() -> None:
@@ -103,16 +109,18 @@
             world.calls[number].outcomes[0] = Outcome.RESET
             world.calls[number].final = "Fail"
             elapsed = world.now - sent
-            world.step(AttemptEnded(number, 0, replica, Outcome.RESET, elapsed, True, reused=reused))
+            world.step(
+                AttemptEnded(number, 0, replica, Outcome.RESET, elapsed, True, connection_reused=reused)
+            )
         breakers = [replica.breaker for replica in world.balancer.replicas.values()]
-        opened.append(sum(breaker.state is State.OPEN for breaker in breakers))
+        opened.append(sum(breaker.state is BreakerState.OPEN for breaker in breakers))
     assert opened[0] < opened[1]
 
 
 def test_a_replica_that_turns_away_at_once_is_full_for_all() -> None:
     world = World(settings(max_attempts=9), replicas=(1,))
     world.arrive(1)
-    world.end(1, Outcome.FULL)
+    world.end(1, Outcome.OVERLOADED)
     replica = world.balancer.replicas[1]
     assert replica.full_until == world.now + FULL_PAUSE and not replica.class_until
 
@@ -121,16 +129,16 @@
     world = World(replicas=range(1, 9))
     before = world.balancer._ranking(77)
     assert before == sorted(world.balancer.ready, key=lambda replica: replica.rank(77))
-    world.list(ListKind.DELTA, (ListEntry(before[0].number, ReplicaState.DRAINING),))
+    world.list(EndpointListKind.DELTA, (EndpointListEntry(before[0].number, ReplicaState.DRAINING),))
     assert world.balancer._ranking(77) == before[1:]
 
 
 def kinds_of_machine(**changes: Any) -> World:
     """A gateway among many; replicas 1 to 20 are of one kind and listed as larger, the others of another."""
-    world = World(settings(gateways=100, **changes), replicas=())
-    large = tuple(ListEntry(number, weight=6.0, kind=1) for number in range(1, 21))
-    small = tuple(ListEntry(number, weight=4.0, kind=2) for number in range(21, 41))
-    world.list(ListKind.FULL, large + small)
+    world = World(settings(gateway_count=100, **changes), replicas=())
+    large = tuple(EndpointListEntry(number, weight=6.0, machine_kind=1) for number in range(1, 21))
+    small = tuple(EndpointListEntry(number, weight=4.0, machine_kind=2) for number in range(21, 41))
+    world.list(EndpointListKind.FULL, large + small)
     return world
 
 
@@ -138,7 +146,7 @@
     """The share of requests sent to the kind listed as larger, whose answers come with that report."""
     sent = 0
     for number in numbers:
-        world.arrive(number, time_left=60 * SECOND)
+        world.arrive(number, time_remaining=60 * SECOND)
         large = world.calls[number].attempts[0][0] <= 20
         sent += large
         world.pass_time(late if large else 10 * MS)
@@ -151,8 +159,8 @@
 
 def test_what_reports_say_of_a_kind_of_machine_goes_before_its_listed_size() -> None:
     """Machines listed by their cores had few slots: 22% of the first tokens came late beside idle ones."""
-    assert sent_to_the_large(kinds_of_machine(busy_field=0), range(1, 201), 0.3) > 0.5
-    world = kinds_of_machine(busy_field=0)
+    assert sent_to_the_large(kinds_of_machine(utilization_field=0), range(1, 201), 0.3) > 0.5
+    world = kinds_of_machine(utilization_field=0)
     sent_to_the_large(world, range(1, 31), 1.0)
     assert sent_to_the_large(world, range(31, 231), 1.0) < 0.25
     assert all(world.balancer.replicas[number].kind.factor >= 0.25 for number in range(1, 41))
@@ -168,7 +176,7 @@
 
 def test_a_replica_that_said_it_is_full_does_not_win_by_what_it_keeps_until_that_is_old() -> None:
     """Homes of beginnings were sent more while their first tokens took four seconds."""
-    world = World(settings(gateways=100, busy_field=0), replicas=range(1, 21))
+    world = World(settings(gateway_count=100, utilization_field=0), replicas=range(1, 21))
     for number in range(101, 111):
         world.arrive(number)
         world.first_token(number)
@@ -186,8 +194,8 @@
 
 
 def test_kinds_that_left_the_list_are_forgotten() -> None:
-    world = kinds_of_machine(busy_field=0)
-    world.list(ListKind.FULL, (ListEntry(50, kind=3),))
+    world = kinds_of_machine(utilization_field=0)
+    world.list(EndpointListKind.FULL, (EndpointListEntry(50, machine_kind=3),))
     assert list(world.balancer.kinds) == [3]
-    world.list(ListKind.FULL, ())
+    world.list(EndpointListKind.FULL, ())
     assert not world.balancer.kinds
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -11,32 +11,44 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from lockspoke.balancing.actions import Fail, Refuse, SetTimer
+from lockspoke.balancing.actions import Fail, Reject, SetTimer
 from lockspoke.balancing.breaker import RECOVERY
 from lockspoke.balancing.events import (
     AttemptEnded,
-    ClientLeft,
+    ClientDisconnected,
+    EndpointListEntry,
+    EndpointListKind,
     FirstToken,
-    ListEntry,
-    ListKind,
     Outcome,
     ReplicaState,
 )
-from lockspoke.balancing.settings import Effect, RequestClass, Scope, Tenant
+from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass, Tenant
 from tests.balancing.helpers import MS, SECOND, World, ready, settings
 
 CLASSES = (
-    RequestClass(aim=SECOND),
-    RequestClass(effect=Effect.KEYED, scope=Scope.ALL, window=2 * SECOND),
-    RequestClass(effect=Effect.KEYED, scope=Scope.ZONE, window=2 * SECOND),
-    RequestClass(effect=Effect.KEYED, scope=Scope.CELL, window=300 * MS),
-    RequestClass(effect=Effect.UNSAFE),
+    RequestClass(latency_objective=SECOND),
+    RequestClass(
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window=2 * SECOND,
+    ),
+    RequestClass(
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.ZONE,
+        deduplication_window=2 * SECOND,
+    ),
+    RequestClass(
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY,
+        deduplication_scope=DeduplicationScope.CELL,
+        deduplication_window=300 * MS,
+    ),
+    RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),
 )
 TENANTS = (Tenant(0.5), Tenant(0.0), Tenant(0.5))
 
 
-def entry(number: int, now: int, state: ReplicaState, started: bool) -> ListEntry:
-    return ListEntry(
+def entry(number: int, now: int, state: ReplicaState, started: bool) -> EndpointListEntry:
+    return EndpointListEntry(
         number,
         state,
         zone=number % 2,
@@ -55,7 +67,10 @@
     st.tuples(st.just("first"), st.integers(0, 50)),
     st.tuples(st.just("time"), st.sampled_from([0, MS, 40 * MS, 400 * MS, 3 * SECOND])),
     st.tuples(
-        st.just("list"), st.sampled_from(list(ListKind)), st.lists(st.integers(1, 6)), st.integers(0, 3)
+        st.just("list"),
+        st.sampled_from(list(EndpointListKind)),
+        st.lists(st.integers(1, 6)),
+        st.integers(0, 3),
     ),
     st.tuples(st.just("left"), st.integers(0, 50)),
 )
@@ -78,10 +93,10 @@
     given_settings = settings(
         classes=CLASSES,
         max_attempts=attempts,
-        may_duplicate=copies,
+        hedging_allowed=copies,
         tenants=TENANTS if tenants else (),
-        ask_for_list=ask,
-        cross_zone_price=0.05,
+        polls_endpoint_list=ask,
+        cross_zone_cost=0.05,
     )
     world = World(given_settings, replicas=(1, 2, 3), seed=seed)
     number = 0
@@ -113,7 +128,7 @@
                 request = sorted(world.calls)[which % len(world.calls)]
                 call = world.calls[request]
                 call.final = call.final or "left"
-                world.step(ClientLeft(request))
+                world.step(ClientDisconnected(request))
     world.pass_time(10 * SECOND)
     for request, attempt in world.out():
         world.end(request, Outcome.RESET, attempt)
@@ -137,7 +152,7 @@
 
 def test_a_keyed_request_stays_in_its_group_and_window() -> None:
     world = World(settings(classes=CLASSES), replicas=())
-    world.list(ListKind.FULL, tuple(ListEntry(n, zone=n % 2) for n in range(1, 7)))
+    world.list(EndpointListKind.FULL, tuple(EndpointListEntry(n, zone=n % 2) for n in range(1, 7)))
     first = world.sent_to(world.arrive(1, request_class=2))[0]
     second = world.sent_to(world.end(1, Outcome.RESET))[0]
     assert second != first and second % 2 == first % 2
@@ -150,17 +165,17 @@
     world.arrive(1)
     world.end(1, Outcome.CONNECT_FAILED)
     actions = world.end(1, Outcome.CONNECT_FAILED)
-    assert [type(action) for action in actions if not isinstance(action, SetTimer)] == [Refuse]
+    assert [type(action) for action in actions if not isinstance(action, SetTimer)] == [Reject]
 
 
 def test_no_replica_at_all_refuses_at_once() -> None:
     world = World(replicas=())
-    assert Refuse(1, RECOVERY) in world.arrive(1)
+    assert Reject(1, RECOVERY) in world.arrive(1)
 
 
 def test_a_stream_that_has_begun_has_no_deadline() -> None:
     world = World()
-    world.arrive(1, time_left=SECOND)
+    world.arrive(1, time_remaining=SECOND)
     world.first_token(1)
     world.pass_time(20 * SECOND)
     assert world.calls[1].final == ""
@@ -177,8 +192,8 @@
 
 def test_drains_and_removals_stop_sends_at_once() -> None:
     world = World(replicas=(1, 2, 3))
-    world.list(ListKind.DELTA, (ListEntry(1, ReplicaState.DRAINING),))
-    world.list(ListKind.FULL, ready(1, 2))  # 3 is missing: gone; 1 is ready again
+    world.list(EndpointListKind.DELTA, (EndpointListEntry(1, ReplicaState.DRAINING),))
+    world.list(EndpointListKind.FULL, ready(1, 2))  # 3 is missing: gone; 1 is ready again
     sent = {replica for n in range(1, 20) for replica in world.sent_to(world.arrive(n))}
     assert sent == {1, 2}
 
@@ -186,9 +201,10 @@
 @pytest.mark.parametrize("gateways", [1, 3, 8, 40])
 def test_a_cold_replica_is_not_pushed_over_by_all_gateways_together(gateways: int) -> None:
     """Every gateway spends its own share; their sum keeps the rule, with nobody talking to anybody."""
-    given_settings = settings(gateways=gateways)
+    given_settings = settings(gateway_count=gateways)
     worlds = [
-        World(settings(gateways=gateways, index=n), replicas=range(1, 6), seed=n) for n in range(gateways)
+        World(settings(gateway_count=gateways, gateway_index=n), replicas=range(1, 6), seed=n)
+        for n in range(gateways)
     ]
     rng, number, cold_sends, rate = random.Random(3), 0, [], 20.0
     started = worlds[0].now + 20 * SECOND
@@ -196,7 +212,7 @@
         for world in worlds:
             world.pass_time(100 * MS)
             if tick == 200:
-                world.list(ListKind.DELTA, ready(9, started_at=started))
+                world.list(EndpointListKind.DELTA, ready(9, started_at=started))
         for _ in range(int(rate / 10)):
             number += 1
             world = rng.choice(worlds)
@@ -210,17 +226,24 @@
     per_replica = rate / 5  # what a warm replica was seen to take, all gateways together
     assert cold_sends, "a cold replica must get some work"
     for when in cold_sends:
-        window = [t for t in cold_sends if when <= t < when + given_settings.fall_time]
-        share = 0.2 + 0.8 * (when - started) / given_settings.warm_up
-        allowed = given_settings.fall_multiple * share * per_replica * given_settings.fall_time / SECOND
+        window = [t for t in cold_sends if when <= t < when + given_settings.overload_duration]
+        share = 0.2 + 0.8 * (when - started) / given_settings.slow_start_duration
+        allowed = (
+            given_settings.overload_multiple * share * per_replica * given_settings.overload_duration / SECOND
+        )
         assert len(window) <= allowed + 1
 
 
 @pytest.mark.parametrize(("gateways", "calls"), [(40, 9), (200, 30)])
 def test_workers_replaced_carry_their_part_before_they_are_warm(gateways: int, calls: int) -> None:
     """No share of a cold worker's budget was as large as one call, and one gateway alone sees too few."""
-    fleet = settings(cold_share=0.13, warm_up=24 * SECOND, fall_time=1_500 * MS, gateways=gateways)
-    worlds = [World(replace(fleet, index=n), range(1, 17), seed=n) for n in range(gateways)]
+    fleet = settings(
+        slow_start_initial_share=0.13,
+        slow_start_duration=24 * SECOND,
+        overload_duration=1_500 * MS,
+        gateway_count=gateways,
+    )
+    worlds = [World(replace(fleet, gateway_index=n), range(1, 17), seed=n) for n in range(gateways)]
     started = worlds[0].now + 10 * SECOND
     rng, number = random.Random(4), 0
     sends: dict[int, list[int]] = {replica: [] for replica in range(101, 125)}
@@ -228,7 +251,7 @@
         for world in worlds:
             world.pass_time(100 * MS)
             if tick == 100:
-                world.list(ListKind.DELTA, ready(*sends, started_at=started))
+                world.list(EndpointListKind.DELTA, ready(*sends, started_at=started))
         for _ in range(calls):
             number += 1
             world = rng.choice(worlds)
@@ -242,19 +265,24 @@
     assert sum(map(len, sends.values())) >= 0.4 * due * len(sends), "what they can do by now is made use of"
     for times in sends.values():
         for when in times:
-            share = 0.13 + 0.87 * (when - started) / fleet.warm_up
-            allowed = fleet.fall_multiple * share * warm * fleet.fall_time / SECOND
-            assert sum(when <= other < when + fleet.fall_time for other in times) <= allowed + 1
+            share = 0.13 + 0.87 * (when - started) / fleet.slow_start_duration
+            allowed = fleet.overload_multiple * share * warm * fleet.overload_duration / SECOND
+            assert sum(when <= other < when + fleet.overload_duration for other in times) <= allowed + 1
 
 
 def test_a_zone_that_returns_cold_to_gateways_without_a_pace_gets_a_little_from_all_together() -> None:
     """Restarted gateways know no warm pace and only cold workers: they serve, and push none over."""
-    fleet = settings(cold_share=0.13, warm_up=24 * SECOND, fall_time=1_500 * MS, gateways=40)
-    worlds = [World(replace(fleet, index=n), (), seed=n) for n in range(40)]
+    fleet = settings(
+        slow_start_initial_share=0.13,
+        slow_start_duration=24 * SECOND,
+        overload_duration=1_500 * MS,
+        gateway_count=40,
+    )
+    worlds = [World(replace(fleet, gateway_index=n), (), seed=n) for n in range(40)]
     started, rng, number = worlds[0].now, random.Random(6), 0
     sends: dict[int, list[int]] = {}
     for world in worlds:
-        world.list(ListKind.CACHED, ready(*range(1, 14), started_at=started))
+        world.list(EndpointListKind.CACHED, ready(*range(1, 14), started_at=started))
     for _ in range(60):
         for world in worlds:
             world.pass_time(100 * MS)
@@ -267,7 +295,7 @@
                 world.end(number, Outcome.OK)
     assert len(sends) >= 10, "nearly all of them get work, though nobody has seen a warm one"
     for times in sends.values():
-        most = max(sum(when <= other < when + fleet.fall_time for other in times) for when in times)
+        most = max(sum(when <= other < when + fleet.overload_duration for other in times) for when in times)
         assert most <= 4, "in two turns that meet: a request each, and what the share that has warmed allows"
 
 
@@ -275,9 +303,9 @@
     """Sends are repeated in a jam; only work that got done may set what a cold replica gets."""
     world = World(settings(max_attempts=6), replicas=(1, 2, 3, 4))
     for number in range(1, 2000):
-        world.arrive(number, time_left=SECOND)
+        world.arrive(number, time_remaining=SECOND)
         world.pass_time(5 * MS)
-    world.list(ListKind.DELTA, ready(9, started_at=world.now))
+    world.list(EndpointListKind.DELTA, ready(9, started_at=world.now))
     assert not [r for n in range(3000, 3100) for r in world.sent_to(world.arrive(n)) if r == 9]
 
 
@@ -290,8 +318,8 @@
         world.pass_time(20 * MS)
     started, sent = world.now, 0
     for number in range(1000, 1100):
-        world.list(ListKind.FULL, ready(1, 2, 3, 4))
-        world.list(ListKind.FULL, ready(1, 2, 3, 4) + ready(9, started_at=started))
+        world.list(EndpointListKind.FULL, ready(1, 2, 3, 4))
+        world.list(EndpointListKind.FULL, ready(1, 2, 3, 4) + ready(9, started_at=started))
         sent += world.sent_to(world.arrive(number)) == [9]
     assert sent
     per_replica = 200 / 4 / 4  # 50 a second over four replicas for the two seconds of the window
@@ -303,7 +331,7 @@
     world = World(replicas=range(1, 9))
     late = 0
     for number in range(1, 601):
-        world.arrive(number, time_left=SECOND)
+        world.arrive(number, time_remaining=SECOND)
         call = world.calls[number]
         if call.attempts and call.attempts[-1][0] > 4:
             world.first_token(number)
@@ -321,11 +349,11 @@
     for number in range(1, 801):
         flapping = {n for n in range(1, 6) if (number // 40 + n) % 3 == 0}
         if number % 40 == 0:
-            gone = tuple(ListEntry(n, ReplicaState.GONE) for n in sorted(flapping))
-            world.list(ListKind.DELTA, gone)
+            gone = tuple(EndpointListEntry(n, ReplicaState.REMOVED) for n in sorted(flapping))
+            world.list(EndpointListKind.DELTA, gone)
             back = sorted(set(range(1, 6)) - flapping)
-            world.list(ListKind.DELTA, ready(*back, started_at=world.now if number % 80 else 0))
-        world.arrive(number, time_left=SECOND)
+            world.list(EndpointListKind.DELTA, ready(*back, started_at=world.now if number % 80 else 0))
+        world.arrive(number, time_remaining=SECOND)
         while not world.calls[number].final and world.calls[number].attempts:
             replica = world.calls[number].attempts[-1][0]
             if len(world.calls[number].outcomes) == len(world.calls[number].attempts):
@@ -351,15 +379,15 @@
             actions = world.end(number, Outcome.RESET if bad else Outcome.OK)
     world.pass_time(3 * SECOND)
     assert world.sent_to(world.arrive(900)) == [2]
-    world.list(ListKind.DELTA, (ListEntry(2, ReplicaState.DRAINING),))
+    world.list(EndpointListKind.DELTA, (EndpointListEntry(2, ReplicaState.DRAINING),))
     world.first_token(900)
     assert all(world.sent_to(world.arrive(n)) != [2] for n in range(901, 930))
 
 
 def test_late_outcomes_after_the_end_of_a_request_are_passed_over() -> None:
     world = World(replicas=(1, 2))
-    world.arrive(1, time_left=SECOND)
-    world.step(ClientLeft(1))
+    world.arrive(1, time_remaining=SECOND)
+    world.step(ClientDisconnected(1))
     world.calls[1].final = "left"
     assert not world.sent_to(world.end(1, Outcome.RESET, closed=True))
     replica, _ = world.calls[1].attempts[0]
@@ -371,11 +399,11 @@
 
 def test_a_list_that_goes_stale_empty_and_full_again() -> None:
     world = World(replicas=(1, 2))
-    world.list(ListKind.FAILED, ())
+    world.list(EndpointListKind.FAILED, ())
     assert world.sent_to(world.arrive(1))
-    world.list(ListKind.FULL, ())
-    assert Refuse(2, RECOVERY) in world.arrive(2)
-    world.list(ListKind.FULL, ready(1, 2))
+    world.list(EndpointListKind.FULL, ())
+    assert Reject(2, RECOVERY) in world.arrive(2)
+    world.list(EndpointListKind.FULL, ready(1, 2))
     assert world.sent_to(world.arrive(3))
 
 
@@ -395,7 +423,7 @@
 def sent_while_cold(kept: int, weight: float) -> int:
     """How many requests a replica that has just started gets within the rule's span beside warm ones."""
     world = World(replicas=())
-    world.list(ListKind.FULL, ready(1, 2, 3, weight=4.0))
+    world.list(EndpointListKind.FULL, ready(1, 2, 3, weight=4.0))
     number = 0
     for _ in range(300):
         number += 1
@@ -406,7 +434,7 @@
         world.calls[number].final = "outcome"
         world.step(AttemptEnded(number, 0, replica, Outcome.OK, world.now - sent, True, kept))
         world.pass_time(10 * MS)
-    world.list(ListKind.DELTA, ready(4, weight=weight, started_at=world.now))
+    world.list(EndpointListKind.DELTA, ready(4, weight=weight, started_at=world.now))
     cold = 0
     for _ in range(200):
         number += 1
@@ -433,12 +461,18 @@
 @pytest.mark.parametrize(
     "extreme",
     [
-        {"warm_up": 0},
-        {"warm_up": 0, "cold_share": 0.0, "fall_time": 1},
-        {"cold_share": 0.0, "fall_time": 1, "fall_multiple": 0.0},
-        {"cold_share": 0.0, "gateways": 1024, "index": 5000},
-        {"cold_share": 1.0, "warm_up": 3600 * SECOND, "ask_for_list": True, "ask_every": 1, "gateways": 1024},
-        {"max_attempts": 1, "may_duplicate": True, "cross_zone_price": 1e6},
+        {"slow_start_duration": 0},
+        {"slow_start_duration": 0, "slow_start_initial_share": 0.0, "overload_duration": 1},
+        {"slow_start_initial_share": 0.0, "overload_duration": 1, "overload_multiple": 0.0},
+        {"slow_start_initial_share": 0.0, "gateway_count": 1024, "gateway_index": 5000},
+        {
+            "slow_start_initial_share": 1.0,
+            "slow_start_duration": 3600 * SECOND,
+            "polls_endpoint_list": True,
+            "poll_interval": 1,
+            "gateway_count": 1024,
+        },
+        {"max_attempts": 1, "hedging_allowed": True, "cross_zone_cost": 1e6},
     ],
 )
 def test_settings_at_their_extremes_and_clocks_that_differ_cost_no_decision(
@@ -448,7 +482,7 @@
     world = World(settings(**extreme), replicas=())
     cold, warm = ready(1, 2, started_at=world.now + ahead), ready(3, zone=9, weight=0.0)
     for entries in (cold + warm, cold):
-        world.list(ListKind.FULL, entries)
+        world.list(EndpointListKind.FULL, entries)
         for number in range(len(world.calls), len(world.calls) + 12):
             world.arrive(number, prompt_tokens=100.0 * number)
             if world.calls[number].attempts and not world.calls[number].final:
--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -216,7 +216,7 @@
         await until(lambda: len(bench.out()) == 1)
         call = bench.out()[0].request
         bench.world.core.transport.stop(bench.out()[0])
-        bench.out()[0].outcome = Outcome.FULL
+        bench.out()[0].outcome = Outcome.OVERLOADED
         call.answered = True
         call.sink.refuse(5 * SECOND)
         await until(lambda: not bench.runner.running)
@@ -408,7 +408,7 @@
         for _ in range(6):
             await asyncio.sleep(0.06)
             for attempt in bench.out():
-                attempt.outcome, attempt.request.answered = Outcome.FULL, True
+                attempt.outcome, attempt.request.answered = Outcome.OVERLOADED, True
                 attempt.request.sink.refuse(60 * SECOND)
         assert bench.runner.waiting == 4 and len(bench.world.started) == 4
         await bench.store.set_status(batch, "cancelling")
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lockspoke.balancing.events import Outcome, ReplicaState
-from lockspoke.balancing.settings import Effect, RequestClass, Scope
+from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass
 from lockspoke.core.core import MS, OVERDUE, SECOND, SILENT, SWEEP, Core
 from lockspoke.core.identifiers import Numbers, key_number
 from lockspoke.core.replica_set import UNKNOWN_VERSION, Entry, Replica, ReplicaSet, ReplicaUpdate
@@ -162,7 +162,7 @@
     for n in range(300):
         world.time += SECOND
         new = Entry(f"n{n}", ReplicaState.READY, ("127.0.0.1", 7000 + n), "z")
-        old = Entry(f"n{n - 1}", ReplicaState.GONE, None, "z")
+        old = Entry(f"n{n - 1}", ReplicaState.REMOVED, None, "z")
         world.core.list_changed(ReplicaUpdate(2 + n, False, (new, old) if n else (new,)))
     replica_set = world.core.replica_set
     assert len(replica_set.replicas) < 50 and len(replica_set.numbers._replicas) < 50
@@ -180,7 +180,7 @@
         told, _ = registry.apply(
             ReplicaUpdate(1, True, (*entries, Entry("k9", ReplicaState.READY, ("127.0.0.1", 9000))))
         )
-        kinds.append([entry.kind for entry in told.entries])
+        kinds.append([entry.machine_kind for entry in told.entries])
     assert kinds[0] == kinds[1]
     assert kinds[0][0] == kinds[0][1] != kinds[0][2] and kinds[0][3] == 0
 
@@ -261,8 +261,10 @@
     assert world.core.totals["left"] == 1
 
 
-def keyed(scope: Scope = Scope.ALL, window: int = 5 * SECOND) -> RequestClass:
-    return RequestClass(effect=Effect.KEYED, scope=scope, window=window)
+def keyed(scope: DeduplicationScope = DeduplicationScope.ALL, window: int = 5 * SECOND) -> RequestClass:
+    return RequestClass(
+        idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_scope=scope, deduplication_window=window
+    )
 
 
 def left(world: World, call: ClientRequest) -> None:
@@ -298,7 +300,7 @@
     attempt = world.started[0]
     happens(world, call)
     assert attempt.outcome is None
-    assert attempt.clear() is Clearance.OVER and attempt.outcome is Outcome.MOOT
+    assert attempt.clear() is Clearance.OVER and attempt.outcome is Outcome.NEVER_SENT
     # The one whose client still waits goes elsewhere at once.
     others = [one.replica for one in world.started[1:]]
     assert len(others) == (happens is not left) and attempt.replica not in others
@@ -315,27 +317,27 @@
     repeat = world.started[1]
     assert repeat.begin_by == repeat.sent_at + 60 * MS
     world.pass_time(60 * MS)
-    assert repeat.clear() is Clearance.OVER and repeat.outcome is Outcome.MOOT
+    assert repeat.clear() is Clearance.OVER and repeat.outcome is Outcome.NEVER_SENT
 
 
 def test_an_attempt_whose_time_ends_while_it_connects_has_not_run() -> None:
     """Counted as one that may have run, it made a failure of what could be refused."""
-    world = World(classes=(RequestClass(effect=Effect.UNSAFE),))
+    world = World(classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
     world.connects = False
     _, sink = world.call()
     world.pass_time(4 * SECOND)
-    assert world.started[0].outcome is Outcome.MOOT and sink.got == ["refused"]
+    assert world.started[0].outcome is Outcome.NEVER_SENT and sink.got == ["refused"]
 
 
 @pytest.mark.parametrize(
     ("kind", "sent", "outcome", "told"),
     [
-        (RequestClass(effect=Effect.UNSAFE), True, None, "failed"),
-        (RequestClass(effect=Effect.UNSAFE), False, None, "refused"),
-        (RequestClass(effect=Effect.UNSAFE), True, Outcome.FULL, "refused"),
-        (RequestClass(effect=Effect.UNSAFE), False, Outcome.CONNECT_FAILED, "refused"),
+        (RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT), True, None, "failed"),
+        (RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT), False, None, "refused"),
+        (RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT), True, Outcome.OVERLOADED, "refused"),
+        (RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT), False, Outcome.CONNECT_FAILED, "refused"),
         (keyed(), True, None, "refused"),
-        (keyed(Scope.CELL), True, None, "failed"),
+        (keyed(DeduplicationScope.CELL), True, None, "failed"),
     ],
 )
 def test_what_is_handed_over_is_refused_unless_a_repeat_may_do_harm(
@@ -353,9 +355,11 @@
 
 
 def test_a_class_that_a_reload_renumbers_keeps_its_effect_for_calls_that_are_open() -> None:
-    world = World(workers=1, classes=(RequestClass(effect=Effect.UNSAFE),))
+    world = World(workers=1, classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
     _, sink = world.call()
-    world.core.reconfigure(settings(classes=(RequestClass(), RequestClass(effect=Effect.UNSAFE))), ["z"])
+    world.core.reconfigure(
+        settings(classes=(RequestClass(), RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT))), ["z"]
+    )
     world.core.hand_over()
     assert sink.got == ["failed"]
 
@@ -506,7 +510,7 @@
 
 def test_an_operators_ban_does_not_end_the_asking_for_a_list_that_has_failed() -> None:
     """It was taken for the answer: discovery was never asked again, and every later drain went unheard."""
-    world = World(ask_for_list=True)
+    world = World(polls_endpoint_list=True)
     world.core.list_failed()
     world.watches.clear()
     assert world.core.ban("w0", True)
@@ -531,7 +535,7 @@
     world = World()
     world.core.list_changed(ReplicaUpdate(3, True, (Entry("w1", ReplicaState.READY, ("127.0.0.1", 9), "z"),)))
     assert {worker.uid: worker.state for worker in world.core.replica_set.replicas.values()} == {
-        "w0": ReplicaState.GONE,
+        "w0": ReplicaState.REMOVED,
         "w1": ReplicaState.READY,
     }
     assert {worker.uid for worker in world.forgotten} == {"w0", "w1"}  # w1 has moved
@@ -542,7 +546,7 @@
     call, _ = world.call()
     world.started[0].streamed(b"a")
     world.core._send(call.number, world.started[0].replica.number, 0)
-    assert call.attempts[1].outcome is Outcome.MOOT and len(world.started) == 1
+    assert call.attempts[1].outcome is Outcome.NEVER_SENT and len(world.started) == 1
 
 
 def test_the_first_stream_calls_the_others_off() -> None:
@@ -566,7 +570,7 @@
 
 
 def test_the_list_is_asked_for_and_failures_are_told() -> None:
-    world = World(ask_for_list=True)
+    world = World(polls_endpoint_list=True)
     assert world.watches == [True]
     world.core.list_failed()
     world.pass_time(2000 * MS)
--- a/tests/golden/decision_codec.py
+++ b/tests/golden/decision_codec.py
@@ -9,63 +9,69 @@
 from dataclasses import fields
 from typing import Any
 
-from hillridge import interface as api
-from hillridge.policy import Balancer
+from lockspoke.balancing import Balancer, actions, events
+from lockspoke.balancing import settings as balancer_settings
 
 Row = list[Any]
 
 
-def decode_event(row: Row) -> api.Event:
+def decode_event(row: Row) -> events.Event:
     """Build the event that a row holds."""
     match row:
         case ["list", kind, entries, answers]:
-            return api.ListUpdate(
-                list(api.ListKind)[kind], tuple(decode_entry(*entry) for entry in entries), answers
+            return events.EndpointListUpdate(
+                list(events.EndpointListKind)[kind], tuple(decode_entry(*entry) for entry in entries), answers
             )
         case ["arrived", *values]:
-            return api.Arrived(*values)
+            return events.RequestArrived(*values)
         case ["first_token", *values]:
-            return api.FirstToken(*values)
+            return events.FirstToken(*values)
         case ["ended", request, attempt, replica, outcome, elapsed, closed, cached, report, reused]:
-            outcome = list(api.Outcome)[outcome]
-            return api.AttemptEnded(
+            outcome = list(events.Outcome)[outcome]
+            return events.AttemptEnded(
                 request, attempt, replica, outcome, elapsed, closed, cached, tuple(report), reused
             )
         case ["client_left", request]:
-            return api.ClientLeft(request)
+            return events.ClientDisconnected(request)
         case ["timer", token]:
-            return api.TimerFired(token)
+            return events.TimerFired(token)
     raise ValueError(f"unknown event {row}")
 
 
 ACTION_TAGS = {
-    api.Send: "send",
-    api.Refuse: "reject",
-    api.Fail: "fail",
-    api.SetTimer: "timer",
-    api.Watch: "watch",
-    api.Log: "log",
+    actions.SendAttempt: "send",
+    actions.Reject: "reject",
+    actions.Fail: "fail",
+    actions.SetTimer: "timer",
+    actions.WatchEndpointList: "watch",
+    actions.Log: "log",
 }
 
 
-def encode_action(action: api.Action) -> Row:
+def encode_action(action: actions.Action) -> Row:
     """Write an action as a row: its tag and all its fields in order."""
     return [ACTION_TAGS[type(action)], *(getattr(action, field.name) for field in fields(action))]
 
 
-def decode_entry(replica: int, state: int, *values: Any) -> api.ListEntry:
+def decode_entry(replica: int, state: int, *values: Any) -> events.EndpointListEntry:
     """Build one entry of an endpoint list."""
-    return api.ListEntry(replica, list(api.ReplicaState)[state], *values)
+    return events.EndpointListEntry(replica, list(events.ReplicaState)[state], *values)
 
 
-def decode_settings(classes: list[Row], *values: Any) -> api.Settings:
+def decode_settings(classes: list[Row], *values: Any) -> balancer_settings.Settings:
     """Build settings; the first value holds the request classes, the eighth the tenants' shares."""
     request_classes = tuple(
-        api.RequestClass(list(api.Effect)[effect], list(api.Scope)[scope], *rest)
+        balancer_settings.RequestClass(
+            list(balancer_settings.Idempotency)[effect],
+            list(balancer_settings.DeduplicationScope)[scope],
+            *rest,
+        )
         for effect, scope, *rest in classes
     )
     before, shares, after = values[:6], values[6], values[7:]
-    return api.Settings(request_classes, *before, tuple(api.Tenant(share) for share in shares), *after)
+    return balancer_settings.Settings(
+        request_classes, *before, tuple(balancer_settings.Tenant(share) for share in shares), *after
+    )
 
 
 class Decisions:
--- a/tests/inventory/test_reconcile.py
+++ b/tests/inventory/test_reconcile.py
@@ -44,7 +44,7 @@
     made = started()
     bad = ["w1,300.1.1.1,gen-a,up", "w2,10.0.0.2,gen-z,up", "w3", *rows(10, 1, 2, 3, 7)]
     step = made.step(snapshot(*bad), 10)
-    assert step.entries == (Entry("w7", ReplicaState.GONE, None),)
+    assert step.entries == (Entry("w7", ReplicaState.REMOVED, None),)
     assert acts(step) == {"w7": Act.REMOVE} | dict.fromkeys(("w1", "w2", "w3"), Act.HOLD)
     assert made.known["w1"].record.host == "10.0.0.1" and "INV305" in made.known["w1"].held
     # Told once, and no longer held when mended.
@@ -72,7 +72,7 @@
     for text in saves:
         made = started(12)
         step = made.step(take([FileText("a.csv", text.encode())], READING).snapshot, 10)
-        gone = {entry.uid for entry in step.entries if entry.state == ReplicaState.GONE}
+        gone = {entry.uid for entry in step.entries if entry.state == ReplicaState.REMOVED}
         # A cut at the end of a line looks like a removal: a few hosts at most, a mass of them is held.
         assert len(gone) <= 3 and len(made.known) >= 9, text
         if not text.endswith("\n"):
@@ -144,7 +144,7 @@
     step = made.step(snapshot(*rows(3), "w4,10.0.0.4,gen-z,draining", "w5,nowhere,gen-a,removed"), 10)
     assert [(entry.uid, entry.state) for entry in step.entries] == [
         ("w4", ReplicaState.DRAINING),
-        ("w5", ReplicaState.GONE),
+        ("w5", ReplicaState.REMOVED),
     ]
 
 
@@ -152,10 +152,10 @@
     made = started(5)
     draining = snapshot(*rows(4), "w5,10.0.0.5,gen-a,draining")
     assert made.step(draining, 10).entries[0].state == ReplicaState.DRAINING
-    assert made.step(snapshot(*rows(4)), 20).entries == (Entry("w5", ReplicaState.GONE, None),)
+    assert made.step(snapshot(*rows(4)), 20).entries == (Entry("w5", ReplicaState.REMOVED, None),)
     # Back and still said to drain, it drains; nothing is sent to it in between or after.
     assert made.step(draining, 50).entries[0].state == ReplicaState.DRAINING
-    assert made.step(snapshot(*rows(4)), 60).entries[0].state == ReplicaState.GONE
+    assert made.step(snapshot(*rows(4)), 60).entries[0].state == ReplicaState.REMOVED
     # Back in service within a blink it is the process of before; later it counts as started anew.
     assert made.step(snapshot(*rows(5)), 160).entries[0].boot_ms == 0
     made.step(snapshot(*rows(4)), 200)
@@ -240,7 +240,7 @@
         step = made.step(taken, now)
         for entry in step.entries:
             registry.pop(entry.uid, None)
-            if entry.state != ReplicaState.GONE:
+            if entry.state != ReplicaState.REMOVED:
                 registry[entry.uid] = entry
         # What was told adds up to what is known, and no two hosts have one address.
         assert {entry.uid: entry for entry in made.entries()} == registry
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -34,7 +34,7 @@
 
 def all_go(gateway: Gateway) -> None:
     gateway.core.list_changed(decode_list(listed(0)).complete())
-    gateway.tell(*(Entry(f"s-{n}", ReplicaState.GONE, None) for n in range(WORKERS)))
+    gateway.tell(*(Entry(f"s-{n}", ReplicaState.REMOVED, None) for n in range(WORKERS)))
 
 
 def sweeps(gateway: Gateway) -> None:
--- a/tests/simulator/test_protocol.py
+++ b/tests/simulator/test_protocol.py
@@ -7,20 +7,20 @@
 
 import pytest
 
-from lockspoke.balancing.actions import Action, Fail, Log, Refuse, Send, SetTimer, Watch
+from lockspoke.balancing.actions import Action, Fail, Log, Reject, SendAttempt, SetTimer, WatchEndpointList
 from lockspoke.balancing.events import (
-    Arrived,
     AttemptEnded,
-    ClientLeft,
+    ClientDisconnected,
+    EndpointListEntry,
+    EndpointListKind,
+    EndpointListUpdate,
     FirstToken,
-    ListEntry,
-    ListKind,
-    ListUpdate,
     Outcome,
     ReplicaState,
+    RequestArrived,
     TimerFired,
 )
-from lockspoke.balancing.settings import Effect, Scope, Tenant
+from lockspoke.balancing.settings import DeduplicationScope, Idempotency, Tenant
 from lockspoke.simulator import protocol as wire
 
 GOOD: dict[str, Any] = {
@@ -59,9 +59,9 @@
 
 def test_order() -> None:
     event = only(ORDER)
-    assert event == Arrived(
+    assert event == RequestArrived(
         request=0x5D3A91C4,
-        time_left=240_000_000,
+        time_remaining=240_000_000,
         request_class=0,
         tenant=0,
         session=0x91F03B7C55D20A64,
@@ -85,9 +85,9 @@
         "00 074a1203 00 0000803f 0000000000000000 0000 01"
         "02 f211902c 01 0000c03f 009d966b01000000 0500 02"
     )
-    one = ListEntry(0x03124A07, ReplicaState.READY, 0, 0, 1.0, 0)
-    two = ListEntry(0x2C9011F2, ReplicaState.DRAINING, 1, 5, 1.5, 6_100_000_000, kind=2)
-    assert event == ListUpdate(ListKind.CACHED, (one, two))
+    one = EndpointListEntry(0x03124A07, ReplicaState.READY, 0, 0, 1.0, 0)
+    two = EndpointListEntry(0x2C9011F2, ReplicaState.DRAINING, 1, 5, 1.5, 6_100_000_000, machine_kind=2)
+    assert event == EndpointListUpdate(EndpointListKind.CACHED, (one, two))
 
 
 def test_under_way() -> None:
@@ -112,7 +112,7 @@
 
 
 def test_small_events() -> None:
-    assert only("1a04 0300 192b6f0e") == ClientLeft(0x0E6F2B19)
+    assert only("1a04 0300 192b6f0e") == ClientDisconnected(0x0E6F2B19)
     assert only("2404 0300 4d000000") == TimerFired(77)
     assert only("4204 0300") == wire.Teardown()
 
@@ -136,12 +136,12 @@
 @pytest.mark.parametrize(
     ("action", "expected"),
     [
-        (Send(0x5D3A91C4, 0x03124A07, 80_000_000), "e803 0300 c4913a5d 074a1203 00b4c40400000000"),
-        (Refuse(0x0E6F2B19, 250_000_000), "f203 0300 192b6f0e 80b2e60e00000000"),
+        (SendAttempt(0x5D3A91C4, 0x03124A07, 80_000_000), "e803 0300 c4913a5d 074a1203 00b4c40400000000"),
+        (Reject(0x0E6F2B19, 250_000_000), "f203 0300 192b6f0e 80b2e60e00000000"),
         (Fail(0x0E6F2B19), "fc03 0300 192b6f0e"),
         (SetTimer(500_000_000, 77), "1004 0300 0065cd1d00000000 4d000000"),
         (Log("two servers known"), "3804 0300 1100 74776f2073657276657273206b6e6f776e"),
-        (Watch(True), "4c04 0300 01"),
+        (WatchEndpointList(True), "4c04 0300 01"),
     ],
 )
 def test_actions(action: Action, expected: str) -> None:
@@ -215,7 +215,7 @@
 
 def test_least_settings_and_unknown_keys() -> None:
     settings = wire.decode_settings(changed("brandNew", {"x": [1]}))
-    assert settings.tenants == () and settings.gateways == 1
+    assert settings.tenants == () and settings.gateway_count == 1
 
 
 def test_all_settings() -> None:
@@ -229,13 +229,17 @@
     full["weights"], full["peersTotal"], full["prices"] = "live", 4, {"crossZone": 0.02}
     settings = wire.decode_settings(json.dumps(full).encode())
     kind = settings.classes[0]
-    assert (kind.effect, kind.scope, kind.window) == (Effect.KEYED, Scope.CELL, 9)
-    assert kind.aim_per_token == 60_000.0  # 60,000 us for 1,000 tokens: so many ns for each
-    assert settings.ask_for_list and settings.ask_every == 10_000
+    assert (kind.idempotency, kind.deduplication_scope, kind.deduplication_window) == (
+        Idempotency.IDEMPOTENT_WITH_KEY,
+        DeduplicationScope.CELL,
+        9,
+    )
+    assert kind.latency_objective_per_token == 60_000.0  # 60,000 us for 1,000 tokens: so many ns for each
+    assert settings.polls_endpoint_list and settings.poll_interval == 10_000
     assert settings.tenants == (Tenant(0.5),)
-    assert settings.busy_field is None
+    assert settings.utilization_field is None
     full["loadInfo"] = {"fields": ["rif", "busy"], "via": "pull"}
-    assert wire.decode_settings(json.dumps(full).encode()).busy_field is None, "probes alone are told"
+    assert wire.decode_settings(json.dumps(full).encode()).utilization_field is None, "probes alone are told"
     full["loadInfo"]["via"] = "piggyback"
-    assert wire.decode_settings(json.dumps(full).encode()).busy_field == 1
-    assert settings.gateways == 4 and settings.cross_zone_price == 0.02
+    assert wire.decode_settings(json.dumps(full).encode()).utilization_field == 1
+    assert settings.gateway_count == 4 and settings.cross_zone_cost == 0.02
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -155,7 +155,7 @@
     entry = update.entries[0]
     assert (entry.uid, entry.endpoint, entry.cell, entry.boot_ms) == ("s-1", ("127.0.0.1", 5000), 3, 5)
     gone = {"uid": "s-1", "state": "removed"}  # what is gone needs no address
-    assert decode_list(a_list(gone)).complete().entries[0].state is ReplicaState.GONE
+    assert decode_list(a_list(gone)).complete().entries[0].state is ReplicaState.REMOVED
 
 
 def test_a_list_tells_the_kind_of_machine_where_it_is_a_name() -> None:
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_play.py
@@ -382,11 +382,11 @@
         workers = ReplicaConnections((), SECOND, 10 * SECOND, 64, timers.now, network.dial)
         told = settings(
             classes=(RequestClass(),),
-            ask_for_list=self.random.random() < 0.8,
-            ask_every=10 * SECOND,
-            gateways=gateways,
-            index=index,
-            may_duplicate=True,
+            polls_endpoint_list=self.random.random() < 0.8,
+            poll_interval=10 * SECOND,
+            gateway_count=gateways,
+            gateway_index=index,
+            hedging_allowed=True,
         )
         self.core = Core(told, seed, ReplicaSet(Numbers(), ["z"]), timers, workers, self.watch)
         self.watch.core = self.core
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -95,9 +95,9 @@
             assert await ask("/", first) is Outcome.OK
             idle = connections.idle[1][0]
             await until(lambda: loop.time() > idle.idle_since + SETTLE)
-            assert await ask("/full", first) is Outcome.FULL
+            assert await ask("/full", first) is Outcome.OVERLOADED
             assert connections.keep_alive.limit(loop.time()) == 8.0, "a kept connection had its place"
-            assert await ask("/full", second) is Outcome.FULL
+            assert await ask("/full", second) is Outcome.OVERLOADED
             assert connections.keep_alive.limit(loop.time()) < 5.0
         finally:
             connections.close()
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -50,7 +50,7 @@
     def __init__(self, hold_ms: int = HOLD_MS, asks: bool = False) -> None:
         self.first, self.second, self.discovery = Peer(), Peer(), Peer()
         self.watch = DiscoveryWatch(self.discovery.endpoint, hold_ms)
-        self.gateway = Gateway(self.first, self.second, discovery=self.watch, ask_for_list=asks)
+        self.gateway = Gateway(self.first, self.second, discovery=self.watch, polls_endpoint_list=asks)
         self.watch.core = self.gateway.core
 
     @property
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -12,7 +12,7 @@
 from tornado.iostream import IOStream
 
 from lockspoke.balancing.events import Outcome, ReplicaState
-from lockspoke.balancing.settings import Effect, RequestClass
+from lockspoke.balancing.settings import Idempotency, RequestClass
 from lockspoke.core.replica_set import Entry
 from lockspoke.wire.clients.front import LINGER, ClientConnection, Intake
 from lockspoke.wire.replicas import transport as replica_side
@@ -209,7 +209,7 @@
         assert gateway.core.totals[f"outcome_{outcome}"] == gateway.core.totals["attempts"]
 
     monkeypatch.setattr(dialing, "IOStream", small)
-    play(test, classes=(RequestClass(effect=Effect.UNSAFE),))
+    play(test, classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
 
 
 async def leaves(gateway: Gateway, client: Line) -> None:
@@ -237,7 +237,7 @@
         await happens(gateway, client)
         late = await peer.let_in()
         await until(lambda: call.attempts[0].outcome is not None)
-        assert call.attempts[0].outcome is Outcome.MOOT
+        assert call.attempts[0].outcome is Outcome.NEVER_SENT
         gateway.transport.close()
         assert await late.rest() == b""
 
