--- a/lockspoke/address/member.py
+++ b/lockspoke/address/member.py
@@ -11,6 +11,8 @@
 
 import structlog
 
+from lockspoke.units import SECOND
+
 from .control import Control
 from .election import Hold, Lose
 from .health import Health, Vitals
@@ -18,9 +20,8 @@
 from .listening import Announcer, steady_clock
 from .node import Node
 from .record import Record
-from .settings import Settings, endpoint
+from .settings import AddressSettings, endpoint
 
-NS = 1_000_000_000
 LONGEST_DOWN = 86400.0  # seconds that an operator's word holds an instance down
 
 log = structlog.get_logger()
@@ -29,7 +30,7 @@
 class Member:
     """A node and what stands round it. Made and prepared without the loop; it runs from `start` on."""
 
-    def __init__(self, settings: Settings, name: str, announcer: Announcer) -> None:
+    def __init__(self, settings: AddressSettings, name: str, announcer: Announcer) -> None:
         """Raises ValueError naming the key, for what can't be started with."""
         self.settings, self.name = settings, name
         if name not in settings.members:
@@ -54,7 +55,7 @@
             random.SystemRandom().random,
             steady_clock,
             priority=settings.priority,
-            take_back=int(settings.take_back * NS) or None,
+            take_back=int(settings.take_back * SECOND) or None,
             first_term=self.record.term if self.record is not None else 0,
             told=self._told,
         )
@@ -115,7 +116,7 @@
             loop = asyncio.get_running_loop()
             self._writing = loop.run_in_executor(None, record.write, election.term, election.terms.generation)
 
-    def prepare(self, settings: Settings) -> Callable[[], None]:
+    def prepare(self, settings: AddressSettings) -> Callable[[], None]:
         """Check new settings; gives what puts them in force. Raises ValueError naming the key."""
         fixed = ("service", "listen", "bind", "announce", "record", "control", "metrics", "trace", "name")
         for key in fixed:
@@ -133,7 +134,7 @@
                 log.info("address_members_changed", generation=terms.generation, members=list(terms.members))
                 self.keep_record()
             node.election.priority = settings.priority
-            node.election.take_back = int(settings.take_back * NS) or None
+            node.election.take_back = int(settings.take_back * SECOND) or None
             self.health.bounds = settings.health.bounds()
             self.settings = settings
 
@@ -163,7 +164,7 @@
         found = self.node.status()
         reasons = list(self.health.reasons)
         if now < self.down_until:
-            reasons.append(f"held down by an operator for {(self.down_until - now) / NS:.0f} s more")
+            reasons.append(f"held down by an operator for {(self.down_until - now) / SECOND:.0f} s more")
         found["why_not"] = [
             line
             for one in found["why_not"]
@@ -192,7 +193,7 @@
                 seconds = word.get("seconds")
                 if not isinstance(seconds, int | float) or not 0 <= seconds <= LONGEST_DOWN:
                     raise ValueError(f"seconds is {seconds!r}, want 0 to {LONGEST_DOWN:.0f}")
-                self.down_until = self.node.clock() + int(seconds * NS)
+                self.down_until = self.node.clock() + int(seconds * SECOND)
                 log.warning("address_operator_hold_down", seconds=seconds)
                 self.node.set_health(self.health.fit and not seconds)
                 return {"done": f"{self.name} is held down for {seconds:g} s"}
--- a/lockspoke/address/settings.py
+++ b/lockspoke/address/settings.py
@@ -7,6 +7,8 @@
 
 import msgspec
 
+from lockspoke.units import SECOND
+
 from .datagram import NAME
 from .health import Bounds
 from .terms import Terms
@@ -14,7 +16,6 @@
 Port = tuple[str, int]
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
 Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=86400.0)]
-NS = 1_000_000_000
 
 
 def endpoint(text: str) -> Port:
@@ -55,17 +56,17 @@
             calls_enough=self.calls_enough,
             sockets=self.sockets,
             memory=self.memory,
-            sick_after=int(self.sick_after * NS),
-            well_after=int(self.well_after * NS),
+            sick_after=int(self.sick_after * SECOND),
+            well_after=int(self.well_after * SECOND),
             penalty=self.penalty,
             hold_down=self.hold_down,
             stand_again=self.stand_again,
-            half_life=int(self.half_life * NS),
-            longest=int(self.longest * NS),
+            half_life=int(self.half_life * SECOND),
+            longest=int(self.longest * SECOND),
         )
 
 
-class Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class AddressSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The section `[address]`. Times in seconds."""
 
     service: str  # host:port that clients know
@@ -127,13 +128,13 @@
         return Terms(
             tuple(self.members),
             frozenset(self.witnesses),
-            span=int(self.span * NS),
-            renew=int(self.renew * NS),
-            answer=int(self.answer * NS),
+            span=int(self.span * SECOND),
+            renew=int(self.renew * SECOND),
+            answer=int(self.answer * SECOND),
             drift=self.drift,
-            reserve=int(self.reserve * NS),
+            reserve=int(self.reserve * SECOND),
             generation=self.generation,
-            settle=int(self.settle * NS),
+            settle=int(self.settle * SECOND),
         )
 
     def book(self) -> dict[str, Port]:
--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -17,14 +17,14 @@
 from lockspoke.address.health import Vitals
 from lockspoke.address.listening import Announcer, Announcers, LoopbackListener, steady_clock
 from lockspoke.address.member import Member
-from lockspoke.address.settings import Settings, endpoint
+from lockspoke.address.settings import AddressSettings, endpoint
 from lockspoke.core.core import Core
-from lockspoke.lifecycle.config import Config, ConfigError
-from lockspoke.lifecycle.subsystems import Surroundings
+from lockspoke.lifecycle.config import ConfigError, GatewayConfig
+from lockspoke.lifecycle.subsystems import EndpointListSource, Subsystem, SubsystemContext
 from lockspoke.wire.clients.front import ClientConnection, ClientFront
-from lockspoke.wire.tcp.listener import close_resting
+from lockspoke.wire.tcp.listener import close_if_quiet
 
-__all__ = ["AddressPart", "Settings", "make"]
+__all__ = ["AddressSettings", "AddressSubsystem", "create"]
 
 PULSE = 0.1  # seconds between two looks at how late the loop is
 RESOURCES = 1.0  # seconds between two looks at descriptors and memory, which cost more
@@ -35,19 +35,22 @@
 log = structlog.get_logger()
 
 
-def make(settings: Settings, around: Surroundings) -> AddressPart:
+settings_type = AddressSettings
+
+
+def create(settings: AddressSettings, around: SubsystemContext) -> Subsystem:
     """The moving address."""
-    return AddressPart(settings, around)
+    return AddressSubsystem(settings, around)
 
 
-class AddressPart:
+class AddressSubsystem:
     """The service address: clients that come by it are clients of the platform's front."""
 
     name = "address"
-    source = None
+    endpoint_list_source: EndpointListSource | None = None
     descriptors = 16  # the datagrams' socket, the listener, control, metrics, a command's pipes
 
-    def __init__(self, settings: Settings, around: Surroundings) -> None:
+    def __init__(self, settings: AddressSettings, around: SubsystemContext) -> None:
         self.gateway = around.gateway
         listen = endpoint(settings.listen or settings.service)
         self.listener = LoopbackListener(listen, self._accepted)
@@ -113,7 +116,7 @@
         failing = (self._samples[-1][2] - self._samples[0][2]) / calls if calls else 0.0
         if now - self._looked_at >= RESOURCES:
             self._resources, self._looked_at = (_sockets(self.gateway), _memory(self.gateway)), now
-        return Vitals(self.core.replica_set.ready, self._lag, failing, calls, *self._resources)
+        return Vitals(self.core.replica_set.ready_count, self._lag, failing, calls, *self._resources)
 
     # Clients of the service address
 
@@ -121,7 +124,9 @@
         connection = self.clients.listener.adopt(accepted)
         assert isinstance(connection, ClientConnection)
         # Also what comes later on it counts only while the lease runs.
-        connection.guard = lambda: self.member.node.election.token >= token and self.member.node.holding
+        connection.lease_is_valid = lambda: (
+            self.member.node.election.token >= token and self.member.node.holding
+        )
         self.connections.add(connection)
 
     def _withdrawn(self, reason: str) -> None:
@@ -133,26 +138,26 @@
     async def _finish(self, leaving: set[ClientConnection]) -> None:
         loop = asyncio.get_running_loop()
         for connection in leaving:
-            connection.leaving = True
+            connection.closes_after_response = True
         end = loop.time() + self.gateway.stop_time
         while leaving:
             before = loop.time() - QUIET
             for connection in list(leaving):
                 if connection.idle and connection.active_at <= before:
-                    close_resting(connection)
+                    close_if_quiet(connection)
                 if connection.stream.closed():
                     leaving.discard(connection)
             if leaving and self.gateway.resumes and loop.time() >= end:
                 open_requests = [one.open_request for one in leaving if one.open_request is not None]
-                self.core.hand_over(open_requests)
+                self.core.hand_off(open_requests)
                 end = float("inf")
             await asyncio.sleep(0.05)
 
-    def sweep(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Forget connections that have ended."""
         self.connections = {one for one in self.connections if not one.stream.closed()}
 
-    def prepare(self, settings: Settings, gateway: Config) -> Callable[[], None]:
+    def prepare_reload(self, settings: AddressSettings, gateway: GatewayConfig) -> Callable[[], None]:
         """Members one at a time, keys, priority and health may change while it runs."""
         try:
             commit = self.member.prepare(settings)
@@ -196,7 +201,7 @@
         self.withdrawn(reason)
 
 
-def _sockets(gateway: Config) -> float:
+def _sockets(gateway: GatewayConfig) -> float:
     """The share of its descriptors that the process uses; 0 where the system doesn't tell."""
     try:
         used = len(os.listdir("/proc/self/fd"))
@@ -205,7 +210,7 @@
     return used / min(gateway.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-def _memory(gateway: Config) -> float:
+def _memory(gateway: GatewayConfig) -> float:
     """The share of its memory that the process uses; 0 where the system doesn't tell."""
     try:
         pages = int(Path("/proc/self/statm").read_text().split()[1])
--- a/lockspoke/balancing/__init__.py
+++ b/lockspoke/balancing/__init__.py
@@ -4,6 +4,6 @@
 """
 
 from .balancer import Balancer
-from .settings import Settings
+from .settings import BalancerSettings
 
-__all__ = ["Balancer", "Settings"]
+__all__ = ["Balancer", "BalancerSettings"]
--- a/lockspoke/balancing/balancer.py
+++ b/lockspoke/balancing/balancer.py
@@ -11,6 +11,8 @@
 import random
 from itertools import islice
 
+from lockspoke.units import SECOND
+
 from .actions import Action, Fail, Log, Reject, SendAttempt, SetTimer, WatchEndpointList
 from .breaker import LONGEST_RECOVERY, RECOVERY, Breaker, BreakerState
 from .events import (
@@ -24,10 +26,19 @@
     ReplicaState,
     RequestArrived,
 )
-from .records import Attempt, DecayingSum, Kind, PromptBands, Recent, Replica, Request, appraise, tally
-from .settings import Idempotency, Settings
+from .records import (
+    DecayingSum,
+    MachineKind,
+    PromptBands,
+    Recent,
+    TrackedAttempt,
+    TrackedReplica,
+    TrackedRequest,
+    appraise,
+    tally,
+)
+from .settings import BalancerSettings, Idempotency
 
-SECOND = 1_000_000_000
 UNREACHED_WEIGHT = 3  # failures that a failed or broken connection counts for: a gateway among many sees few
 OPEN_SHARE = 0.5  # of the listed replicas at most: past that the trouble is shared, not theirs
 SAMPLE = 2  # the hand-over's figure: fresh candidates beside the last winner
@@ -74,20 +85,20 @@
 class Balancer:
     """Decides for one gateway: hand it events with the time, carry out the actions in their order."""
 
-    def __init__(self, settings: Settings, seed: int) -> None:
+    def __init__(self, settings: BalancerSettings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.replicas: dict[int, Replica] = {}
-        self.ready: list[Replica] = []  # of them, those that the list calls ready
-        self.kinds: dict[int, Kind] = {}
-        self.rankings: dict[int, list[Replica]] = {}  # by prefix, see _ranking
-        self.requests: dict[int, Request] = {}
-        self.waiting: dict[int, Request] = {}  # held until a replica has room
+        self.replicas: dict[int, TrackedReplica] = {}
+        self.ready: list[TrackedReplica] = []  # of them, those that the list calls ready
+        self.kinds: dict[int, MachineKind] = {}
+        self.rankings: dict[int, list[TrackedReplica]] = {}  # by prefix, see _ranking
+        self.requests: dict[int, TrackedRequest] = {}
+        self.waiting: dict[int, TrackedRequest] = {}  # held until a replica has room
         self.taken = [DecayingSum(RATE_MEMORY) for _ in settings.tenants]  # work sent, against its share
-        self.fleet = Replica(0, Breaker())  # all as one: own requests with no first token, their limit
+        self.fleet = TrackedReplica(0, Breaker())  # all as one: own requests with no first token, their limit
         self.bands = PromptBands(BAND_MEMORY)
         self.lateness = 0.0  # share of late signs among the latest ones
-        self.last_winner: Replica | None = None
+        self.last_winner: TrackedReplica | None = None
         self.recent = Recent(RECENT)  # prefixes, or sessions, of the latest requests
         self.due: list[tuple[int, int]] = []  # (deadline, request)
         self.armed = _NEVER  # when the timer that was asked for fires
@@ -97,7 +108,7 @@
         self.asked = ANSWER_TOKENS  # what the mean request asks of a replica that keeps nothing, in tokens
         self.out: list[Action] = []
 
-    def reconfigure(self, settings: Settings) -> None:
+    def reconfigure(self, settings: BalancerSettings) -> None:
         """New settings from now on; what is under way keeps the class it came with."""
         self.settings, self.taken = settings, [DecayingSum(RATE_MEMORY) for _ in settings.tenants]
 
@@ -148,7 +159,7 @@
                     replica.state, replica.told_at = ReplicaState.REMOVED, self.now
         for entry in update.entries:
             if entry.replica not in self.replicas:
-                self.replicas[entry.replica] = Replica(entry.replica, Breaker())
+                self.replicas[entry.replica] = TrackedReplica(entry.replica, Breaker())
             replica = self.replicas[entry.replica]
             if entry.started_at > replica.started_at:
                 # A process that has begun anew owes nothing for the failures of the one before it.
@@ -159,7 +170,7 @@
             replica.state, replica.told_at = entry.state, self.now
             replica.zone, replica.cell, replica.listed = entry.zone, entry.cell, max(entry.weight, 1e-9)
             replica.nominal = max(replica.nominal, replica.listed)
-            replica.kind = self.kinds.setdefault(entry.machine_kind, Kind())
+            replica.kind = self.kinds.setdefault(entry.machine_kind, MachineKind())
         # A gone replica is remembered while it could come back cold: its spent warm-up budget must hold.
         since = self.now - self.settings.slow_start_duration - self.settings.overload_duration
         for replica in [r for r in self.replicas.values() if r.state is ReplicaState.REMOVED]:
@@ -184,7 +195,7 @@
             self.ask_at = self.now + place if kind is EndpointListKind.CACHED else None
 
     def _arrived(self, event: RequestArrived) -> None:
-        request = Request(event, self.now, self.settings.classes[event.request_class])
+        request = TrackedRequest(event, self.now, self.settings.classes[event.request_class])
         self.requests[event.request] = self.waiting[event.request] = request
         heapq.heappush(self.due, (request.deadline, event.request))
         self.recent.add(event.prefix or event.session)
@@ -209,7 +220,9 @@
             if stuck < STUCK:
                 stuck += not self._send(number, self.waiting[number])
 
-    def _turn(self, request: Request, free: list[Replica]) -> tuple[bool, bool, bool, float, int]:
+    def _turn(
+        self, request: TrackedRequest, free: list[TrackedReplica]
+    ) -> tuple[bool, bool, bool, float, int]:
         arrived = request.arrived
         # A client's later try has lost the aim of its first one: flagged, or with less time than the aim.
         late = (
@@ -224,7 +237,7 @@
         fair = self.bands.share_sent(arrived.prompt_tokens) >= FAIR_SHARE * self.bands.share_sent()
         return late, flood, fair, reading * fair, -request.arrived_at
 
-    def _send(self, number: int, request: Request) -> bool:
+    def _send(self, number: int, request: TrackedRequest) -> bool:
         """Send the next attempt, or answer finally when no replica may take it; False if it has to wait."""
         replica, busy = None, False
         if len(request.attempts) < self.settings.max_attempts and self.now < request.deadline:
@@ -242,7 +255,9 @@
             self.taken[owner].add(self.now, self._work(request, replica) / share)
         if not request.attempts:
             self.bands.note(self.now, request.arrived.prompt_tokens, sent=True)
-        attempt = Attempt(replica, self.now, self._work(request, replica), replica.unread(request.arrived))
+        attempt = TrackedAttempt(
+            replica, self.now, self._work(request, replica), replica.unread(request.arrived)
+        )
         replica.take(request.arrived, attempt.work)
         self.fleet.in_flight += 1
         if replica.breaker.look(self.now) is BreakerState.HALF_OPEN:
@@ -259,7 +274,7 @@
         self.out.append(SendAttempt(number, replica.number, request.deadline - self.now, left))
         return True
 
-    def _answer(self, number: int, request: Request) -> None:
+    def _answer(self, number: int, request: TrackedRequest) -> None:
         if not request.attempts:
             self.bands.note(self.now, request.arrived.prompt_tokens, sent=False)
         self.out.append(Fail(number) if request.ran else Reject(number, self._come_back()))
@@ -331,7 +346,7 @@
         elif not any(other.streaming and other.out for other in request.attempts):
             self.waiting[event.request] = request
 
-    def _learn(self, attempt: Attempt, part: float) -> None:
+    def _learn(self, attempt: TrackedAttempt, part: float) -> None:
         """Move the limits: what is sent past the pace of a replica, or of all, makes all of it late."""
         # 'Full' is one replica's alone: its quick refusals would outnumber all other signs.
         shared, replica = attempt.outcome is not Outcome.OVERLOADED, attempt.replica
@@ -348,7 +363,7 @@
                 holder.limit = max(FIRST_LIMIT if holder is self.fleet else 1.0, holder.limit)
                 holder.cut_at = self.now
 
-    def _is_full(self, replica: Replica, kind: int, elapsed: int) -> bool:
+    def _is_full(self, replica: TrackedReplica, kind: int, elapsed: int) -> bool:
         """A full replica says so at once; one that takes its time turns away a class of requests."""
         if elapsed <= FULL_PAUSE:
             replica.full_until = self.now + FULL_PAUSE
@@ -357,14 +372,14 @@
         replica.class_until[kind] = self.now + min(elapsed << min(times, 16), LONGEST_RECOVERY)
         return False
 
-    def _reported(self, replica: Replica, busy: float) -> None:
+    def _reported(self, replica: TrackedReplica, busy: float) -> None:
         replica.floor = max(1, replica.least) * SPARE / max(busy, LEAST_BUSY)  # that there is room for
         replica.least = replica.in_flight
         if self.now - replica.cut_at > REPORT_LIVES:
             replica.limit = max(replica.limit, replica.floor)
         self._saw(replica, busy)
 
-    def _saw(self, replica: Replica, busy: float) -> None:
+    def _saw(self, replica: TrackedReplica, busy: float) -> None:
         """What a kind's replicas can do: answers against slots taken. Of one alone too few answers come."""
         replica.busy, replica.busy_at = busy, self.now
         if self.now >= replica.warm_at:
@@ -376,13 +391,13 @@
         shut = sum(r.breaker.state is not BreakerState.CLOSED for r in self.ready)
         return shut + 1 <= OPEN_SHARE * len(self.ready)
 
-    def _close(self, number: int, request: Request) -> None:
+    def _close(self, number: int, request: TrackedRequest) -> None:
         request.open = False
         self.waiting.pop(number, None)
         if not any(attempt.out for attempt in request.attempts):
             self.requests.pop(number, None)
 
-    def _may_run(self, request: Request, replica: Replica) -> bool:
+    def _may_run(self, request: TrackedRequest, replica: TrackedReplica) -> bool:
         if not self.settings.hedging_allowed and any(attempt.out for attempt in request.attempts):
             return False
         kind, ran = request.kind, request.ran
@@ -396,7 +411,7 @@
         group = kind.deduplication_scope.value
         return group == "all" or all(getattr(replica, group) == getattr(a.replica, group) for a in ran)
 
-    def _budget_allows(self, replica: Replica, work: float) -> bool:
+    def _budget_allows(self, replica: TrackedReplica, work: float) -> bool:
         """Bounded by what warm ones get done; as many gateways have a turn as requests are due to all."""
         settings, sends, gateways = self.settings, replica.cold_sends, self.settings.gateway_count
         turn = (self.now - replica.started_at) // settings.overload_duration
@@ -427,18 +442,18 @@
         return float(self.done.rate(self.now) * self.settings.gateway_count / seen)
 
     @staticmethod
-    def _work(request: Request, replica: Replica) -> float:
+    def _work(request: TrackedRequest, replica: TrackedReplica) -> float:
         """What the request asks of this replica, in tokens: what it has not cached, and the answer."""
         return replica.unread(request.arrived) + ANSWER_TOKENS
 
-    def _has_room(self, replica: Replica) -> bool:
+    def _has_room(self, replica: TrackedReplica) -> bool:
         return replica.in_flight < replica.limit and self.now >= replica.full_until
 
-    def _pick(self, request: Request) -> tuple[Replica | None, bool]:
+    def _pick(self, request: TrackedRequest) -> tuple[TrackedReplica | None, bool]:
         """A half-open replica without a trial, else the least loaded of a sample; and whether any is busy."""
         # Never again where it failed, not even unreached: a dead replica looks idle and would win again.
         tried = [a.replica for a in request.attempts if a.outcome is not Outcome.OVERLOADED]
-        closed: list[Replica] = []
+        closed: list[TrackedReplica] = []
         busy, asked, again = False, request.arrived.prompt_tokens + ANSWER_TOKENS, bool(request.attempts)
         for replica in self.ready:
             state = replica.breaker.look(self.now)
@@ -479,7 +494,7 @@
         self.last_winner = min(sample, key=lambda replica: self._cost(replica, request, mean_size))
         return self.last_winner, False
 
-    def _preferred(self, arrived: RequestArrived, closed: list[Replica]) -> list[Replica]:
+    def _preferred(self, arrived: RequestArrived, closed: list[TrackedReplica]) -> list[TrackedReplica]:
         """Two of the replicas that hold the request's prefix, of many if many ask for it.
 
         A session's are the same at all gateways of a zone: its next turn may come to any of them.
@@ -493,7 +508,7 @@
         holders.sort(key=lambda r: r.rank(arrived.session) / (near if r.zone == own else 1.0))
         return holders[:SAMPLE]
 
-    def _ranking(self, key: int) -> list[Replica]:
+    def _ranking(self, key: int) -> list[TrackedReplica]:
         """The ready replicas in the order in which they should hold a prefix; ranking is dear, so kept."""
         order = self.rankings.get(key)
         if order is None:
@@ -502,13 +517,13 @@
             order = self.rankings[key] = sorted(self.ready, key=lambda replica: replica.rank(key))
         return order
 
-    def _draw(self, replicas: list[Replica]) -> list[Replica]:
+    def _draw(self, replicas: list[TrackedReplica]) -> list[TrackedReplica]:
         # By size: weights that sink with the load move a part of the traffic, never all of it.
         own, near = self.settings.zone, 1.0 + NEAR * self.settings.cross_zone_cost
         weights = [r.size * near if r.zone == own else r.size for r in replicas]
         return self.random.choices(replicas, weights, k=SAMPLE)
 
-    def _cost(self, replica: Replica, request: Request, mean_size: float) -> float:
+    def _cost(self, replica: TrackedReplica, request: TrackedRequest, mean_size: float) -> float:
         """What the request waits for there, and what it takes from the fleet, in tokens of a mean replica.
 
         Own work in flight stands for that of all gateways; a full replica counts as one more own request.
--- a/lockspoke/balancing/breaker.py
+++ b/lockspoke/balancing/breaker.py
@@ -5,10 +5,11 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
+from lockspoke.units import SECOND
+
 if TYPE_CHECKING:
-    from .records import Attempt
+    from .records import TrackedAttempt
 
-SECOND = 1_000_000_000
 FAILURE_THRESHOLD = 5  # the source's figure
 SUCCESS_THRESHOLD = 2  # the source's figure
 RECOVERY = 2 * SECOND  # the source's 60 s outlast most troubles; doubled by each failed trial
@@ -31,7 +32,7 @@
         self.state = BreakerState.CLOSED
         self.failures = self.successes = self.last_failure = self.trial_at = 0
         self.recovery = RECOVERY
-        self.trial: Attempt | None = None
+        self.trial: TrackedAttempt | None = None
 
     def look(self, now: int) -> BreakerState:
         """The state at this moment; time alone half-opens a breaker and frees a stale trial's slot."""
@@ -45,7 +46,7 @@
         """When it half-opens; 0 unless it is open."""
         return self.last_failure + self.recovery if self.state is BreakerState.OPEN else 0
 
-    def succeeded(self, attempt: Attempt) -> None:
+    def succeeded(self, attempt: TrackedAttempt) -> None:
         """A first token, or an answer without one. Only a trial's own success counts when not closed."""
         if self.state is BreakerState.CLOSED:
             self.failures = 0
@@ -62,7 +63,7 @@
         if self.state is not BreakerState.CLOSED or (self.failures >= FAILURE_THRESHOLD and may_open):
             self.state, self.trial = BreakerState.OPEN, None
 
-    def released(self, attempt: Attempt) -> None:
+    def released(self, attempt: TrackedAttempt) -> None:
         """The trial ended without a verdict (full, cancelled): its slot is free."""
         if self.trial is attempt:
             self.trial = None
--- a/lockspoke/balancing/records.py
+++ b/lockspoke/balancing/records.py
@@ -7,10 +7,11 @@
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
+from lockspoke.units import SECOND
+
 from .events import Outcome, ReplicaState, RequestArrived
-from .settings import RequestClass, Settings
+from .settings import BalancerSettings, RequestClass
 
-SECOND = 1_000_000_000  # nanoseconds
 CACHED_KEYS = 2048  # sessions and prefixes remembered a replica; more than a replica's memory can hold
 KIND_MEMORY = 64  # reports over which a kind of machine is judged
 KIND_PRIOR = 1.5  # reports that a kind's listed size counts for beside those that have told how busy it was
@@ -113,7 +114,7 @@
     return int(prompt_tokens).bit_length()
 
 
-class Kind:
+class MachineKind:
     """One kind of machine, as answers from its replicas have shown it of late."""
 
     def __init__(self) -> None:
@@ -129,7 +130,7 @@
         self.busy += max(busy, NOISE)
 
 
-class Replica:
+class TrackedReplica:
     """One replica as this balancer knows it."""
 
     def __init__(self, number: int, breaker: Breaker) -> None:
@@ -138,7 +139,7 @@
         self.state = ReplicaState.REMOVED
         self.zone = 0
         self.cell = 0
-        self.kind = Kind()
+        self.kind = MachineKind()
         self.listed = 1.0
         self.busy = 0.0  # the share of its slots that was taken when it was last heard of
         self.busy_at = 0
@@ -165,7 +166,7 @@
         """What it can do beside the others, in the unit of the list."""
         return self.listed * self.kind.factor
 
-    def share_of_warm(self, now: int, settings: Settings) -> float:
+    def share_of_warm(self, now: int, settings: BalancerSettings) -> float:
         """The capacity it surely has by now, as a share of its warm one."""
         if now >= self.warm_at:
             return 1.0
@@ -201,7 +202,7 @@
         return -math.log(((mixed >> 11) + 1) / (1 << 53)) / self.nominal
 
 
-def tally(kinds: dict[int, Kind], ready: Iterable[Replica]) -> dict[int, Kind]:
+def tally(kinds: dict[int, MachineKind], ready: Iterable[TrackedReplica]) -> dict[int, MachineKind]:
     """The kinds that have ready replicas, with the listed sizes of these summed up anew."""
     for kind in kinds.values():
         kind.listed = 0.0
@@ -210,7 +211,7 @@
     return {number: kind for number, kind in kinds.items() if kind.listed}
 
 
-def appraise(kinds: list[Kind], by_slots: bool) -> None:
+def appraise(kinds: list[MachineKind], by_slots: bool) -> None:
     """Judge what the kinds' replicas can do: answers against slots taken. Of one alone too few answers come.
 
     Where reports don't tell slots taken (`by_slots` false), what they stand for does not grow evenly with the
@@ -227,10 +228,10 @@
         kind.seen, kind.busy = kind.seen * (1.0 - 1.0 / KIND_MEMORY), kind.busy * (1.0 - 1.0 / KIND_MEMORY)
 
 
-class Attempt:
+class TrackedAttempt:
     """One attempt of a request."""
 
-    def __init__(self, replica: Replica, now: int, work: float, unread: float = 0.0) -> None:
+    def __init__(self, replica: TrackedReplica, now: int, work: float, unread: float = 0.0) -> None:
         self.replica = replica
         self.sent_at = now
         self.work = work
@@ -249,7 +250,7 @@
         return self.outcome not in NEVER_RAN
 
 
-class Request:
+class TrackedRequest:
     """One request, kept until it has its final answer and the outcomes of all its attempts."""
 
     def __init__(self, arrived: RequestArrived, now: int, kind: RequestClass) -> None:
@@ -260,10 +261,10 @@
         self.aim = kind.latency_objective + int(
             kind.latency_objective_per_token * arrived.prompt_tokens
         )  # for the first token
-        self.attempts: list[Attempt] = []
+        self.attempts: list[TrackedAttempt] = []
         self.open = True
 
     @property
-    def ran(self) -> list[Attempt]:
+    def ran(self) -> list[TrackedAttempt]:
         """Its attempts that may have had an effect, those still out among them."""
         return [attempt for attempt in self.attempts if attempt.maybe_ran]
--- a/lockspoke/balancing/settings.py
+++ b/lockspoke/balancing/settings.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settings:
+class BalancerSettings:
     """What a balancer is told at its start. The defaults suit a small fleet."""
 
     classes: tuple[RequestClass, ...]
--- a/lockspoke/batch/api.py
+++ b/lockspoke/batch/api.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lockspoke.batch.store import Batch, End, File, Upload
+from lockspoke.batch.store import Batch, File, LineStatus, Upload
 from lockspoke.wire.http.sse import LINE_LIMIT
 
 ENDPOINT = "/v1/chat/completions"
@@ -183,18 +183,18 @@
 
 
 ENDS = {
-    End.FAILED: ("upstream_failed", "The request was tried and failed; it may have run."),
-    End.CANCELLED: ("batch_cancelled", "This request was not executed: the batch was cancelled."),
-    End.EXPIRED: ("batch_expired", "This request could not be executed before its deadline."),
+    LineStatus.FAILED: ("upstream_failed", "The request was tried and failed; it may have run."),
+    LineStatus.CANCELLED: ("batch_cancelled", "This request was not executed: the batch was cancelled."),
+    LineStatus.EXPIRED: ("batch_expired", "This request could not be executed before its deadline."),
 }
 
 
 def result_line(
-    name: str, custom_id: str, end: End, request_id: str, body: dict[str, Any] | None
+    name: str, custom_id: str, end: LineStatus, request_id: str, body: dict[str, Any] | None
 ) -> dict[str, Any]:
     """What a result file says of a line."""
     line: dict[str, Any] = {"id": name, "custom_id": custom_id, "response": None, "error": None}
-    if end is End.SERVED:
+    if end is LineStatus.SERVED:
         line["response"] = {"status_code": 200, "request_id": request_id, "body": body}
     else:
         code, message = ENDS[end]
@@ -246,7 +246,7 @@
 def batch_object(batch: Batch) -> dict[str, Any]:
     """A batch as clients see it."""
     stamps = {f"{name}_at": batch.stamps.get(name) for name in _STAMPED}
-    served = batch.counts.get(End.SERVED, 0)
+    served = batch.counts.get(LineStatus.SERVED, 0)
     return {
         "id": batch.id,
         "object": "batch",
--- a/lockspoke/batch/lines.py
+++ b/lockspoke/batch/lines.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from lockspoke.batch.runner import Answer, BadLinesError
-from lockspoke.batch.store import Batch, BatchStore, End
-from lockspoke.core.core import SECOND
-from lockspoke.core.identifiers import key_number
-from lockspoke.core.requests import ClientRequest, Sink
+from lockspoke.batch.store import Batch, BatchStore, LineStatus
+from lockspoke.core.identifiers import key_identifier
+from lockspoke.core.requests import ClientRequest, ResponseWriter
+from lockspoke.units import SECOND
 from lockspoke.wire.http.http1 import BODY_LIMIT
 
 from .api import AnswerCollector, Line, LineError, decode_line, line_error, measure, result_line
@@ -75,21 +75,21 @@
         return self._read(batch, place).custom_id
 
     def call(
-        self, batch: Batch, place: int, sink: Sink, left: float
+        self, batch: Batch, place: int, sink: ResponseWriter, left: float
     ) -> tuple[ClientRequest, AnswerCollector]:
         """The call for a line, whatever stream or none it asked for: workers stream, the front assembles."""
         line = self._read(batch, place)
         prompt = measure(line.body)
         body = {**line.body, "stream": True, "stream_options": {"include_usage": True}}
-        prefix = format(key_number(prompt.prefix), "016x") if prompt.prefix else ""
+        prefix = format(key_identifier(prompt.prefix), "016x") if prompt.prefix else ""
         extra = f"prompt_len={prompt.tokens:.0f},prefix_len={prompt.prefix_tokens:.0f}"
         extra += f",max_out={prompt.max_tokens:.0f}" + (f",prefix={prefix}" if prefix else "")
         request_id = secrets.token_hex(8)
         call = ClientRequest(
-            sink=sink,
+            response=sink,
             request_class=self.request_class,
-            time_left=max(1, min(self.longest, int(left * SECOND))),
-            req_id=request_id,
+            time_remaining=max(1, min(self.longest, int(left * SECOND))),
+            request_id=request_id,
             method="POST",
             target=batch.endpoint,
             headers={
@@ -99,7 +99,7 @@
                 "Req-Extra": extra,
             },
             body=json.dumps(body, ensure_ascii=False, separators=(",", ":")).encode(),
-            prefix=key_number(prefix),
+            prefix=key_identifier(prefix),
             prompt_tokens=prompt.tokens,
             prefix_tokens=prompt.prefix_tokens,
             max_tokens=prompt.max_tokens,
@@ -107,7 +107,7 @@
         )
         return call, AnswerCollector(str(line.body.get("model", "")), int(self.store.now()))
 
-    def out(self, custom_id: str, end: End, answer: Answer) -> dict[str, Any]:
+    def out(self, custom_id: str, end: LineStatus, answer: Answer) -> dict[str, Any]:
         """What the result file says of a line."""
         name = f"batch_req_{secrets.token_hex(12)}"
         return result_line(name, custom_id, end, f"req_{secrets.token_hex(12)}", answer.body)
--- a/lockspoke/batch/listener.py
+++ b/lockspoke/batch/listener.py
@@ -26,14 +26,14 @@
 from lockspoke.batch.runner import BatchRunner
 from lockspoke.batch.store import Batch, BatchStore, File, Upload
 from lockspoke.wire.http.http1 import (
-    Data,
-    End,
+    BodyChunk,
     HttpError,
+    MessageEnd,
     Piece,
     RequestHead,
     RequestParser,
-    encode_answer,
     encode_head,
+    encode_response,
 )
 from lockspoke.wire.tcp.listener import READ, Listener
 
@@ -136,7 +136,7 @@
         ]
         self.routes = [(method, re.compile(pattern), handler) for method, pattern, handler in routes]
 
-    def sweep(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Close idle connections, and those whose client neither sends nor takes anything."""
         self.listener.close_idle(IDLE)
         self.listener.reclaim()
@@ -434,7 +434,7 @@
         self.front = front
         self.stream = stream
         self.opened_at = self.active_at = asyncio.get_running_loop().time()
-        self.asked = True  # few clients, all of them known: none goes before another
+        self.has_received = True  # few clients, all of them known: none goes before another
         self.idle = True
         self._parser = RequestParser(front.file_limit + FORM_SLACK)
         self._pieces: list[Piece] = []
@@ -479,9 +479,9 @@
             nonlocal ended
             if not ended:
                 piece = await self._piece()
-                if isinstance(piece, Data):
+                if isinstance(piece, BodyChunk):
                     return piece.data
-                ended = isinstance(piece, End)
+                ended = isinstance(piece, MessageEnd)
             return None
 
         keep = head.keep_alive and not self.front.draining
@@ -518,7 +518,7 @@
     async def _json(self, reply: Reply, keep: bool, method: str = "GET") -> None:
         headers = {"Content-Type": "application/json", **reply.headers}
         body = json.dumps(reply.raw, ensure_ascii=False).encode()
-        await self.stream.write(encode_answer(reply.status, body, headers, keep, method))
+        await self.stream.write(encode_response(reply.status, body, headers, keep, method))
 
     async def _error(self, error: ApiError, keep: bool, method: str = "GET") -> None:
         await self._json(Reply(error.body(), error.status), keep, method)
--- a/lockspoke/batch/runner.py
+++ b/lockspoke/batch/runner.py
@@ -12,11 +12,12 @@
 
 import structlog
 
-from lockspoke.core.core import SECOND, Core
-from lockspoke.core.requests import ClientRequest, Sink
+from lockspoke.core.core import Core
+from lockspoke.core.requests import ClientRequest, ResponseWriter
+from lockspoke.units import SECOND
 
 from .journal import StoreError
-from .store import Batch, BatchStore, End
+from .store import Batch, BatchStore, LineStatus
 
 LOOK = 0.05  # seconds between two looks for room while live calls go first
 RETRY = 1.0  # seconds before another try where nobody said how long
@@ -61,20 +62,22 @@
     def index(self, batch: Batch) -> tuple[array[int], dict[int, int]]:
         """Check a file: where each line begins, and deadlines of lines' own, in ms from the batch's start."""
 
-    def call(self, batch: Batch, place: int, sink: Sink, left: float) -> tuple[ClientRequest, Collector]:
+    def call(
+        self, batch: Batch, place: int, sink: ResponseWriter, left: float
+    ) -> tuple[ClientRequest, Collector]:
         """The call for the line at a place, for so many seconds at most, and what collects its answer."""
 
     def custom_id(self, batch: Batch, place: int) -> str:
         """The name that the client gave the line at a place."""
 
-    def out(self, custom_id: str, end: End, answer: Answer) -> dict[str, Any]:
+    def out(self, custom_id: str, end: LineStatus, answer: Answer) -> dict[str, Any]:
         """What the result file says of a line."""
 
     def encode(self, out: dict[str, Any]) -> bytes:
         """A line of a result file."""
 
 
-class _LineSink:
+class _LineResponseWriter:
     """Collects the answer to one try of a line."""
 
     def __init__(self) -> None:
@@ -86,25 +89,25 @@
             self.answer.set_result(answer)
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """No client waits on a connection."""
         return False
 
-    def event(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         """Collect a piece."""
         if self.collector is not None:
             self.collector.feed(data)
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """The stream is whole."""
         body = self.collector.body() if self.collector is not None else None
         self._set(Answer("failed") if body is None else Answer("served", body=body))
 
-    def broken(self) -> None:
+    def abort(self) -> None:
         """Half an answer is none."""
         self._set(Answer("failed"))
 
-    def refuse(self, retry_after: int) -> None:
+    def reject(self, retry_after: int) -> None:
         """Come back later."""
         self._set(Answer("refused", retry_after))
 
@@ -135,7 +138,7 @@
         """The next line that nobody has begun."""
         while self.next < self.batch.total:
             line, self.next = self.next, self.next + 1
-            if self.batch.ends[line] == End.OPEN and line not in self.active:
+            if self.batch.ends[line] == LineStatus.OPEN and line not in self.active:
                 return line
         return None
 
@@ -219,9 +222,9 @@
             status = "cancelling" if batch.status == "cancelling" else "in_progress"
             await self._insist(lambda: self.store.set_status(batch, status, total=len(places)))
         run = _Run(batch, places, deadlines)
-        run.due = [(run.deadline(line), line) for line in deadlines if batch.ends[line] == End.OPEN]
+        run.due = [(run.deadline(line), line) for line in deadlines if batch.ends[line] == LineStatus.OPEN]
         heapq.heapify(run.due)
-        log.info("batch_started", batch=batch.id, lines=batch.total, open=batch.ends.count(End.OPEN))
+        log.info("batch_started", batch=batch.id, lines=batch.total, open=batch.ends.count(LineStatus.OPEN))
         self.runs.append(run)
         self.poke()
         await run.drained.wait()
@@ -230,7 +233,7 @@
     async def _finish(self, run: _Run) -> None:
         batch = run.batch
         status = "cancelled" if batch.status == "cancelling" else "completed"
-        if status == "completed" and self.now() >= batch.expires_at and batch.counts.get(End.EXPIRED):
+        if status == "completed" and self.now() >= batch.expires_at and batch.counts.get(LineStatus.EXPIRED):
             status = "expired"
         if batch.status == "in_progress":
             await self._insist(lambda: self.store.set_status(batch, "finalizing"))
@@ -252,8 +255,8 @@
 
     def _may_begin(self) -> bool:
         """Whether a line may go now: live calls go first."""
-        held = self.core.live_held()
-        pause = self.core.timers.now() - self.core.live_refused_at < LIVE_PAUSE
+        held = self.core.interactive_request_waiting()
+        pause = self.core.clock.now() - self.core.interactive_rejected_at < LIVE_PAUSE
         return not self.stopping and self.running < self.concurrency and not held and not pause
 
     async def _dispatch(self) -> None:
@@ -289,17 +292,17 @@
         for run in self.runs:
             ended = None
             if run.batch.status == "cancelling":
-                ended = End.CANCELLED
+                ended = LineStatus.CANCELLED
             elif self.now() >= run.batch.expires_at:
-                ended = End.EXPIRED
+                ended = LineStatus.EXPIRED
             while ended is not None and self.ending < ENDING and (line := run.take()) is not None:
                 self._end_unrun(run, line, ended)
             while run.due and run.due[0][0] <= self.now() and self.ending < ENDING:
                 _, line = heapq.heappop(run.due)
-                if run.batch.ends[line] == End.OPEN and line not in run.active:
-                    self._end_unrun(run, line, End.EXPIRED)
+                if run.batch.ends[line] == LineStatus.OPEN and line not in run.active:
+                    self._end_unrun(run, line, LineStatus.EXPIRED)
 
-    def _end_unrun(self, run: _Run, line: int, end: End) -> None:
+    def _end_unrun(self, run: _Run, line: int, end: LineStatus) -> None:
         async def store() -> None:
             await self._ended(run, line, end, Answer("failed"))
             self.ending -= 1
@@ -322,7 +325,7 @@
         while True:
             left = run.deadline(line) - self.now()
             if left <= 0 or run.batch.status == "cancelling":
-                end = End.EXPIRED if left <= 0 else End.CANCELLED
+                end = LineStatus.EXPIRED if left <= 0 else LineStatus.CANCELLED
                 break
             try:
                 answer = await self._try(run, line, left)
@@ -330,11 +333,11 @@
                 log.exception("line_failed", batch=run.batch.id, line=line)
                 answer, tries = Answer("failed"), self.tries
             if answer.how == "served":
-                end = End.SERVED
+                end = LineStatus.SERVED
                 break
             tries += answer.how == "failed"
             if tries >= self.tries:
-                end = End.FAILED
+                end = LineStatus.FAILED
                 break
             refusals = refusals + 1 if answer.how == "refused" else 0
             if not await self._wait_turn(run, line, answer.retry_after, refusals):
@@ -368,12 +371,12 @@
         return False
 
     async def _try(self, run: _Run, line: int, left: float) -> Answer:
-        sink = _LineSink()
+        sink = _LineResponseWriter()
         call, sink.collector = self.lines.call(run.batch, run.places[line], sink, left)
         self.core.submit(call)
         return await sink.answer
 
-    async def _ended(self, run: _Run, line: int, end: End, answer: Answer) -> None:
+    async def _ended(self, run: _Run, line: int, end: LineStatus, answer: Answer) -> None:
         out = self.lines.out(self.lines.custom_id(run.batch, run.places[line]), end, answer)
         await self._insist(lambda: self.store.end_line(run.batch, line, end, out))
         run.active.discard(line)
--- a/lockspoke/batch/store.py
+++ b/lockspoke/batch/store.py
@@ -21,7 +21,7 @@
 from .journal import Journal, Record, StoreError, sync_folder
 
 
-class End(IntEnum):
+class LineStatus(IntEnum):
     """How a line ended."""
 
     OPEN = 0
@@ -80,7 +80,7 @@
     error_file_id: str = ""
     ends: bytearray = field(default_factory=bytearray)  # by line, its `End`
     places: array[int] = field(default_factory=lambda: array("Q"))  # by line, where the journal holds it
-    counts: dict[End, int] = field(default_factory=dict)
+    counts: dict[LineStatus, int] = field(default_factory=dict)
 
     @property
     def total(self) -> int:
@@ -176,8 +176,8 @@
                 setattr(batch, f"{name}_file_id", made.id)
 
     def _line_ended(self, place: int, record: Record) -> None:
-        batch, number, end = self.batches[record["batch"]], record["line"], End(record["end"])
-        if batch.ends[number] != End.OPEN:
+        batch, number, end = self.batches[record["batch"]], record["line"], LineStatus(record["end"])
+        if batch.ends[number] != LineStatus.OPEN:
             raise StoreError(f"{batch.id}: line {number} ended twice")
         batch.ends[number] = end
         batch.places[number] = place
@@ -309,10 +309,10 @@
         record = {"op": "batch_status", "id": batch.id, "status": status, "at": int(self.now()), **more}
         await self._write(record)
 
-    async def end_line(self, batch: Batch, line: int, end: End, out: dict[str, Any]) -> None:
+    async def end_line(self, batch: Batch, line: int, end: LineStatus, out: dict[str, Any]) -> None:
         """A line has ended, once and for all; `out` is what the result file will say of it."""
         # Before the write: a second end that stood in the journal would be there for ever.
-        if batch.ends[line] != End.OPEN or (batch.id, line) in self._ending:
+        if batch.ends[line] != LineStatus.OPEN or (batch.id, line) in self._ending:
             raise StoreError(f"{batch.id}: line {line} ended twice")
         self._ending.add((batch.id, line))
         try:
@@ -322,7 +322,7 @@
 
     def _results(self, batch: Batch, served: bool) -> Iterator[dict[str, Any]]:
         for number, end in enumerate(batch.ends):
-            if end != End.OPEN and (end == End.SERVED) is served:
+            if end != LineStatus.OPEN and (end == LineStatus.SERVED) is served:
                 yield self.journal.read(batch.places[number])["out"]
 
     async def finish(self, batch: Batch, status: str, encode: Callable[[dict[str, Any]], bytes]) -> None:
--- a/lockspoke/batch/subsystem.py
+++ b/lockspoke/batch/subsystem.py
@@ -17,19 +17,19 @@
 from lockspoke.batch.runner import BatchRunner
 from lockspoke.batch.store import BatchStore
 from lockspoke.core.core import Core
-from lockspoke.lifecycle.config import Config, ConfigError
-from lockspoke.lifecycle.subsystems import Surroundings
+from lockspoke.lifecycle.config import ConfigError, GatewayConfig
+from lockspoke.lifecycle.subsystems import EndpointListSource, Subsystem, SubsystemContext
+from lockspoke.units import MEBIBYTE
 from lockspoke.wire.clients.front import ClientFront
-from lockspoke.wire.discovery.messages import ListError, decode_endpoint
+from lockspoke.wire.discovery.messages import EndpointListError, decode_address
 
-MB = 1024 * 1024
 TEND = 60.0  # seconds between two looks for uploads whose time is over
 Count = Annotated[int, msgspec.Meta(ge=1)]
 
 log = structlog.get_logger()
 
 
-class Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class BatchSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The section `[batch]`."""
 
     listen: str  # host:port
@@ -47,23 +47,26 @@
         if not self.store:
             raise ValueError("store is empty, want a folder")
         try:
-            decode_endpoint(self.listen, 0)
-        except ListError as error:
+            decode_address(self.listen, 0)
+        except EndpointListError as error:
             raise ValueError(f"listen is wrong: {error}") from None
 
 
-def make(settings: Settings, around: Surroundings) -> BatchSide:
+settings_type = BatchSettings
+
+
+def create(settings: BatchSettings, around: SubsystemContext) -> Subsystem:
     """The batch front."""
-    return BatchSide(settings, around)
+    return BatchSubsystem(settings, around)
 
 
-class BatchSide:
+class BatchSubsystem:
     """Store, runner and listener of the batch front."""
 
     name = "batch"
-    source = None
+    endpoint_list_source: EndpointListSource | None = None
 
-    def __init__(self, settings: Settings, around: Surroundings) -> None:
+    def __init__(self, settings: BatchSettings, around: SubsystemContext) -> None:
         self.settings = settings
         self.gateway = around.gateway
         self.request_class = self._class(settings, around.gateway)
@@ -84,15 +87,15 @@
         self.runner = BatchRunner(
             self.store, core, self.lines, settings.concurrency, settings.tries, time.time
         )
-        limit = settings.max_file_mb * MB
+        limit = settings.max_file_mb * MEBIBYTE
         self.front = BatchFront(self.store, self.runner, settings.connections, limit, self.token)
 
-    def _class(self, settings: Settings, gateway: Config) -> int:
+    def _class(self, settings: BatchSettings, gateway: GatewayConfig) -> int:
         if settings.kind not in gateway.classes:
             raise ConfigError(f"batch.kind is {settings.kind!r}, want one of {', '.join(gateway.classes)}")
         return gateway.classes[settings.kind]
 
-    def prepare(self, settings: Settings, gateway: Config) -> Callable[[], None]:
+    def prepare_reload(self, settings: BatchSettings, gateway: GatewayConfig) -> Callable[[], None]:
         """What may change while it runs: kind, concurrency, tries, sizes. The rest needs a restart."""
         fixed = ("listen", "store", "connections", "token_env")
         changed = [name for name in fixed if getattr(settings, name) != getattr(self.settings, name)]
@@ -106,13 +109,13 @@
             self.lines.longest = gateway.deadlines[request_class]
             self.lines.most = settings.max_lines
             self.runner.concurrency, self.runner.tries = settings.concurrency, settings.tries
-            self.front.file_limit = settings.max_file_mb * MB
+            self.front.file_limit = settings.max_file_mb * MEBIBYTE
 
         return commit
 
     def start(self) -> None:
         """Listen, and go on with what was left unfinished."""
-        host, port = self.front.listener.listen(decode_endpoint(self.settings.listen, 0))
+        host, port = self.front.listener.listen(decode_address(self.settings.listen, 0))
         log.info("batch_listening", host=host, port=port, batches=len(self.store.batches))
         self.runner.start()
         self._tending = asyncio.ensure_future(self._tend())
@@ -126,9 +129,9 @@
                 log.error("store_failing", error=str(error))
             await asyncio.sleep(TEND)
 
-    def sweep(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Close connections that stand still."""
-        self.front.sweep()
+        self.front.run_periodic_checks()
 
     def status(self) -> dict[str, Any]:
         """How many batches there are, and connections."""
--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -16,7 +16,7 @@
 from lockspoke.address.control import ask
 from lockspoke.address.health import Vitals
 from lockspoke.address.member import Member
-from lockspoke.address.settings import Settings
+from lockspoke.address.settings import AddressSettings
 from lockspoke.lifecycle.config import ConfigError
 from lockspoke.lifecycle.edge_file import read_edge
 from lockspoke.lifecycle.logging_setup import start_logging
@@ -31,7 +31,7 @@
     """The service address that moves between instances."""
 
 
-def _settings(edge: Path) -> Settings:
+def _settings(edge: Path) -> AddressSettings:
     try:
         found = [section.settings for section in read_edge(edge) if section.name == "address"]
     except ConfigError as error:
--- a/lockspoke/cli/config.py
+++ b/lockspoke/cli/config.py
@@ -6,9 +6,9 @@
 
 import click
 
-from lockspoke.lifecycle.config import Config, ConfigError, read_config
+from lockspoke.lifecycle.config import ConfigError, GatewayConfig, read_config
 from lockspoke.lifecycle.edge_file import read_batch_file, read_edge
-from lockspoke.lifecycle.subsystems import Surroundings
+from lockspoke.lifecycle.subsystems import SubsystemContext
 
 
 @click.group()
@@ -37,7 +37,7 @@
     if edge is None and batch is None and gateway is None:
         raise click.UsageError("name at least one of --edge, --batch and --gateway", context)
     faults: list[str] = []
-    around: Config | None = None
+    around: GatewayConfig | None = None
     if gateway is not None:
         try:
             around = read_config({"NODE_CONFIG": str(gateway), "NODE_LISTEN": "127.0.0.1:0"})
@@ -54,7 +54,7 @@
             names = ", ".join(f"[{section.name}]" for section in sections) or "no section"
             if around is not None:
                 for section in sections:
-                    section.make(section.settings, Surroundings(around, {}, path.parent))
+                    section.make(section.settings, SubsystemContext(around, {}, path.parent))
             click.echo(f"{path}: {names}")
         except ConfigError as error:
             faults.append(str(error))
--- a/lockspoke/cli/reading.py
+++ b/lockspoke/cli/reading.py
@@ -16,7 +16,7 @@
 from lockspoke.inventory.model import WorkerRecord
 from lockspoke.inventory.reading import FORMS
 from lockspoke.inventory.reconcile import Act, Decision
-from lockspoke.inventory.settings import Settings
+from lockspoke.inventory.settings import InventorySettings
 from lockspoke.inventory.snapshot import Memory, Report, take
 from lockspoke.lifecycle.config import ConfigError
 from lockspoke.lifecycle.edge_file import read_edge
@@ -39,7 +39,7 @@
 class Looking:
     """How a command reads: settings from the edge file, with the options of the command before them."""
 
-    settings: Settings
+    settings: InventorySettings
     zones: tuple[str, ...]
 
     def report(self, paths: tuple[Path, ...], memory: Memory | None = None) -> Report:
@@ -113,7 +113,7 @@
         if value is not None:
             base[name] = value
     try:
-        return Looking(Settings(**base), tuple(base.get("zones", ())))
+        return Looking(InventorySettings(**base), tuple(base.get("zones", ())))
     except ValueError as error:
         raise click.UsageError(str(error)) from None
 
--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -26,38 +26,37 @@
     RequestArrived,
     TimerFired,
 )
-from lockspoke.balancing.settings import Settings
+from lockspoke.balancing.settings import BalancerSettings
+from lockspoke.units import MILLISECOND, SECOND
 
 from .decision_loop import DecisionLoop
-from .replica_set import UNKNOWN_VERSION, ReplicaSet, ReplicaUpdate
-from .requests import Attempt, Clearance, ClientRequest, Discovery, Stage, Transport
+from .replica_set import UNKNOWN_VERSION, ReplicaListUpdate, ReplicaSet
+from .requests import Attempt, AttemptStage, ClientRequest, Discovery, SendPermission, Transport
 
-MS = 1_000_000
-SECOND = 1_000 * MS
 SWEEP = SECOND // 4
 SILENT = 3 * SECOND  # a stream that brings nothing for so long has lost its replica
-OVERDUE = 10 * MS  # past the deadline: an answer that the decisions owe is given for them
+OVERDUE = 10 * MILLISECOND  # past the deadline: an answer that the decisions owe is given for them
 
 log = structlog.get_logger()
 
 
-class Timer(Protocol):
+class TimerHandle(Protocol):
     """What was asked of the clock, and can be called off."""
 
     def cancel(self) -> None:
         """It is not wanted any more: nothing is kept for it."""
 
 
-class Timers(Protocol):
+class Clock(Protocol):
     """The clock, and a way to be called later."""
 
     def now(self) -> int:
         """Nanoseconds since the Unix epoch, never going back."""
 
-    def arrived(self) -> int:
+    def earliest_arrival(self) -> int:
         """The earliest moment at which what is taken up now can have come: a busy loop reads late."""
 
-    def later(self, delay: int, callback: Callable[[], None]) -> Timer:
+    def call_later(self, delay: int, callback: Callable[[], None]) -> TimerHandle:
         """ClientRequest back after so many nanoseconds."""
 
 
@@ -66,10 +65,10 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: BalancerSettings,
         seed: int,
         replica_set: ReplicaSet,
-        timers: Timers,
+        timers: Clock,
         transport: Transport,
         discovery: Discovery,
     ) -> None:
@@ -77,24 +76,24 @@
         decisions = DecisionLoop(self.balancer, timers.now, self._carry_out, self._decisions_failed)
         self._post = decisions.post
         self.replica_set = replica_set
-        self.timers = timers
+        self.clock = timers
         self.transport = transport
         self.discovery = discovery
         self.requests: dict[int, ClientRequest] = {}
         self.totals: Counter[str] = Counter()
-        self.live_refused_at = 0  # when a request that somebody waits for was last turned away
-        self._asks = settings.polls_endpoint_list
+        self.interactive_rejected_at = 0  # when a request that somebody waits for was last turned away
+        self._polls_endpoint_list = settings.polls_endpoint_list
 
     def start(self) -> None:
         """Begin to look after streams and overdue answers."""
         self._sweep()
-        if not self._asks:
+        if not self._polls_endpoint_list:
             # The decisions expect the list to come by itself; on sockets it never does unasked.
             self.discovery.watch(True)
 
-    def reconfigure(self, settings: Settings, zones: Sequence[str]) -> bool:
+    def reconfigure(self, settings: BalancerSettings, zones: Sequence[str]) -> bool:
         """New settings from now on; whether the replica set has to be told the whole list again for them."""
-        self._asks = settings.polls_endpoint_list
+        self._polls_endpoint_list = settings.polls_endpoint_list
         self.balancer.reconfigure(settings)
         return self.replica_set.rename_zones(zones)
 
@@ -102,10 +101,10 @@
 
     def submit(self, request: ClientRequest) -> None:
         """Take a request; from here on it is owed one final answer."""
-        request.number = self.replica_set.numbers.request()
-        now = self.timers.now()
-        request.deadline = (request.arrived or now) + request.time_left
-        request.kind = self.balancer.settings.classes[request.request_class]
+        request.number = self.replica_set.identifiers.request()
+        now = self.clock.now()
+        request.deadline = (request.arrived_at or now) + request.time_remaining
+        request.class_settings = self.balancer.settings.classes[request.request_class]
         self.requests[request.number] = request
         self.totals["calls"] += 1
         self._post(
@@ -123,7 +122,7 @@
             )
         )
 
-    def client_left(self, request: ClientRequest) -> None:
+    def client_disconnected(self, request: ClientRequest) -> None:
         """The client is gone: nothing is owed any more, but what has been sent for it runs on."""
         if request.answered:
             return
@@ -132,36 +131,41 @@
         self._answered(request, "left")
         self._post(ClientDisconnected(request.number))
 
-    def list_changed(self, update: ReplicaUpdate, cached: bool = False, answers: bool = True) -> None:
+    def endpoint_list_changed(
+        self, update: ReplicaListUpdate, cached: bool = False, completes_poll: bool = True
+    ) -> None:
         """The list of replicas, or a change of it; `answers`: it ends the request that is out, or due."""
-        told, left = self.replica_set.apply(update, cached, answers)
+        told, left = self.replica_set.apply(update, cached, completes_poll)
         for replica in left:
-            self.transport.forget(replica)
+            self.transport.close_idle_connections(replica)
         self._post(told)
         # What discovery has named all day would be kept for ever: only what is still in use is.
         self.replica_set.prune(self.balancer.replicas)
 
-    def ban(self, uid: str, banned: bool) -> bool:
+    def set_banned(self, uid: str, banned: bool) -> bool:
         """An operator takes a replica out of use or puts it back; False where no list has named it."""
-        found = self.replica_set.ban(uid, banned)
+        found = self.replica_set.set_banned(uid, banned)
         if found is None:
             return False
         told, closing = found
         for replica in closing:
-            self.transport.forget(replica)
+            self.transport.close_idle_connections(replica)
         if told.entries:
             self._post(told)
         return True
 
-    def list_failed(self) -> None:
+    def endpoint_list_failed(self) -> None:
         """A request for the list has failed; the old list still holds."""
         self.totals["list_failed"] += 1
         self._post(EndpointListUpdate(EndpointListKind.FAILED))
-        if not self._asks:
-            self.timers.later(SECOND, lambda: self.discovery.watch(True))
+        if not self._polls_endpoint_list:
+            self.clock.call_later(SECOND, lambda: self.discovery.watch(True))
 
-    def hand_over(
-        self, requests: Iterable[ClientRequest] | None = None, streams: bool = True, at_once: bool = True
+    def hand_off(
+        self,
+        requests: Iterable[ClientRequest] | None = None,
+        include_streams: bool = True,
+        immediately: bool = True,
     ) -> None:
         """Give requests away to other gateways: those named, or all; streams too if clients ask for the rest.
 
@@ -171,23 +175,27 @@
         for them is of no use any more.
         """
         for request in list(self.requests.values() if requests is None else requests):
-            if request.owner is not None and request.owner.outcome is None and not request.answered:
-                if not streams:
+            if (
+                request.streaming_attempt is not None
+                and request.streaming_attempt.outcome is None
+                and not request.answered
+            ):
+                if not include_streams:
                     continue
-                request.leaving = True
-                self._unthrottle(request.owner)
-                if not at_once and self.transport.unread(request.owner):
+                request.handing_off = True
+                self._unthrottle(request.streaming_attempt)
+                if not immediately and self.transport.has_unread_response(request.streaming_attempt):
                     continue
             if not request.answered:
-                if request.owner is not None:
+                if request.streaming_attempt is not None:
                     self._answered(request, "handed_over")
-                    request.sink.broken()
-                elif request.refusable:
+                    request.response.abort()
+                elif request.safe_to_reject:
                     self._answered(request, "refused")
-                    request.sink.refuse(0)
+                    request.response.reject(0)
                 else:
                     self._answered(request, "failed")
-                    request.sink.fail()
+                    request.response.fail()
                 self._post(ClientDisconnected(request.number))
             for attempt in request.attempts:
                 self._give_up(attempt, Outcome.CANCELLED)
@@ -195,10 +203,10 @@
     def _give_up(self, attempt: Attempt, outcome: Outcome) -> None:
         """End an attempt that is out; of one that was never sent nothing may have run, whatever ends it."""
         if attempt.outcome is None:
-            self.transport.stop(attempt)
-            self.ended(attempt, outcome if attempt.maybe_ran else Outcome.NEVER_SENT)
+            self.transport.cancel(attempt)
+            self.attempt_ended(attempt, outcome if attempt.maybe_ran else Outcome.NEVER_SENT)
 
-    def live_held(self) -> bool:
+    def interactive_request_waiting(self) -> bool:
         """Whether a request that somebody waits for is held, since no replica has room for it."""
         return any(
             not request.background
@@ -209,7 +217,7 @@
 
     # What attempts say
 
-    def clear(self, attempt: Attempt) -> Clearance:
+    def permission_to_send(self, attempt: Attempt) -> SendPermission:
         """Its connection is up: whether its first byte may go out now.
 
         Connecting takes its time, and what was decided before may not hold any more: the client has left,
@@ -217,56 +225,58 @@
         A busy loop reads late, so what lies unread from discovery or the client is taken first: both count
         from when they were written. This is the one way to a first byte, for every attempt of every front.
         """
-        now, request, replica = self.timers.now(), attempt.request, attempt.replica
+        now, request, replica = self.clock.now(), attempt.request, attempt.replica
         if attempt.outcome is not None:
-            return Clearance.OVER
-        late = now >= attempt.deadline or (attempt.begin_by and now >= attempt.begin_by)
-        moved = replica.place != attempt.place or not self.replica_set.takes(replica)
-        if request.answered or request.owner is not None or late or moved:
-            self.ended(attempt, Outcome.NEVER_SENT)
-            return Clearance.OVER
-        if self.discovery.changes_unread or request.sink.unread:
-            return Clearance.ASK_AGAIN
-        attempt.stage = Stage.SENT
-        return Clearance.SEND
-
-    def streamed(self, attempt: Attempt, data: bytes) -> asyncio.Future[None] | None:
+            return SendPermission.ENDED
+        late = now >= attempt.deadline or (attempt.start_by and now >= attempt.start_by)
+        moved = replica.incarnation != attempt.replica_incarnation or not self.replica_set.accepts_requests(
+            replica
+        )
+        if request.answered or request.streaming_attempt is not None or late or moved:
+            self.attempt_ended(attempt, Outcome.NEVER_SENT)
+            return SendPermission.ENDED
+        if self.discovery.has_unread_changes or request.response.has_unread_input:
+            return SendPermission.CHECK_AGAIN
+        attempt.stage = AttemptStage.SENT
+        return SendPermission.GRANTED
+
+    def stream_received(self, attempt: Attempt, data: bytes) -> asyncio.Future[None] | None:
         """A piece of a stream: the first makes the request this attempt's, all pass on as they come."""
         request = attempt.request
         if attempt.outcome is not None:
             return None
-        attempt.heard_at = self.timers.now()
-        if request.owner is None:
-            request.owner, attempt.stage = attempt, Stage.STREAMING
+        attempt.last_received_at = self.clock.now()
+        if request.streaming_attempt is None:
+            request.streaming_attempt, attempt.stage = attempt, AttemptStage.STREAMING
             request.body = b""  # nothing is sent again for a request that streams, and streams are long
             self._call_off(attempt)
             self._first_token(attempt)
             for other in request.attempts:
                 if other is not attempt:
                     self._give_up(other, Outcome.CANCELLED)
-        if request.answered or request.owner is not attempt:
+        if request.answered or request.streaming_attempt is not attempt:
             return None
-        written = request.sink.event(data)
-        if written is None or request.leaving:
+        written = request.response.write(data)
+        if written is None or request.handing_off:
             return None
-        attempt.waits_for_client = asyncio.get_running_loop().create_future()
+        attempt.backpressure = asyncio.get_running_loop().create_future()
         written.add_done_callback(lambda _: self._unthrottle(attempt))
-        return attempt.waits_for_client
+        return attempt.backpressure
 
     def _unthrottle(self, attempt: Attempt) -> None:
         """Its client has caught up, or is not waited for any more."""
-        waits, attempt.waits_for_client = attempt.waits_for_client, None
+        waits, attempt.backpressure = attempt.backpressure, None
         if waits is not None:
-            attempt.heard_at = self.timers.now()
+            attempt.last_received_at = self.clock.now()
             if not waits.done():
                 waits.set_result(None)
 
     def _first_token(self, attempt: Attempt) -> None:
-        elapsed = attempt.heard_at - attempt.sent_at
+        elapsed = attempt.last_received_at - attempt.started_at
         number = attempt.replica.number
         self._post(FirstToken(attempt.request.number, attempt.index, number, elapsed))
 
-    def ended(
+    def attempt_ended(
         self,
         attempt: Attempt,
         outcome: Outcome,
@@ -283,11 +293,11 @@
         if not request.answered:
             if outcome is Outcome.OK:
                 self._answered(request, "served")
-                request.sink.end()
-            elif request.owner is attempt:
+                request.response.finish()
+            elif request.streaming_attempt is attempt:
                 self._answered(request, "broken")
-                request.sink.broken()
-        elapsed = self.timers.now() - attempt.sent_at
+                request.response.abort()
+        elapsed = self.clock.now() - attempt.started_at
         number = attempt.replica.number
         self._post(
             AttemptEnded(
@@ -299,7 +309,7 @@
                 request.answered,
                 cached_tokens,
                 report,
-                attempt.reused,
+                attempt.connection_reused,
             )
         )
         self._drop_if_over(request)
@@ -310,7 +320,7 @@
         self.totals["decisions_failed"] += 1
         if isinstance(event, EndpointListUpdate):
             # They may know a part of it only: the whole list is asked for next.
-            self.replica_set.rev = UNKNOWN_VERSION
+            self.replica_set.version = UNKNOWN_VERSION
 
     def _carry_out(self, action: Action) -> None:
         match action:
@@ -320,16 +330,16 @@
                 request = self.requests.get(number)
                 if request is not None and not request.answered:
                     if not request.background:
-                        self.live_refused_at = self.timers.now()
+                        self.interactive_rejected_at = self.clock.now()
                     self._answered(request, "refused")
-                    request.sink.refuse(retry_after)
+                    request.response.reject(retry_after)
             case Fail(number):
                 request = self.requests.get(number)
                 if request is not None and not request.answered:
                     self._answered(request, "failed")
-                    request.sink.fail()
+                    request.response.fail()
             case SetTimer(delay, token):
-                self.timers.later(delay, lambda: self._post(TimerFired(token)))
+                self.clock.call_later(delay, lambda: self._post(TimerFired(token)))
             case WatchEndpointList(enable):
                 self.discovery.watch(enable)
             case Log(text):
@@ -340,17 +350,17 @@
         if request is None or replica is None:
             log.error("send_unknown", call=number, worker=replica_number)
             return
-        now = self.timers.now()
+        now = self.clock.now()
         deadline = min(now + timeout, request.deadline) if timeout else request.deadline
         attempt = Attempt(request, len(request.attempts), replica, now, deadline, self)
-        attempt.place = replica.place
-        attempt.begin_by = now + begin_within if begin_within else 0
+        attempt.replica_incarnation = replica.incarnation
+        attempt.start_by = now + begin_within if begin_within else 0
         request.attempts.append(attempt)
-        if request.answered or request.owner is not None or now >= deadline:
-            self.ended(attempt, Outcome.NEVER_SENT)
+        if request.answered or request.streaming_attempt is not None or now >= deadline:
+            self.attempt_ended(attempt, Outcome.NEVER_SENT)
             return
         self.totals["attempts"] += 1
-        attempt.timer = self.timers.later(deadline - now, lambda: self._timed_out(attempt))
+        attempt.timer = self.clock.call_later(deadline - now, lambda: self._timed_out(attempt))
         self.transport.start(attempt)
 
     @staticmethod
@@ -361,7 +371,7 @@
 
     def _timed_out(self, attempt: Attempt) -> None:
         # A stream that has begun has no deadline.
-        if attempt.request.owner is not attempt:
+        if attempt.request.streaming_attempt is not attempt:
             self._give_up(attempt, Outcome.TIMEOUT)
 
     # The end of a request
@@ -372,22 +382,22 @@
         self._drop_if_over(request)
 
     def _drop_if_over(self, request: ClientRequest) -> None:
-        if request.over and self.requests.pop(request.number, None) is not None:
+        if request.finished and self.requests.pop(request.number, None) is not None:
             request.body = b""
 
     def _sweep(self) -> None:
-        now = self.timers.now()
+        now = self.clock.now()
         for request in list(self.requests.values()):
-            owner = request.owner
+            owner = request.streaming_attempt
             if owner is not None and owner.outcome is None:
                 # A machine that vanished leaves its connections open and silent: its client would wait
                 # for ever, where it could ask for the rest.
-                if owner.waits_for_client is None and now - owner.heard_at > SILENT:
-                    self.transport.stop(owner)
-                    self.ended(owner, Outcome.RESET)
+                if owner.backpressure is None and now - owner.last_received_at > SILENT:
+                    self.transport.cancel(owner)
+                    self.attempt_ended(owner, Outcome.RESET)
             elif not request.answered and owner is None and now > request.deadline + OVERDUE:
                 self._answered(request, "overdue")
                 log.error("answer_overdue", call=request.number)
-                request.sink.fail()
+                request.response.fail()
                 self._post(ClientDisconnected(request.number))
-        self.timers.later(SWEEP, self._sweep)
+        self.clock.call_later(SWEEP, self._sweep)
--- a/lockspoke/core/identifiers.py
+++ b/lockspoke/core/identifiers.py
@@ -11,17 +11,17 @@
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=size).digest(), "big")
 
 
-def key_number(name: str) -> int:
+def key_identifier(name: str) -> int:
     """A conversation's or a prefix's number, the same at every gateway; 0 stands for none."""
     return _hash(name, _U64) or 1 if name else 0
 
 
-def kind_number(name: str) -> int:
+def machine_kind_identifier(name: str) -> int:
     """The number of a kind of machine; 0 stands for one that the list does not tell."""
     return _hash(name, _U32) if name else 0
 
 
-class Numbers:
+class Identifiers:
     """Numbers replicas and requests.
 
     A replica's number comes from its uid alone: the decisions rank replicas by it, and all gateways have to
--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -6,15 +6,15 @@
 from dataclasses import dataclass
 
 from lockspoke.balancing.events import EndpointListEntry, EndpointListKind, EndpointListUpdate, ReplicaState
+from lockspoke.units import MILLISECOND
 
-from .identifiers import Numbers, kind_number
+from .identifiers import Identifiers, machine_kind_identifier
 
-MS = 1_000_000
 UNKNOWN_VERSION = -1  # no list has been taken, or none of the service that is asked now
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ListedReplica:
     """One replica as a list names it."""
 
     uid: str
@@ -24,17 +24,17 @@
     cell: int = 0
     weight: float = 1.0
     boot_ms: int = 0  # Unix time; 0: long ago
-    kind: str = ""  # of machine
+    machine_kind: str = ""  # of machine
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaUpdate:
+class ReplicaListUpdate:
     """A list, whole or only what has changed."""
 
-    rev: int
-    whole: bool
-    entries: tuple[Entry, ...]
-    unread: frozenset[str] = frozenset()  # uids of entries that can't be read: they stay as they are
+    version: int
+    complete: bool
+    entries: tuple[ListedReplica, ...]
+    unreadable: frozenset[str] = frozenset()  # uids of entries that can't be read: they stay as they are
 
 
 @dataclass(slots=True)
@@ -48,7 +48,7 @@
     boot_ms: int
 
     @property
-    def place(self) -> object:
+    def incarnation(self) -> object:
         """Its process and address: another one is another replica's, or this one begun anew."""
         return self.endpoint, self.boot_ms
 
@@ -56,15 +56,15 @@
 class ReplicaSet:
     """The replicas that lists have named, until they are gone and nothing speaks of them any more."""
 
-    def __init__(self, numbers: Numbers, zones: Sequence[str]) -> None:
-        self.numbers = numbers
+    def __init__(self, numbers: Identifiers, zones: Sequence[str]) -> None:
+        self.identifiers = numbers
         self.zones = {name: index for index, name in enumerate(zones)}
         self.replicas: dict[int, Replica] = {}
-        self.rev = UNKNOWN_VERSION
+        self.version = UNKNOWN_VERSION
         # Kept with each change, so that a change of one replica costs nothing for the thousands of others.
         self._at: dict[tuple[str, int], set[int]] = {}  # by address, the replicas that are not gone
         self._gone: set[int] = set()
-        self._listed: dict[int, Entry] = {}  # each replica as it was last named
+        self._listed: dict[int, ListedReplica] = {}  # each replica as it was last named
         self._banned: set[str] = set()  # by uid: it holds whatever lists say of the replica
 
     def rename_zones(self, zones: Sequence[str]) -> bool:
@@ -74,20 +74,20 @@
         return changed
 
     @property
-    def ready(self) -> int:
+    def ready_count(self) -> int:
         """How many replicas the list calls ready."""
         return sum(replica.state == ReplicaState.READY for replica in self.replicas.values())
 
     def apply(
-        self, update: ReplicaUpdate, cached: bool = False, answers: bool = True
+        self, update: ReplicaListUpdate, cached: bool = False, completes_poll: bool = True
     ) -> tuple[EndpointListUpdate, list[Replica]]:
         """Take an update: what the decisions are told of it, and the replicas that have moved or left."""
-        self.rev = update.rev
+        self.version = update.version
         left: list[Replica] = []
         entries: dict[int, EndpointListEntry] = {}
         touched: dict[tuple[str, int], None] = {}
         for entry in update.entries:
-            number = self.numbers.replica(entry.uid)
+            number = self.identifiers.replica(entry.uid)
             self._listed[number] = entry
             entries[number] = self._entry(number, entry)
             replica = self.replicas.get(number)
@@ -97,16 +97,16 @@
                 self._stand(replica, touched)
                 continue
             self._leave(replica)
-            if entry.state != ReplicaState.READY or (entry.endpoint, entry.boot_ms) != replica.place:
+            if entry.state != ReplicaState.READY or (entry.endpoint, entry.boot_ms) != replica.incarnation:
                 left.append(replica)
             replica.endpoint, replica.boot_ms = entry.endpoint or replica.endpoint, entry.boot_ms
             replica.state = entry.state
             self._stand(replica, touched)
-        if update.whole:
+        if update.complete:
             for replica in self.replicas.values():
                 if replica.number in entries or replica.state == ReplicaState.REMOVED:
                     continue
-                if replica.uid in update.unread:
+                if replica.uid in update.unreadable:
                     # To the decisions, too, what a whole list does not name is gone.
                     entries[replica.number] = self._entry(replica.number, self._listed[replica.number])
                     continue
@@ -120,12 +120,12 @@
             EndpointListKind.CACHED
             if cached
             else EndpointListKind.FULL
-            if update.whole
+            if update.complete
             else EndpointListKind.DELTA
         )
-        return EndpointListUpdate(kind, tuple(entries.values()), answers), left
+        return EndpointListUpdate(kind, tuple(entries.values()), completes_poll), left
 
-    def ban(self, uid: str, banned: bool) -> tuple[EndpointListUpdate, list[Replica]] | None:
+    def set_banned(self, uid: str, banned: bool) -> tuple[EndpointListUpdate, list[Replica]] | None:
         """Take a replica out of use, or put it back: what the decisions are told, and what connections close.
 
         None where no list has named it and no ban holds. A ban given twice is one ban.
@@ -141,7 +141,7 @@
             self.replicas[number]
         ] if banned else []
 
-    def takes(self, replica: Replica) -> bool:
+    def accepts_requests(self, replica: Replica) -> bool:
         """Whether something new may be sent to a replica: it is listed as ready and not taken out of use."""
         return replica.state == ReplicaState.READY and replica.uid not in self._banned
 
@@ -192,9 +192,9 @@
         for number in [one for one in self._gone if one not in used]:
             self._gone.discard(number)
             self._listed.pop(number, None)
-            self.numbers.forget(self.replicas.pop(number).uid)
+            self.identifiers.forget(self.replicas.pop(number).uid)
 
-    def _entry(self, number: int, entry: Entry) -> EndpointListEntry:
+    def _entry(self, number: int, entry: ListedReplica) -> EndpointListEntry:
         banned = entry.state == ReplicaState.READY and entry.uid in self._banned
         return EndpointListEntry(
             replica=number,
@@ -204,6 +204,6 @@
             zone=self.zones.get(entry.zone, len(self.zones)),
             cell=entry.cell,
             weight=entry.weight,
-            started_at=entry.boot_ms * MS,
-            machine_kind=kind_number(entry.kind),
+            started_at=entry.boot_ms * MILLISECOND,
+            machine_kind=machine_kind_identifier(entry.machine_kind),
         )
--- a/lockspoke/inventory/helper.py
+++ b/lockspoke/inventory/helper.py
@@ -18,7 +18,7 @@
 from .files import collect
 from .model import Snapshot, WorkerRecord
 from .problems import CODES, Place, Problem
-from .settings import Settings
+from .settings import InventorySettings
 from .snapshot import Memory, take
 
 PART = 250  # rows in one message
@@ -29,7 +29,7 @@
 class Ask(msgspec.Struct, frozen=True):
     """Read these now."""
 
-    settings: Settings
+    settings: InventorySettings
     zones: list[str]
 
 
@@ -135,7 +135,7 @@
         return self._process
 
     async def read(
-        self, settings: Settings, zones: tuple[str, ...], before: Mapping[str, WorkerRecord]
+        self, settings: InventorySettings, zones: tuple[str, ...], before: Mapping[str, WorkerRecord]
     ) -> Snapshot:
         """Have the sources read. Raises HelperError; the next call begins with a new process."""
         try:
@@ -146,7 +146,7 @@
             raise HelperError(f"{type(error).__name__}: {error}") from None
 
     async def _read(
-        self, settings: Settings, zones: tuple[str, ...], before: Mapping[str, WorkerRecord]
+        self, settings: InventorySettings, zones: tuple[str, ...], before: Mapping[str, WorkerRecord]
     ) -> Snapshot:
         if self._starting is not None:
             starting, self._starting = self._starting, None
--- a/lockspoke/inventory/reconcile.py
+++ b/lockspoke/inventory/reconcile.py
@@ -17,7 +17,7 @@
 from enum import Enum
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import Entry
+from lockspoke.core.replica_set import ListedReplica
 
 from .model import Snapshot, WorkerRecord
 
@@ -93,7 +93,7 @@
 class Step:
     """What follows from a snapshot: entries for the replica set, decisions, and when to look again."""
 
-    entries: tuple[Entry, ...] = ()
+    entries: tuple[ListedReplica, ...] = ()
     decisions: tuple[Decision, ...] = ()
     wake_ms: int | None = None  # a time, not a span
 
@@ -190,7 +190,7 @@
         self.started = True
         return Step(tuple(entries), tuple(self._decisions), self._wake)
 
-    def entries(self) -> tuple[Entry, ...]:
+    def entries(self) -> tuple[ListedReplica, ...]:
         """All hosts as the replica set should have them now: a whole list."""
         return tuple(self._entry(known) for known in self.known.values())
 
@@ -359,9 +359,9 @@
 
     # Carrying out
 
-    def _carry_out(self, wishes: dict[str, _Wish], snapshot: Snapshot, now_ms: int) -> list[Entry]:
-        less: list[Entry] = []
-        more: list[Entry] = []
+    def _carry_out(self, wishes: dict[str, _Wish], snapshot: Snapshot, now_ms: int) -> list[ListedReplica]:
+        less: list[ListedReplica] = []
+        more: list[ListedReplica] = []
         for name, wish in wishes.items():
             known = self.known.get(name)
             if wish.record is None:
@@ -369,7 +369,7 @@
                     if self.out.get(name) != wish.reason:
                         self._decide(wish.act, name, wish.reason)
                     continue
-                less.append(Entry(name, ReplicaState.REMOVED, None))
+                less.append(ListedReplica(name, ReplicaState.REMOVED, None))
                 self._take_out(name, known, wish, now_ms)
                 continue
             files = snapshot.files.get(name, known.files if known is not None else ())
@@ -436,9 +436,9 @@
     def _decide(self, act: Act, host: str, reason: str) -> None:
         self._decisions.append(Decision(act, host, reason))
 
-    def _entry(self, known: Known) -> Entry:
+    def _entry(self, known: Known) -> ListedReplica:
         record = known.record
-        return Entry(
+        return ListedReplica(
             record.name,
             _STATES[record.state],
             record.address,
--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -33,7 +33,7 @@
     accept: str = ""  # the fingerprint of a mass removal that an operator accepts
 
 
-class Settings(msgspec.Struct, frozen=True, kw_only=True):
+class InventorySettings(msgspec.Struct, frozen=True, kw_only=True):
     """The section `[inventory]`."""
 
     paths: list[str]  # files and folders, merged in this order
--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -22,7 +22,7 @@
 from watchfiles import awatch
 
 from lockspoke.core.core import Core
-from lockspoke.core.replica_set import Entry, ReplicaUpdate
+from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate
 
 from . import store
 from .files import collect, folders, replaced, signature
@@ -31,7 +31,7 @@
 from .problems import Problem
 from .reconcile import Act, Known, Reconciler, Step
 from .schema import is_ip
-from .settings import Settings
+from .settings import InventorySettings
 from .snapshot import Memory, take
 
 STEP_MS = 5  # of the notice: how long after a change it looks for more
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: InventorySettings,
         zones: tuple[str, ...],
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
@@ -88,14 +88,14 @@
 
     # Start
 
-    settled = True  # the list to begin with is the files' own
+    first_poll_finished = True  # the list to begin with is the files' own
 
     @property
-    def changes_unread(self) -> bool:
+    def has_unread_changes(self) -> bool:
         """Files are told of once they are read: nothing lies between."""
         return False
 
-    def first(self) -> ReplicaUpdate | None:
+    def initial_list(self) -> ReplicaListUpdate | None:
         """The list to begin with: the kept one, where a folder lasts, brought up to what the files say now.
 
         Raises InventoryError where neither gives a worker. What is kept is what the gateway was told before
@@ -120,7 +120,7 @@
             raise InventoryError(f"the inventory gives no worker\n{what}".rstrip())
         self._save()
         self._rev += 1
-        return ReplicaUpdate(self._rev, True, self.reconciler.entries())
+        return ReplicaListUpdate(self._rev, True, self.reconciler.entries())
 
     def _kept(self) -> list[Known]:
         if not self.settings.keep:
@@ -153,17 +153,17 @@
     def _confirm(self) -> None:
         if self.core is not None:
             self._rev += 1
-            self.core.list_changed(ReplicaUpdate(self._rev, False, ()))
+            self.core.endpoint_list_changed(ReplicaListUpdate(self._rev, False, ()))
 
     def zones_changed(self, zones: tuple[str, ...], anew: bool) -> None:
         """The zones that the gateway's settings name; `anew`: the core wants the whole list again."""
         self.zones = zones
         if anew and self.core is not None:
             self._rev += 1
-            self.core.list_changed(ReplicaUpdate(self._rev, True, self.reconciler.entries()))
+            self.core.endpoint_list_changed(ReplicaListUpdate(self._rev, True, self.reconciler.entries()))
         self.look_again()
 
-    def reconfigure(self, settings: Settings) -> None:
+    def reconfigure(self, settings: InventorySettings) -> None:
         """New settings from now on. What is known of workers stays; the files are read anew."""
         moved = (settings.paths, settings.watch) != (self.settings.paths, self.settings.watch)
         self.settings = settings
@@ -336,11 +336,11 @@
             self._save()  # the status too: what is held has changed, perhaps
         self._fresh = False
 
-    def _apply(self, entries: tuple[Entry, ...]) -> None:
+    def _apply(self, entries: tuple[ListedReplica, ...]) -> None:
         assert self.core is not None
         self._rev += 1
         for at in range(0, len(entries), BATCH):  # what is taken away stands first
-            self.core.list_changed(ReplicaUpdate(self._rev, False, entries[at : at + BATCH]))
+            self.core.endpoint_list_changed(ReplicaListUpdate(self._rev, False, entries[at : at + BATCH]))
         log.info("registry_changed", rev=self._rev, whole=False, entries=len(entries))
 
     # Names
--- a/lockspoke/inventory/subsystem.py
+++ b/lockspoke/inventory/subsystem.py
@@ -6,58 +6,62 @@
 from typing import Any
 
 from lockspoke.core.core import Core
-from lockspoke.core.replica_set import ReplicaUpdate
-from lockspoke.inventory.settings import Settings
+from lockspoke.core.replica_set import ReplicaListUpdate
+from lockspoke.inventory.settings import InventorySettings
 from lockspoke.inventory.source import InventoryError, InventorySource
-from lockspoke.lifecycle.config import Config, ConfigError
-from lockspoke.lifecycle.subsystems import Surroundings
+from lockspoke.lifecycle.config import ConfigError, GatewayConfig
+from lockspoke.lifecycle.subsystems import EndpointListSource, Subsystem, SubsystemContext
 from lockspoke.wire.clients.front import ClientFront
 
-__all__ = ["InventoryPart", "Settings", "make"]
+__all__ = ["InventorySettings", "InventorySubsystem", "create"]
 
 
-def make(settings: Settings, around: Surroundings) -> InventoryPart:
+settings_type = InventorySettings
+
+
+def create(settings: InventorySettings, around: SubsystemContext) -> Subsystem:
     """The inventory."""
-    return InventoryPart(settings, around.gateway)
+    return InventorySubsystem(settings, around.gateway)
 
 
 class _Source(InventorySource):
     """The source as the program's interface for one has it."""
 
-    def first(self) -> ReplicaUpdate | None:
+    def initial_list(self) -> ReplicaListUpdate | None:
         """The list to begin with."""
         try:
-            return super().first()
+            return super().initial_list()
         except InventoryError as error:
             raise ConfigError(str(error)) from None
 
-    def gateway_changed(self, config: Config, anew: bool) -> None:
+    def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
         """Zones may have other names now."""
-        self.zones_changed(config.zones, anew)
+        self.zones_changed(config.zones, needs_complete_list)
 
 
-class InventoryPart:
+class InventorySubsystem:
     """The inventory's place in the program."""
 
     name = "inventory"
     descriptors = 16  # files, the notice, and the pipes of the helper
 
-    def __init__(self, settings: Settings, gateway: Config) -> None:
-        self.source = _Source(settings, gateway.zones)
+    def __init__(self, settings: InventorySettings, gateway: GatewayConfig) -> None:
+        self.inventory = _Source(settings, gateway.zones)
+        self.endpoint_list_source: EndpointListSource | None = self.inventory
 
     def attach(self, core: Core, clients: ClientFront) -> None:
         """The source is the core's discovery and has been given it."""
 
     def start(self) -> None:
         """The core begins to watch by itself where its list is not asked for; here it is always watched."""
-        self.source.watch(True)
+        self.inventory.watch(True)
 
-    def sweep(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Nothing stands for long here."""
 
-    def prepare(self, settings: Settings, gateway: Config) -> Callable[[], None]:
+    def prepare_reload(self, settings: InventorySettings, gateway: GatewayConfig) -> Callable[[], None]:
         """Everything may change while it runs."""
-        return lambda: self.source.reconfigure(settings)
+        return lambda: self.inventory.reconfigure(settings)
 
     async def drain(self) -> None:
         """Changes of the list go on to count while calls are open."""
@@ -67,4 +71,4 @@
 
     def status(self) -> dict[str, Any]:
         """As `lockspoke inventory status` shows it."""
-        return self.source.status()
+        return self.inventory.status()
--- a/lockspoke/lifecycle/clock.py
+++ b/lockspoke/lifecycle/clock.py
@@ -9,7 +9,7 @@
 from .event_loop import PolledLoop
 
 
-class LoopTimers:
+class EventLoopClock:
     """The system's clock and the event loop's timers."""
 
     def __init__(self) -> None:
@@ -20,11 +20,11 @@
         """Nanoseconds since the Unix epoch, never going back."""
         return self._base + time.monotonic_ns()
 
-    def arrived(self) -> int:
+    def earliest_arrival(self) -> int:
         """The earliest moment at which what is taken up now can have come."""
         loop = asyncio.get_running_loop()
         return self._base + loop.polled.taken_up_since if isinstance(loop, PolledLoop) else self.now()
 
-    def later(self, delay: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
+    def call_later(self, delay: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
         """Call back after so many nanoseconds."""
         return asyncio.get_running_loop().call_later(max(0, delay) / 1e9, callback)
--- a/lockspoke/lifecycle/config.py
+++ b/lockspoke/lifecycle/config.py
@@ -9,13 +9,12 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.balancing.settings import Settings
-from lockspoke.core.replica_set import ReplicaUpdate
+from lockspoke.balancing.settings import BalancerSettings
+from lockspoke.core.replica_set import ReplicaListUpdate
 from lockspoke.simulator.protocol import decode_settings
-from lockspoke.wire.discovery.messages import decode_endpoint, read_list
+from lockspoke.units import MEBIBYTE, MILLISECOND
+from lockspoke.wire.discovery.messages import decode_address, read_endpoint_list
 
-MS = 1_000_000
-MB = 1024 * 1024
 OWN_MEMORY_MB = 26  # what the program takes with its connections open and no request held
 LARGEST = 2**63  # no number of the settings is larger
 OWN_SOCKETS = 64  # descriptors for discovery, listeners, files, logs and what the interpreter needs
@@ -26,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class GatewayConfig:
     """One gateway's configuration."""
 
     name: str
@@ -36,8 +35,8 @@
     seed: int
     sockets: int
     memory_mb: int
-    known: ReplicaUpdate | None
-    settings: Settings
+    known: ReplicaListUpdate | None
+    settings: BalancerSettings
     classes: dict[str, int]  # by name, their place in the settings
     tenants: dict[str, int]  # by name, their place in the settings
     deadlines: tuple[int, ...]  # by class
@@ -49,14 +48,14 @@
     operator: tuple[str, int] | None = None  # where operators call; none: they can't
 
     @property
-    def held_bytes(self) -> int:
+    def max_buffered_bytes(self) -> int:
         """The bytes of requests that may be held, as a part of what the interpreter leaves of the memory."""
-        return max(1, min(48, (self.memory_mb - OWN_MEMORY_MB) // 3)) * MB
+        return max(1, min(48, (self.memory_mb - OWN_MEMORY_MB) // 3)) * MEBIBYTE
 
     @property
     def stop_time(self) -> float:
         """Seconds that the platform surely leaves between SIGTERM and SIGKILL."""
-        return min(max(self.deadlines, default=3_000 * MS) / 1e9, 3.0) + 0.7
+        return min(max(self.deadlines, default=3_000 * MILLISECOND) / 1e9, 3.0) + 0.7
 
     def connections(self, others: int = 0) -> int:
         """The connections that each side, clients and replicas, may take of the descriptors."""
@@ -95,7 +94,7 @@
         raise ConfigError(f"seed is {value!r}, want a hexadecimal number") from None
 
 
-def read_config(environment: Mapping[str, str], before: Config | None = None) -> Config:
+def read_config(environment: Mapping[str, str], before: GatewayConfig | None = None) -> GatewayConfig:
     """Read the file that NODE_CONFIG names; the other variables go before what it says.
 
     Read again, with the configuration that holds so far, a discovery that the file now names goes before
@@ -117,7 +116,9 @@
         raise ConfigError(f"{path}: {error}") from None
 
 
-def _config(raw: dict[str, Any], environment: Mapping[str, str], before: Config | None) -> Config:
+def _config(
+    raw: dict[str, Any], environment: Mapping[str, str], before: GatewayConfig | None
+) -> GatewayConfig:
     settings = _dig(raw, "settings", {})
     names = _names(settings, "profiles")
     known = raw.get("known")
@@ -126,28 +127,28 @@
         discovery = before.discovery
     else:
         told = named if before is not None else environment.get("NODE_DISCOVERY") or named
-        discovery = decode_endpoint(told) if told else None
+        discovery = decode_address(told) if told else None
     operator = environment.get("NODE_OPERATOR") or str(raw.get("operator") or "")
-    return Config(
+    return GatewayConfig(
         name=environment.get("NODE_NAME") or str(raw.get("name", "")),
-        listen=decode_endpoint(environment.get("NODE_LISTEN") or str(raw.get("listen", "")), 0),
+        listen=decode_address(environment.get("NODE_LISTEN") or str(raw.get("listen", "")), 0),
         discovery=discovery,
         named=named or (before.named if before is not None else ""),
         seed=_seed(raw.get("seed", "0")),
         # The system's own limit may be lower: past it, accepting would fail and be tried for ever.
         sockets=min(_whole(raw, "limits.sockets", 1024), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
         memory_mb=_whole(raw, "limits.memory_mb", 192),
-        known=None if known is None else read_list(known).complete(),
+        known=None if known is None else read_endpoint_list(known).complete(),
         settings=decode_settings(json.dumps(settings).encode()),
         classes={name: index for index, name in enumerate(names)},
         tenants={name: index for index, name in enumerate(_names(settings, "tenants"))},
         deadlines=tuple(
-            _whole(profile, "deadline", 10_000 * MS) for profile in _dig(settings, "profiles", [])
+            _whole(profile, "deadline", 10_000 * MILLISECOND) for profile in _dig(settings, "profiles", [])
         ),
         zones=_words(settings, "zones"),
         load_names=_words(settings, "loadInfo.fields"),
         resumes=_dig(settings, "familyInfo.resume", False) is True,
-        connect_timeout=_whole(settings, "limits.connectTimeout", 100 * MS),
-        keepalive=_whole(settings, "limits.keepalive", 10_000 * MS, lowest=0),  # 0: none is kept
-        operator=decode_endpoint(operator, 0) if operator else None,
+        connect_timeout=_whole(settings, "limits.connectTimeout", 100 * MILLISECOND),
+        keepalive=_whole(settings, "limits.keepalive", 10_000 * MILLISECOND, lowest=0),  # 0: none is kept
+        operator=decode_address(operator, 0) if operator else None,
     )
--- a/lockspoke/lifecycle/edge_file.py
+++ b/lockspoke/lifecycle/edge_file.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from .config import ConfigError
-from .subsystems import PARTS, Make, part_module
+from .subsystems import SUBSYSTEM_MODULES, SubsystemFactory, subsystem_module
 
 _HEADER = re.compile(r"^\s*\[\s*([^\[\]]+?)\s*\]\s*(?:#.*)?$")
 _WORD = r"""(?:[A-Za-z0-9_-]+|"[^"]*"|'[^']*')"""
@@ -28,7 +28,7 @@
 
     name: str
     settings: Any
-    make: Make
+    make: SubsystemFactory
 
 
 def read_edge(path: Path) -> list[Section]:
@@ -67,13 +67,13 @@
         faults.append(f"{path}{f':{line}' if line else ''}: {'.'.join(shown)}{what}")
 
     for name, table in raw.items():
-        if name not in PARTS:
-            fault((name,), f" is no section{_nearest(name, list(PARTS))}")
+        if name not in SUBSYSTEM_MODULES:
+            fault((name,), f" is no section{_nearest(name, list(SUBSYSTEM_MODULES))}")
             continue
-        module = part_module(name)
-        settings = decode(table, module.Settings, (name,), fault)
+        module = subsystem_module(name)
+        settings = decode(table, module.settings_type, (name,), fault)
         if settings is not None:
-            found.append(Section(name, settings, module.make))
+            found.append(Section(name, settings, module.create))
     if faults:
         raise ConfigError("\n".join(faults))
     return found
--- a/lockspoke/lifecycle/graceful_shutdown.py
+++ b/lockspoke/lifecycle/graceful_shutdown.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Sequence
 
 from lockspoke.core.core import Core
-from lockspoke.wire.clients.front import ClientFront, Intake
+from lockspoke.wire.clients.front import AdmissionMode, ClientFront
 
-from .config import Config
-from .phases import Phase
+from .config import GatewayConfig
+from .phases import ProgramPhase
 from .subsystems import Subsystem
 
 HAND_OVER = 0.3  # seconds before the platform may kill: what is still open goes to other gateways
@@ -25,7 +25,7 @@
 FINE_POLL = 0.02  # the same once none is accepted: the time to hand over has to be met
 
 
-class Drain:
+class GracefulShutdown:
     """One stop, from SIGTERM to the last answer."""
 
     def __init__(
@@ -33,8 +33,8 @@
         core: Core,
         clients: ClientFront,
         parts: Sequence[Subsystem],
-        config: Callable[[], Config],
-        enter: Callable[[Phase], None],
+        config: Callable[[], GatewayConfig],
+        enter: Callable[[ProgramPhase], None],
     ) -> None:
         self.core = core
         self.clients = clients
@@ -47,8 +47,8 @@
 
     async def run(self) -> None:
         """Answer all that was taken, and all that comes while clients still come here."""
-        self.enter(Phase.DRAINING)
-        self.clients.intake = Intake.LAST
+        self.enter(ProgramPhase.DRAINING)
+        self.clients.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
         ending = [asyncio.ensure_future(part.drain()) for part in self.parts]
         if not self.config().resumes:
             # No stream may be cut then, and none is sure to end in time: its replica may be slow, or hang.
@@ -79,11 +79,13 @@
             if (now := loop.time()) >= self.kill - HAND_OVER:
                 # What a kill finds open is lost; given away in time, clients ask for the rest elsewhere. Not
                 # sooner, though nothing may be open by then: a request can still come on what is connected.
-                self.core.hand_over(streams=self.config().resumes, at_once=now >= self.kill - AT_ONCE)
+                self.core.hand_off(
+                    include_streams=self.config().resumes, immediately=now >= self.kill - AT_ONCE
+                )
             await asyncio.sleep(FINE_POLL)
 
     def _turn_away(self) -> None:
         """Take no more requests: connections that clients still have here lead on to other gateways."""
         if not self._over:
-            self.enter(Phase.TURNING_AWAY)
-            self.clients.intake = Intake.CLOSED
+            self.enter(ProgramPhase.REJECTING)
+            self.clients.admission_mode = AdmissionMode.REJECT
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -17,23 +17,23 @@
 import structlog
 
 from lockspoke.core.core import Core
-from lockspoke.core.identifiers import Numbers
-from lockspoke.core.replica_set import ReplicaSet, ReplicaUpdate
-from lockspoke.wire.clients.front import ClientFront, Intake
-from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_of
+from lockspoke.core.identifiers import Identifiers
+from lockspoke.core.replica_set import ReplicaListUpdate, ReplicaSet
+from lockspoke.wire.clients.front import AdmissionMode, ClientFront
+from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
 from lockspoke.wire.http.http1 import HttpError
 from lockspoke.wire.operators.api import Ask, OperatorCall
 from lockspoke.wire.operators.front import MOST, OperatorFront
-from lockspoke.wire.replicas.transport import ReplicaConnections
+from lockspoke.wire.replicas.transport import ReplicaTransport
 
 from .bans_file import read_bans, write_bans
-from .clock import LoopTimers
-from .config import Config, ConfigError, read_config
+from .clock import EventLoopClock
+from .config import ConfigError, GatewayConfig, read_config
 from .event_loop import PolledLoop
-from .graceful_shutdown import QUIET, Drain
+from .graceful_shutdown import QUIET, GracefulShutdown
 from .logging_setup import start_logging
-from .phases import Phase
-from .subsystems import ListSource, Subsystem, Surroundings, only_source
+from .phases import ProgramPhase
+from .subsystems import EndpointListSource, Subsystem, SubsystemContext, find_endpoint_list_source
 
 if TYPE_CHECKING:
     from .edge_file import Section
@@ -46,24 +46,24 @@
 class PlatformDiscovery(DiscoveryWatch):
     """The platform's discovery as the source of the list."""
 
-    def __init__(self, config: Config) -> None:
+    def __init__(self, config: GatewayConfig) -> None:
         if config.discovery is None:
             raise ConfigError("discovery is missing")
         super().__init__(
-            config.discovery, hold_of(config.settings.gateway_index, config.settings.gateway_count)
+            config.discovery, hold_duration_ms(config.settings.gateway_index, config.settings.gateway_count)
         )
         self._config = config
 
-    def first(self) -> ReplicaUpdate | None:
+    def initial_list(self) -> ReplicaListUpdate | None:
         """The list that the configuration holds."""
         return self._config.known
 
-    def gateway_changed(self, config: Config, anew: bool) -> None:
+    def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
         """Discovery may have moved; a whole list is got by asking it anew."""
         moved = config.discovery != self._config.discovery
         self._config = config
-        self.hold_ms = hold_of(config.settings.gateway_index, config.settings.gateway_count)
-        if config.discovery is not None and (moved or anew):
+        self.hold_ms = hold_duration_ms(config.settings.gateway_index, config.settings.gateway_count)
+        if config.discovery is not None and (moved or needs_complete_list):
             self.move(config.discovery)
 
 
@@ -72,30 +72,30 @@
 
     def __init__(
         self,
-        config: Config,
+        config: GatewayConfig,
         parts: Sequence[Subsystem] = (),
         read_sections: Callable[[], Sequence[Section]] = tuple,
     ) -> None:
         self.parts = list(parts)
         self.read_sections = read_sections  # the edge file as it is now
         self.config = config
-        self.phase = Phase.STARTING
-        self.timers = LoopTimers()
-        self.replica_set = ReplicaSet(Numbers(), config.zones)
+        self.phase = ProgramPhase.STARTING
+        self.timers = EventLoopClock()
+        self.replica_set = ReplicaSet(Identifiers(), config.zones)
         self.operators = OperatorFront(self._operated) if config.operator else None
         self.bans_file = Path(os.environ.get("TMPDIR") or "/tmp", f"{config.name}.bans.json")
         self.out_of_service = False  # by an operator's word: it answers what comes and asks for no more
         self._others = sum(part.descriptors for part in self.parts)
         self._others += MOST if self.operators is not None else 0
         most = config.connections(self._others)
-        self.transport = ReplicaConnections(
+        self.transport = ReplicaTransport(
             config.load_names,
             config.connect_timeout,
             config.keepalive,
             most,
             self.timers.now,
         )
-        self.watch: ListSource = only_source(self.parts) or PlatformDiscovery(config)
+        self.watch: EndpointListSource = find_endpoint_list_source(self.parts) or PlatformDiscovery(config)
         self.core = Core(
             config.settings, config.seed, self.replica_set, self.timers, self.transport, self.watch
         )
@@ -105,7 +105,7 @@
             self.core,
             config.classes,
             most - 1,
-            config.held_bytes,
+            config.max_buffered_bytes,
             lambda: self._ready and not self.out_of_service,
             config.tenants,
         )
@@ -115,7 +115,7 @@
 
     @property
     def _ready(self) -> bool:
-        return self.phase is Phase.READY
+        return self.phase is ProgramPhase.READY
 
     @property
     def _list_is_current(self) -> bool:
@@ -123,7 +123,7 @@
 
         Where lists are pushed, what discovery has counts as told from a process's first moment.
         """
-        return self.config.settings.polls_endpoint_list or self.watch.settled
+        return self.config.settings.polls_endpoint_list or self.watch.first_poll_finished
 
     def _operated(self, call: OperatorCall) -> str:
         """Do what an operator asks; raises HttpError for a no."""
@@ -133,18 +133,20 @@
                     raise HttpError(503, f"not ready: {self.phase.value}")
                 return "ready"
             case Ask.OFFLINE | Ask.ONLINE:
-                if not self.core.ban(call.uid, call.ask is Ask.OFFLINE):
+                if not self.core.set_banned(call.uid, call.ask is Ask.OFFLINE):
                     raise HttpError(404, f"no list has named {call.uid[:200]}")
                 write_bans(self.bans_file, self.replica_set.banned)
             case Ask.OUT_OF_SERVICE | Ask.IN_SERVICE:
-                if self.phase in (Phase.DRAINING, Phase.TURNING_AWAY):
+                if self.phase in (ProgramPhase.DRAINING, ProgramPhase.REJECTING):
                     raise HttpError(409, "the gateway is stopping")
                 self.out_of_service = call.ask is Ask.OUT_OF_SERVICE
-                self.clients.intake = Intake.LAST if self.out_of_service else Intake.OPEN
+                self.clients.admission_mode = (
+                    AdmissionMode.ACCEPT_AND_CLOSE if self.out_of_service else AdmissionMode.ACCEPT
+                )
         log.info("operator_call", asked=call.ask.name.lower(), worker=call.uid)
         return "done"
 
-    def _enter(self, phase: Phase) -> None:
+    def _enter(self, phase: ProgramPhase) -> None:
         log.info("phase", now=phase.value, before=self.phase.value)
         self.phase = phase
 
@@ -159,14 +161,14 @@
         self.core.start()
         if self.operators is not None:
             self.replica_set.ban_all(read_bans(self.bans_file))
-        known = self.watch.first()
+        known = self.watch.initial_list()
         if known is not None:
-            self.core.list_changed(known, cached=True)
+            self.core.endpoint_list_changed(known, cached=True)
         else:
             self.watch.watch(True)
         # A new version is started beside this one, at the same address, where operators say when it is ready.
         host, port = self.clients.listener.listen(self.config.listen, shared=self.operators is not None)
-        log.info("listening", host=host, port=port, workers=self.replica_set.ready)
+        log.info("listening", host=host, port=port, workers=self.replica_set.ready_count)
         if self.operators is not None and self.config.operator is not None:
             host, port = self.operators.listener.listen(self.config.operator)
             log.info("operators_listening", host=host, port=port)
@@ -175,7 +177,7 @@
         gc.freeze()  # what is loaded now stays: later collections need not look at it
         sweeps = asyncio.ensure_future(self._sweep())
         await self._stop.wait()
-        await Drain(self.core, self.clients, self.parts, lambda: self.config, self._enter).run()
+        await GracefulShutdown(self.core, self.clients, self.parts, lambda: self.config, self._enter).run()
         sweeps.cancel()
         if self.operators is not None:
             self.operators.listener.stop()
@@ -185,7 +187,7 @@
             part.stop()
         self.transport.close()
         self._tell_totals()
-        self._enter(Phase.STOPPED)
+        self._enter(ProgramPhase.STOPPED)
 
     def _reload(self) -> None:
         """Take up the configuration's files as they are now; one that cannot be read leaves the old in force.
@@ -203,47 +205,47 @@
         self.config = config
         most = config.connections(self._others)
         self.transport.reconfigure(config.load_names, config.connect_timeout, config.keepalive, most)
-        self.clients.reconfigure(config.classes, most - 1, config.held_bytes, config.tenants)
+        self.clients.reconfigure(config.classes, most - 1, config.max_buffered_bytes, config.tenants)
         anew = self.core.reconfigure(config.settings, config.zones)
-        self.watch.gateway_changed(config, anew)
+        self.watch.gateway_reconfigured(config, anew)
         for commit in commits:
             commit()
         log.info("reloaded", discovery_moved=moved)
 
-    def _prepare(self, config: Config) -> list[Callable[[], None]]:
+    def _prepare(self, config: GatewayConfig) -> list[Callable[[], None]]:
         """Have every part check what is new for it; all or none of them take it up."""
         sections = {section.name: section.settings for section in self.read_sections()}
         running = {part.name for part in self.parts}
         if changed := sorted(running ^ sections.keys()):
             raise ConfigError(f"[{changed[0]}] came or went in the edge file; that needs a restart")
-        return [part.prepare(sections[part.name], config) for part in self.parts]
+        return [part.prepare_reload(sections[part.name], config) for part in self.parts]
 
     async def _sweep(self) -> None:
         told = time.monotonic()
         while True:
-            if self.phase is Phase.STARTING and self.replica_set.ready and self._list_is_current:
-                self._enter(Phase.READY)
-            self.transport.sweep()
-            self.clients.sweep()
+            if self.phase is ProgramPhase.STARTING and self.replica_set.ready_count and self._list_is_current:
+                self._enter(ProgramPhase.READY)
+            self.transport.run_periodic_checks()
+            self.clients.run_periodic_checks()
             if self.out_of_service:
                 self.clients.listener.close_idle(QUIET)
             if self.operators is not None:
-                self.operators.sweep()
+                self.operators.run_periodic_checks()
             for part in self.parts:
-                part.sweep()
+                part.run_periodic_checks()
             if time.monotonic() - told >= TOTALS:
                 told = time.monotonic()
                 self._tell_totals()
                 give_back()
-            await asyncio.sleep(SWEEP if self.phase is not Phase.STARTING else 0.02)
+            await asyncio.sleep(SWEEP if self.phase is not ProgramPhase.STARTING else 0.02)
 
     def _tell_totals(self) -> None:
         log.info(
             "totals",
             open_calls=len(self.core.requests),
             clients=len(self.clients.listener.connections),
-            workers=self.transport.open,
-            spoilt=self.transport.spoilt,
+            workers=self.transport.open_connections,
+            spoilt=self.transport.malformed_responses,
             **self.core.totals,
         )
 
@@ -287,7 +289,7 @@
     return 0
 
 
-async def _run(config: Config, edge: Path | None, batch: Path | None) -> None:
+async def _run(config: GatewayConfig, edge: Path | None, batch: Path | None) -> None:
     if edge is None and batch is None:
         await Program(config).run()
         return
@@ -298,6 +300,6 @@
         return read_edge(edge) if edge is not None else read_batch_file(batch or Path())
 
     folder = (edge or batch or Path()).parent
-    around = Surroundings(config, os.environ, folder)
+    around = SubsystemContext(config, os.environ, folder)
     parts = [section.make(section.settings, around) for section in sections()]
     await Program(config, parts, sections).run()
--- a/lockspoke/lifecycle/subsystems.py
+++ b/lockspoke/lifecycle/subsystems.py
@@ -13,36 +13,39 @@
 from typing import Any, Protocol
 
 from lockspoke.core.core import Core
-from lockspoke.core.replica_set import ReplicaUpdate
+from lockspoke.core.replica_set import ReplicaListUpdate
 from lockspoke.wire.clients.front import ClientFront
 
-from .config import Config
+from .config import GatewayConfig
 
-# By section, the module that holds its `Settings` (a msgspec struct) and `make` (a `Make`).
-PARTS = {
+# By section, the module that holds its `settings_type` (a msgspec struct) and `create` (a
+# `SubsystemFactory`).
+SUBSYSTEM_MODULES = {
     "address": "lockspoke.address.subsystem",
     "batch": "lockspoke.batch.subsystem",
     "inventory": "lockspoke.inventory.subsystem",
 }
 
 
-class ListSource(Protocol):
+class EndpointListSource(Protocol):
     """Where the list of replicas comes from. One feeds the replica set; it is the core's discovery too."""
 
     core: Core | None  # set before anything is asked of it
-    settled: bool  # whether it has said, or failed to say, what is newer than the list to begin with
+    first_poll_finished: (
+        bool  # whether it has said, or failed to say, what is newer than the list to begin with
+    )
 
-    def first(self) -> ReplicaUpdate | None:
+    def initial_list(self) -> ReplicaListUpdate | None:
         """The list to begin with, if there is one now; raises ConfigError where none can be had at all."""
 
     @property
-    def changes_unread(self) -> bool:
+    def has_unread_changes(self) -> bool:
         """Whether changes have come that are not in force yet."""
 
     def watch(self, enable: bool) -> None:
         """Tell the core of changes from now on, or end that; asked again while it does, nothing changes."""
 
-    def gateway_changed(self, config: Config, anew: bool) -> None:
+    def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
         """The gateway's configuration has changed; `anew`: the core wants the whole list again."""
 
     def close(self) -> None:
@@ -58,7 +61,7 @@
 
     name: str
     descriptors: int  # that its connections may take
-    source: ListSource | None  # where it feeds the replica set
+    endpoint_list_source: EndpointListSource | None  # where it feeds the replica set
 
     def attach(self, core: Core, clients: ClientFront) -> None:
         """The core that it goes through and the platform's front; raises ConfigError where it can't start."""
@@ -66,10 +69,10 @@
     def start(self) -> None:
         """Begin, on the running loop."""
 
-    def sweep(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Look after what has stood for long; called some times a second."""
 
-    def prepare(self, settings: Any, gateway: Config) -> Callable[[], None]:
+    def prepare_reload(self, settings: Any, gateway: GatewayConfig) -> Callable[[], None]:
         """Check new settings of its own and of the gateway; gives what puts them in force."""
 
     async def drain(self) -> None:
@@ -83,26 +86,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class SubsystemContext:
     """What a part is made with, beside its own settings."""
 
-    gateway: Config
+    gateway: GatewayConfig
     environment: Mapping[str, str]
     folder: Path  # paths in the edge file are taken from the working folder; this is the file's own
 
 
-class Make(Protocol):
+class SubsystemFactory(Protocol):
     """The `make` of a part's module."""
 
-    def __call__(self, settings: Any, around: Surroundings) -> Subsystem:
+    def __call__(self, settings: Any, around: SubsystemContext) -> Subsystem:
         """The part; raises ConfigError, naming the key."""
 
 
-def part_module(section: str) -> Any:
+def subsystem_module(section: str) -> Any:
     """The module of a part, imported now if it was not."""
-    return importlib.import_module(PARTS[section])
+    return importlib.import_module(SUBSYSTEM_MODULES[section])
 
 
-def only_source(parts: list[Subsystem]) -> ListSource | None:
+def find_endpoint_list_source(parts: list[Subsystem]) -> EndpointListSource | None:
     """The one source of the list among the parts, if any."""
-    return next((part.source for part in parts if part.source is not None), None)
+    return next((part.endpoint_list_source for part in parts if part.endpoint_list_source is not None), None)
--- a/lockspoke/simulator/protocol.py
+++ b/lockspoke/simulator/protocol.py
@@ -26,7 +26,13 @@
     RequestArrived,
     TimerFired,
 )
-from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass, Settings, Tenant
+from lockspoke.balancing.settings import (
+    BalancerSettings,
+    DeduplicationScope,
+    Idempotency,
+    RequestClass,
+    Tenant,
+)
 
 OUTCOMES = {
     0: Outcome.OK,
@@ -71,7 +77,7 @@
 class Provision:
     """A new instance begins, empty."""
 
-    settings: Settings
+    settings: BalancerSettings
     seed: int
 
 
@@ -159,7 +165,7 @@
     )
 
 
-def decode_settings(text: bytes) -> Settings:
+def decode_settings(text: bytes) -> BalancerSettings:
     """Read the settings that come with a provision; unknown keys are skipped."""
     try:
         raw = json.loads(text)
@@ -176,7 +182,7 @@
         if not isinstance(tenant, dict):
             raise SettingsError(f"settings: tenants[{index}] is {tenant!r}, want an object")
         tenants.append(Tenant(quota=float(_number(tenant, "share", 0.0))))
-    return Settings(
+    return BalancerSettings(
         classes=tuple(_class(profile, index, raw) for index, profile in enumerate(profiles)),
         max_attempts=int(_number(raw, "limits.attemptsCap", low=1)),
         hedging_allowed=_flag(raw, "limits.mayDuplicate"),
--- a/lockspoke/wire/clients/front.py
+++ b/lockspoke/wire/clients/front.py
@@ -12,24 +12,23 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from lockspoke.core.core import Core
-from lockspoke.core.identifiers import key_number
+from lockspoke.core.identifiers import key_identifier
 from lockspoke.core.requests import ClientRequest
+from lockspoke.units import MILLISECOND, SECOND
 from lockspoke.wire.http.http1 import (
-    Gatherer,
     Headers,
     HttpError,
     Request,
-    encode_answer,
+    RequestAssembler,
     encode_chunk,
     encode_head,
+    encode_response,
 )
-from lockspoke.wire.tcp.closing import quiet
-from lockspoke.wire.tcp.listener import READ, Listener, Outbox, close_resting
+from lockspoke.wire.tcp.closing import is_quiet
+from lockspoke.wire.tcp.listener import READ, Listener, OutgoingBuffer, close_if_quiet
 
-from .request_fields import decode_call
+from .request_fields import decode_request_fields
 
-MS = 1_000_000
-SECOND = 1_000 * MS
 CALLS_PATH = "/v1/chat/completions"
 READY_PATH = "/up"
 HOST = "origin.svc"  # told to replicas where an HTTP/1.0 client named none
@@ -46,16 +45,16 @@
 BUSY_RETRY = SECOND  # advice with the overload reply to what would go past the bound on held bytes
 NOT_PASSED = {"connection", "content-length", "transfer-encoding", "expect", "keep-alive", "te", "trailer"}
 NOT_PASSED |= {"upgrade", "req-id", "req-deadline-ms", "proxy-connection"}
-MOVED_RETRY = 50 * MS  # advice to a client that a new connection leads elsewhere
+MOVED_RETRY = 50 * MILLISECOND  # advice to a client that a new connection leads elsewhere
 STREAM_HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-store"}
 
 
-class Intake(Enum):
+class AdmissionMode(Enum):
     """What the front does with a request that comes now."""
 
-    OPEN = "open"  # taken; its connection is kept for the next
-    LAST = "last"  # taken; its connection ends with the answer
-    CLOSED = "closed"  # told to go elsewhere: it could not be answered whole
+    ACCEPT = "open"  # taken; its connection is kept for the next
+    ACCEPT_AND_CLOSE = "last"  # taken; its connection ends with the answer
+    REJECT = "closed"  # told to go elsewhere: it could not be answered whole
 
 
 class ClientFront:
@@ -72,8 +71,8 @@
     ) -> None:
         self.core = core
         self.ready = ready
-        self.intake = Intake.OPEN
-        self.held_bytes = 0
+        self.admission_mode = AdmissionMode.ACCEPT
+        self.buffered_bytes = 0
         self.open_ids: set[str] = set()  # of requests that are owed an answer
         self.listener = Listener(lambda stream: ClientConnection(self, stream), most)
         self.reconfigure(classes, most, most_bytes, tenants)
@@ -88,13 +87,13 @@
         """Classes and tenants, and the bounds on connections and on the bytes of requests, from now on."""
         self.classes = classes
         self.tenants = tenants
-        self.listener.most = most
-        self.most_bytes = most_bytes
+        self.listener.max_connections = most
+        self.max_buffered_bytes = most_bytes
 
-    def sweep(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Close connections that stand idle, stalled, or amid a request for too long."""
         now = asyncio.get_running_loop().time()
-        crowded = len(self.listener.connections) > CROWDED * self.listener.most
+        crowded = len(self.listener.connections) > CROWDED * self.listener.max_connections
         self.listener.close_idle(CROWDED_IDLE if crowded else IDLE)
         self.listener.reclaim()
         for connection in list(self.listener.connections):
@@ -110,7 +109,7 @@
     arrived: int  # when its last byte came at the earliest
 
 
-class Phase(Enum):
+class ConnectionPhase(Enum):
     """What a client's connection is good for."""
 
     SERVING = "serving"  # what comes is read and answered
@@ -124,17 +123,21 @@
     def __init__(self, front: ClientFront, stream: IOStream) -> None:
         self.front = front
         self.stream = stream
-        self.outbox = Outbox(stream)
+        self.outbox = OutgoingBuffer(stream)
         self.ended = asyncio.Event()
         self.opened_at = self.active_at = asyncio.get_running_loop().time()
-        self.gatherer = Gatherer()
+        self.gatherer = RequestAssembler()
         self.held = 0  # bytes of requests, read or half read
         self.waiting: deque[Received | HttpError] = deque()
         self.open_request: ClientRequest | None = None
-        self.asked = False  # whether a byte has ever come
-        self.phase = Phase.SERVING
-        self.leaving = False  # the address that it came by has gone elsewhere: it ends after this answer
-        self.guard: Callable[[], bool] | None = None  # whether what comes by that address still counts
+        self.has_received = False  # whether a byte has ever come
+        self.phase = ConnectionPhase.SERVING
+        self.closes_after_response = (
+            False  # the address that it came by has gone elsewhere: it ends after this answer
+        )
+        self.lease_is_valid: Callable[[], bool] | None = (
+            None  # whether what comes by that address still counts
+        )
 
     @property
     def idle(self) -> bool:
@@ -149,11 +152,11 @@
         try:
             while True:
                 data = await self.stream.read_bytes(READ, partial=True)
-                if self.phase is Phase.SERVING:
+                if self.phase is ConnectionPhase.SERVING:
                     self._take(data)
                     continue
                 dropped += len(data)
-                if self.phase is Phase.ENDING and dropped > LINGER_BYTES:
+                if self.phase is ConnectionPhase.ENDING and dropped > LINGER_BYTES:
                     # Left unread, the rest blocks a client that sends on and on; the sweep closes soon.
                     await self.ended.wait()
         except StreamClosedError:
@@ -162,7 +165,7 @@
             released = self._let_go()
             self._hold(0)  # without the request: its bytes are given back too, or the bound fills by and by
             if released is not None:
-                self.front.core.client_left(released)
+                self.front.core.client_disconnected(released)
 
     def check(self, now: float) -> None:
         """Guards against clients that take or send nothing for ever."""
@@ -170,33 +173,33 @@
         if self.outbox.stalled(now, STALL) or (sent_at is not None and now - sent_at > LINGER):
             self.stream.close()
             self.ended.set()
-        elif not self.asked and now - self.opened_at > FIRST:
-            close_resting(self)
+        elif not self.has_received and now - self.opened_at > FIRST:
+            close_if_quiet(self)
         elif (
             self.open_request is None
-            and self.phase is Phase.SERVING
+            and self.phase is ConnectionPhase.SERVING
             and not self.gatherer.idle
             and now - self.active_at > HALF
         ):
             self._refuse_input(HttpError(408, "request took too long"))
 
     def _take(self, data: bytes) -> None:
-        self.asked = True
+        self.has_received = True
         self.active_at = self.active_at if not self.gatherer.idle else asyncio.get_running_loop().time()
         try:
-            arrived = self.front.core.timers.arrived()
+            arrived = self.front.core.clock.earliest_arrival()
             self.waiting.extend(Received(request, arrived) for request in self.gatherer.feed(data))
             if self.gatherer.wants_continue():
                 self.outbox.write(encode_head(100, {}))
         except HttpError as error:
             self._read_no_more(error)
-        if len(self.waiting) > WAITING and self.phase is Phase.SERVING:
+        if len(self.waiting) > WAITING and self.phase is ConnectionPhase.SERVING:
             # What came first is still answered: to close now would lose a request that was taken.
             while len(self.waiting) > WAITING:
                 self.waiting.pop()
             self._read_no_more(HttpError(503, "too many requests sent ahead"))
         self._hold(self.gatherer.size + self._waiting_bytes())
-        if self.front.held_bytes > self.front.most_bytes and self.open_request is None:
+        if self.front.buffered_bytes > self.front.max_buffered_bytes and self.open_request is None:
             # Guards the memory limit: many large requests at once are turned away, not buffered.
             self._refuse_input(HttpError(503, "too many bytes held"))
         elif self.open_request is None:
@@ -205,8 +208,8 @@
     def _read_no_more(self, error: HttpError) -> None:
         """This is the last answer here, after those that are owed already; the rest goes unread."""
         self.waiting.append(error)
-        self.phase = Phase.LAST
-        self.gatherer = Gatherer()
+        self.phase = ConnectionPhase.LAST
+        self.gatherer = RequestAssembler()
 
     def _waiting_bytes(self) -> int:
         return sum(len(one.request.body) for one in self.waiting if isinstance(one, Received))
@@ -215,17 +218,17 @@
         """The request is answered, or its client gone."""
         released, self.open_request = self.open_request, None
         if released is not None:
-            self.front.open_ids.discard(released.req_id)
+            self.front.open_ids.discard(released.request_id)
         return released
 
     def _hold(self, size: int) -> None:
         size += len(self.open_request.body) if self.open_request is not None else 0
-        self.front.held_bytes += size - self.held
+        self.front.buffered_bytes += size - self.held
         self.held = size
 
     def _next(self) -> None:
         """Answer what waits, up to the first that goes to a replica."""
-        while self.waiting and self.open_request is None and self.phase is not Phase.ENDING:
+        while self.waiting and self.open_request is None and self.phase is not ConnectionPhase.ENDING:
             received = self.waiting.popleft()
             if isinstance(received, HttpError):
                 self._refuse_input(received)
@@ -250,41 +253,41 @@
 
     def _submit(self, request: Request, arrived: int) -> None:
         head = request.head
-        if self.guard is not None and not self.guard():
+        if self.lease_is_valid is not None and not self.lease_is_valid():
             # Read after a pause that outlasted the lease: another instance has the address by now.
-            self.leaving = True
+            self.closes_after_response = True
             self.whole(request, 503, "the address has moved", {"Retry-After": _seconds(MOVED_RETRY)})
             return
-        if self.front.intake is Intake.CLOSED:
+        if self.front.admission_mode is AdmissionMode.REJECT:
             self.whole(request, 503, "stopping", {"Retry-After": _seconds(MOVED_RETRY)})
             return
-        fields = decode_call(head.headers)
+        fields = decode_request_fields(head.headers)
         if fields.kind not in self.front.classes:
             raise HttpError(400, "unknown Req-Kind")
-        if fields.req_id in self.front.open_ids:
+        if fields.request_id in self.front.open_ids:
             # Sent on, a replica would take it for a second copy of another client's request.
             raise HttpError(409, "Req-Id is in use")
         submitted = ClientRequest(
-            sink=StreamedAnswer(self, request),
+            response=StreamingResponse(self, request),
             request_class=self.front.classes[fields.kind],
-            time_left=fields.deadline_ms * MS,
-            req_id=fields.req_id,
+            time_remaining=fields.deadline_ms * MILLISECOND,
+            request_id=fields.request_id,
             method=head.method,
             target=head.target,
             headers=_passed_on(head.headers),
             body=request.body,
             # The wire knows no owner outside the settings: one that they do not name counts as the first.
             tenant=self.front.tenants.get(fields.tenant, 0),
-            session=key_number(fields.key),
-            prefix=key_number(fields.prefix),
+            session=key_identifier(fields.key),
+            prefix=key_identifier(fields.prefix),
             prompt_tokens=fields.prompt_len,
             prefix_tokens=fields.prefix_len,
             max_tokens=fields.max_out,
             client_retry=fields.retry,
-            arrived=arrived,
+            arrived_at=arrived,
         )
         self.open_request = submitted
-        self.front.open_ids.add(submitted.req_id)
+        self.front.open_ids.add(submitted.request_id)
         self.front.core.submit(submitted)
 
     def body_sent(self) -> None:
@@ -297,25 +300,25 @@
         """Give a whole answer in one piece."""
         keep = self.keeps(request)
         body = f"{text}\n".encode()
-        self.outbox.write(encode_answer(status, body, _plain(headers), keep, request.head.method))
+        self.outbox.write(encode_response(status, body, _plain(headers), keep, request.head.method))
         self.answered(keep)
 
     def _refuse_input(self, error: HttpError) -> None:
         """Where a message ends is not known any more, so the connection ends with the answer."""
         headers = {"Retry-After": _seconds(BUSY_RETRY)} if error.status == 503 else None
-        self.outbox.write(encode_answer(error.status, f"{error}\n".encode(), _plain(headers), False))
+        self.outbox.write(encode_response(error.status, f"{error}\n".encode(), _plain(headers), False))
         self.active_at = asyncio.get_running_loop().time()
         self._end()
 
     def _end(self) -> None:
         """The last answer is written. A request that has crossed it is not run: its client sends it again."""
-        self.phase = Phase.ENDING
+        self.phase = ConnectionPhase.ENDING
         self.waiting.clear()
         self.outbox.finish()
 
     def keeps(self, request: Request) -> bool:
         """Whether the connection goes on after the answer: it ends once all that was read is answered."""
-        ends = self.front.intake is not Intake.OPEN or self.leaving
+        ends = self.front.admission_mode is not AdmissionMode.ACCEPT or self.closes_after_response
         return request.head.keep_alive and not (ends and not self.waiting)
 
     def answered(self, keep: bool) -> None:
@@ -329,7 +332,7 @@
             self._end()
 
 
-class StreamedAnswer:
+class StreamingResponse:
     """The sink of a request that came over a client connection."""
 
     def __init__(self, connection: ClientConnection, request: Request) -> None:
@@ -340,11 +343,11 @@
         self.keep = False
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Whether the client has sent what is not read yet, such as its close."""
-        return not quiet(self.connection.stream)
+        return not is_quiet(self.connection.stream)
 
-    def event(self, data: bytes) -> asyncio.Future[None] | None:
+    def write(self, data: bytes) -> asyncio.Future[None] | None:
         """Pass a piece on at once, head and all."""
         piece = encode_chunk(data) if self.chunked else data
         if not self.begun:
@@ -362,17 +365,17 @@
             headers["Connection"] = "close"
         return encode_head(200, headers)
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """The stream is whole: the last chunk says so."""
         piece = encode_chunk(b"") if self.chunked else b""
         self.connection.outbox.write(piece if self.begun else self._head() + piece)
         self.connection.answered(self.keep)
 
-    def broken(self) -> None:
+    def abort(self) -> None:
         """No last chunk: the client sees that something is missing."""
         self.connection.answered(False)
 
-    def refuse(self, retry_after: int) -> None:
+    def reject(self, retry_after: int) -> None:
         """An overload reply."""
         headers = {"Retry-After": _seconds(retry_after)} if retry_after else None
         self.connection.whole(self.request, 503, "overloaded", headers)
--- a/lockspoke/wire/clients/request_fields.py
+++ b/lockspoke/wire/clients/request_fields.py
@@ -13,10 +13,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallFields:
+class RequestFields:
     """What the header fields of a request say of it."""
 
-    req_id: str
+    request_id: str
     kind: str
     deadline_ms: int
     key: str = ""
@@ -45,7 +45,7 @@
     return value
 
 
-def decode_call(headers: Headers) -> CallFields:
+def decode_request_fields(headers: Headers) -> RequestFields:
     """Read the fields of a call; what is missing or out of range is a 400."""
     names = [name for name, _ in headers.fields if name.startswith("req-")]
     if len(set(names)) != len(names):
@@ -58,8 +58,8 @@
     for part in headers.get("req-extra").split(","):
         name, _, value = part.strip().partition("=")
         extra[name] = value
-    return CallFields(
-        req_id=_name(headers, "req-id", needed=True),
+    return RequestFields(
+        request_id=_name(headers, "req-id", needed=True),
         kind=_name(headers, "req-kind", needed=True),
         deadline_ms=min(int(deadline), LONGEST_DEADLINE_MS),
         key=_name(headers, "req-key"),
@@ -72,7 +72,7 @@
     )
 
 
-def decode_load(text: str, names: Sequence[str]) -> tuple[float, ...]:
+def decode_load_report(text: str, names: Sequence[str]) -> tuple[float, ...]:
     """A load report in the order of the settings' names; one that lacks a value counts as none."""
     values: dict[str, float] = {}
     for part in text.split(","):
--- a/lockspoke/wire/discovery/connection.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -7,10 +7,10 @@
 from tornado.iostream import StreamClosedError
 
 from lockspoke.wire.http.http1 import HttpError, encode_request
-from lockspoke.wire.tcp.dialing import Dial, Endpoint
+from lockspoke.wire.tcp.dialing import Address, Dial
 from lockspoke.wire.tcp.read_ahead import ReadAhead
 
-from .messages import AnswerReader, ListRequest
+from .messages import EndpointListRequest, ResponseReader
 
 GRACE = 0.4  # seconds past its wait for which a watch may stay without an answer, until it counts as silent
 ANSWER_TIME = (
@@ -30,7 +30,7 @@
 class DiscoveryLink:
     """Requests to discovery at one address."""
 
-    def __init__(self, endpoint: Endpoint, dial: Dial) -> None:
+    def __init__(self, endpoint: Address, dial: Dial) -> None:
         self.endpoint = endpoint
         self._dial = dial
         self._connection: ReadAhead | None = None
@@ -41,7 +41,7 @@
         """Whether discovery has written what no answer that was given out holds."""
         return self._connection is not None and self._connection.unread
 
-    async def ask(self, request: ListRequest) -> bytes:
+    async def ask(self, request: EndpointListRequest) -> bytes:
         """The body of the answer; raises RequestError, WatchLostError, or ListError for a bad status.
 
         After any of these the connection is closed: what would come on it answers no later request.
@@ -65,7 +65,7 @@
         finally:
             self.awaiting = False
 
-    async def _exchange(self, request: ListRequest) -> bytes:
+    async def _exchange(self, request: EndpointListRequest) -> bytes:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + ANSWER_TIME
         if self._connection is None:
@@ -81,7 +81,7 @@
 
     async def _answer(self, connection: ReadAhead, deadline: float) -> bytes:
         """Read an answer. No read is ever cancelled: bytes that have come as the time ends are taken."""
-        loop, reader = asyncio.get_running_loop(), AnswerReader()
+        loop, reader = asyncio.get_running_loop(), ResponseReader()
         while True:
             await asyncio.wait([connection.pending], timeout=max(0.0, deadline - loop.time()))
             if not connection.unread:
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -9,20 +9,20 @@
 from typing import Any
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import UNKNOWN_VERSION, Entry, ReplicaUpdate
-from lockspoke.wire.http.http1 import Data, End, HttpError, ResponseHead, ResponseParser
+from lockspoke.core.replica_set import UNKNOWN_VERSION, ListedReplica, ReplicaListUpdate
+from lockspoke.wire.http.http1 import BodyChunk, HttpError, MessageEnd, ResponseHead, ResponseParser
 
 LIST_PATH = "/discovery/hosts"
 LIST_LIMIT = 4 * 1024 * 1024  # bytes
 STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.REMOVED}
 
 
-class ListError(ValueError):
+class EndpointListError(ValueError):
     """An answer, or a part of it, that cannot be read; the text names the field and what is wrong."""
 
 
 @dataclass(frozen=True, slots=True)
-class ListRequest:
+class EndpointListRequest:
     """One request for the list."""
 
     version: int  # for what has changed since; UNKNOWN_VERSION: for the whole list
@@ -42,20 +42,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListAnswer:
+class EndpointListResponse:
     """What could be read of an answer, and what could not."""
 
-    update: ReplicaUpdate
+    update: ReplicaListUpdate
     faults: tuple[str, ...] = ()  # each names an entry's field
 
-    def complete(self) -> ReplicaUpdate:
+    def complete(self) -> ReplicaListUpdate:
         """The update; raises ListError if any of it could not be read."""
         if self.faults:
-            raise ListError(self.faults[0])
+            raise EndpointListError(self.faults[0])
         return self.update
 
 
-class AnswerReader:
+class ResponseReader:
     """Reads one answer from its bytes, cut anywhere."""
 
     def __init__(self) -> None:
@@ -71,47 +71,47 @@
         for piece in self._parser.feed(data):
             if isinstance(piece, ResponseHead):
                 self._head = piece
-            elif isinstance(piece, Data):
+            elif isinstance(piece, BodyChunk):
                 self._body += piece.data
                 if len(self._body) > LIST_LIMIT:
                     raise HttpError(502, f"a list of more than {LIST_LIMIT} bytes")
-            elif isinstance(piece, End) and self._head is not None:
+            elif isinstance(piece, MessageEnd) and self._head is not None:
                 self.reusable = self._head.keep_alive and self._parser.clean
                 if self._head.status != 200:
-                    raise ListError(f"status {self._head.status}")
+                    raise EndpointListError(f"status {self._head.status}")
                 return bytes(self._body)
         return None
 
 
-def decode_list(text: bytes) -> ListAnswer:
+def decode_endpoint_list(text: bytes) -> EndpointListResponse:
     """Read the body of an answer; raises ListError where nothing of it can be used."""
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
-        raise ListError(f"not JSON: {error}") from None
-    return read_list(raw)
+        raise EndpointListError(f"not JSON: {error}") from None
+    return read_endpoint_list(raw)
 
 
-def read_list(raw: Any) -> ListAnswer:
+def read_endpoint_list(raw: Any) -> EndpointListResponse:
     """Read a list that has been decoded from JSON already; an entry that cannot be read costs no other one.
 
     What an unreadable entry speaks of stays as it is. Where it does not even name a replica, nothing can be
     concluded from a replica's absence, so such a list counts as changes only.
     """
     if not isinstance(raw, dict):
-        raise ListError("want an object")
+        raise EndpointListError("want an object")
     version, whole, targets = raw.get("rev"), raw.get("all"), raw.get("targets")
     if isinstance(version, bool) or not isinstance(version, int) or version < 0:
-        raise ListError(f"rev is {version!r}")
+        raise EndpointListError(f"rev is {version!r}")
     if not isinstance(whole, bool) or not isinstance(targets, list):
-        raise ListError("all or targets is missing")
-    entries: list[Entry] = []
+        raise EndpointListError("all or targets is missing")
+    entries: list[ListedReplica] = []
     faults: list[str] = []
     unread: set[str] = set()
     for at, target in enumerate(targets):
         try:
             entries.append(_entry(target, at))
-        except ListError as error:
+        except EndpointListError as error:
             faults.append(str(error))
             uid = _uid(target)
             if uid is None:
@@ -120,7 +120,7 @@
                 state := STATES.get(str(target.get("state")), ReplicaState.READY)
             ) is not ReplicaState.READY:
                 entries.append(
-                    Entry(uid, state, endpoint=None)
+                    ListedReplica(uid, state, endpoint=None)
                 )  # whatever else it says: nothing new goes there
             else:
                 unread.add(uid)
@@ -128,17 +128,17 @@
         entries, twice = _without_contradictions(entries)
         faults += [f"targets: uid {uid!r} is listed twice; name each replica once" for uid in twice]
         unread.update(twice)
-    update = ReplicaUpdate(version, whole, tuple(entries), frozenset(unread))
-    return ListAnswer(update, tuple(faults))
+    update = ReplicaListUpdate(version, whole, tuple(entries), frozenset(unread))
+    return EndpointListResponse(update, tuple(faults))
 
 
-def out_of_use_only(update: ReplicaUpdate) -> ReplicaUpdate:
+def out_of_use_only(update: ReplicaListUpdate) -> ReplicaListUpdate:
     """The part of an update that can lead to no send: drains and removals that it names."""
     entries = tuple(entry for entry in update.entries if entry.state != ReplicaState.READY)
-    return replace(update, rev=UNKNOWN_VERSION, whole=False, entries=entries)
+    return replace(update, version=UNKNOWN_VERSION, complete=False, entries=entries)
 
 
-def _without_contradictions(entries: list[Entry]) -> tuple[list[Entry], list[str]]:
+def _without_contradictions(entries: list[ListedReplica]) -> tuple[list[ListedReplica], list[str]]:
     """A whole list's entries, and the uids named twice: of these only what takes them out of use is kept."""
     twice = [uid for uid, count in Counter(entry.uid for entry in entries).items() if count > 1]
     return [entry for entry in entries if entry.uid not in twice or entry.state != ReplicaState.READY], twice
@@ -147,22 +147,22 @@
 def _number(target: dict[str, Any], name: str, default: float, at: int) -> float:
     value = target.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
-        raise ListError(f"targets[{at}].{name} is {value!r}")
+        raise EndpointListError(f"targets[{at}].{name} is {value!r}")
     return value
 
 
 def _text(target: dict[str, Any], name: str, at: int) -> str:
     value = target.get(name)
     if not isinstance(value, str) or not value:
-        raise ListError(f"targets[{at}].{name} is {value!r}")
+        raise EndpointListError(f"targets[{at}].{name} is {value!r}")
     return value
 
 
-def decode_endpoint(text: str, lowest: int = 1) -> tuple[str, int]:
+def decode_address(text: str, lowest: int = 1) -> tuple[str, int]:
     """A host and a port, written with a colon between them."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit() and lowest <= int(port) < 65536):
-        raise ListError(f"{text!r} is not host:port")
+        raise EndpointListError(f"{text!r} is not host:port")
     return host.strip("[]"), int(port)
 
 
@@ -172,17 +172,17 @@
     return uid if isinstance(uid, str) and uid else None
 
 
-def _entry(target: Any, at: int) -> Entry:
+def _entry(target: Any, at: int) -> ListedReplica:
     if not isinstance(target, dict):
-        raise ListError(f"targets[{at}] is {target!r}")
+        raise EndpointListError(f"targets[{at}] is {target!r}")
     uid, named = _text(target, "uid", at), _text(target, "state", at)
     state = STATES.get(named)
     if state is None:
-        raise ListError(f"targets[{at}].state is {named!r}; it can be {', '.join(STATES)}")
+        raise EndpointListError(f"targets[{at}].state is {named!r}; it can be {', '.join(STATES)}")
     # An entry that is gone may have lost its address; every other must have one.
-    endpoint = None if state is ReplicaState.REMOVED else decode_endpoint(_text(target, "endpoint", at))
+    endpoint = None if state is ReplicaState.REMOVED else decode_address(_text(target, "endpoint", at))
     zone, kind = target.get("az", ""), target.get("model", "")
-    return Entry(
+    return ListedReplica(
         uid=uid,
         state=state,
         endpoint=endpoint,
@@ -190,5 +190,5 @@
         cell=int(_number(target, "pod_group", 0, at)),
         weight=float(_number(target, "capacity_hint", 1.0, at)),
         boot_ms=int(_number(target, "boot_ms", 0, at)),
-        kind=kind if isinstance(kind, str) else "",
+        machine_kind=kind if isinstance(kind, str) else "",
     )
--- a/lockspoke/wire/discovery/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -15,10 +15,16 @@
 
 from lockspoke.core.core import Core
 from lockspoke.core.replica_set import UNKNOWN_VERSION, ReplicaSet
-from lockspoke.wire.tcp.dialing import Dial, Endpoint, dial
+from lockspoke.wire.tcp.dialing import Address, Dial, dial
 
 from .connection import DiscoveryLink, RequestError, WatchLostError
-from .messages import ListAnswer, ListError, ListRequest, decode_list, out_of_use_only
+from .messages import (
+    EndpointListError,
+    EndpointListRequest,
+    EndpointListResponse,
+    decode_endpoint_list,
+    out_of_use_only,
+)
 
 HOLD_MS = 1500  # the shortest hold: how long a watch waits for a change
 GATEWAY_MS = 10  # by how much one gateway's hold is longer than the next's: a change makes all ask at once
@@ -28,7 +34,7 @@
 log = structlog.get_logger()
 
 
-def hold_of(index: int, gateways: int) -> int:
+def hold_duration_ms(index: int, gateways: int) -> int:
     """How long this gateway lets a watch wait, in milliseconds: each of many a little longer than another."""
     spread = min(SPREAD_MS, GATEWAY_MS * gateways)
     return HOLD_MS + spread * (index % gateways) // gateways
@@ -37,7 +43,7 @@
 class DiscoveryWatch:
     """The list as discovery has it: the service in use is followed, a former one to its last answer."""
 
-    def __init__(self, endpoint: Endpoint, hold_ms: int = HOLD_MS, dial: Dial = dial) -> None:
+    def __init__(self, endpoint: Address, hold_ms: int = HOLD_MS, dial: Dial = dial) -> None:
         self.endpoint = endpoint
         self.hold_ms = hold_ms
         self.core: Core | None = None
@@ -45,10 +51,10 @@
         self._current: Follower | None = None
         self._former: list[Follower] = []
         self._failing = False
-        self.settled = False  # whether the first request has ended, in whatever way
+        self.first_poll_finished = False  # whether the first request has ended, in whatever way
 
     @property
-    def changes_unread(self) -> bool:
+    def has_unread_changes(self) -> bool:
         """Whether discovery has written what is not in force yet."""
         return any(follower.unread for follower in self._followers())
 
@@ -63,7 +69,7 @@
             link = DiscoveryLink(self.endpoint, self._dial)
             self._current = Follower(link, self)
 
-    def move(self, endpoint: Endpoint) -> None:
+    def move(self, endpoint: Address) -> None:
         """Watch at another address from now on: at once, since the old one may close any moment.
 
         What the old service has written, or is about to, counts as told, so its last answer is still taken.
@@ -75,7 +81,7 @@
         self._current = None
         self.endpoint = endpoint
         # Versions are the word of the service that gave them: the first request asks for the whole list.
-        self.core.replica_set.rev = UNKNOWN_VERSION
+        self.core.replica_set.version = UNKNOWN_VERSION
         self.watch(True)
 
     def close(self) -> None:
@@ -98,20 +104,22 @@
                 former.close()
             self._former = []
 
-    def take(self, follower: Follower, answer: ListAnswer) -> None:
+    def take(self, follower: Follower, answer: EndpointListResponse) -> None:
         """An answer takes effect; raises ListError if it could not be read as a whole."""
-        self.settled = True
+        self.first_poll_finished = True
         core, update = self.core, answer.update
         assert core is not None
         if follower is not self._current or answer.faults:
             # Its version says nothing about this service's list, or more of this version has to be asked for.
-            update = replace(update, rev=core.replica_set.rev)
-        if update.entries or update.whole:
-            log.info("registry_changed", rev=update.rev, whole=update.whole, entries=len(update.entries))
+            update = replace(update, version=core.replica_set.version)
+        if update.entries or update.complete:
+            log.info(
+                "registry_changed", rev=update.version, whole=update.complete, entries=len(update.entries)
+            )
         if self._failing and not answer.faults:
-            log.info("discovery_back", rev=update.rev)
+            log.info("discovery_back", rev=update.version)
             self._failing = False
-        core.list_changed(update, answers=follower is self._current)
+        core.endpoint_list_changed(update, completes_poll=follower is self._current)
         answer.complete()
 
     def end(self, follower: Follower, reason: str | None) -> None:
@@ -120,10 +128,10 @@
             self._former = [one for one in self._former if one is not follower]
             return
         self._current = None
-        self.settled = True
+        self.first_poll_finished = True
         if reason is not None and self.core is not None:
             self.doubt(reason)
-            self.core.list_failed()
+            self.core.endpoint_list_failed()
 
     def doubt(self, reason: str) -> None:
         """Discovery does not answer as it should; told once until it does."""
@@ -165,12 +173,12 @@
         reason = None
         try:
             await self._follow()
-        except (RequestError, ListError) as error:
+        except (RequestError, EndpointListError) as error:
             reason = str(error)
         except Exception:
             # A fault of ours: the list may be half taken; nobody asks again after a watch that just ended.
             log.exception("watch_failed")
-            self._replicas.rev = UNKNOWN_VERSION
+            self._replicas.version = UNKNOWN_VERSION
             reason = "a fault of the gateway; see watch_failed"
         self._link.close()
         self._watch.end(self, reason)
@@ -179,7 +187,7 @@
         loop = asyncio.get_running_loop()
         may_wait = False  # only after an answer in order: one that does not wait shows trouble sooner
         while not self._retired:
-            request = ListRequest(self._replicas.rev, self._watch.hold_ms if may_wait else 0)
+            request = EndpointListRequest(self._replicas.version, self._watch.hold_ms if may_wait else 0)
             asked_at = loop.time()
             try:
                 body = await self._link.ask(request)
@@ -190,13 +198,13 @@
             self._taking = True
             try:
                 await self._watch.settle_former(self)
-                answer = decode_list(body)
+                answer = decode_endpoint_list(body)
                 may_wait = self._believed(request, answer)
                 if may_wait:
                     self._watch.take(self, answer)
             finally:
                 self._taking = False
-            if request.waits and answer.update.rev == request.version:
+            if request.waits and answer.update.version == request.version:
                 # Guards against a service that answers at once, again and again.
                 early = loop.time() - asked_at < request.hold_ms / 2000
                 await asyncio.sleep(NOTHING_NEW_PAUSE if early else 0)
@@ -206,21 +214,21 @@
         assert self._watch.core is not None
         return self._watch.core.replica_set
 
-    def _believed(self, request: ListRequest, answer: ListAnswer) -> bool:
+    def _believed(self, request: EndpointListRequest, answer: EndpointListResponse) -> bool:
         """Whether an answer can take effect as it is; if not, the whole list is asked for next, at once."""
         update = answer.update
-        if request.version != UNKNOWN_VERSION and update.rev < request.version:
+        if request.version != UNKNOWN_VERSION and update.version < request.version:
             # An answer from before the last one, or a service begun anew: what it puts into use may be long
             # past, and what has changed since can't be told from it.
-            log.info("discovery_went_back", asked=request.version, rev=update.rev)
+            log.info("discovery_went_back", asked=request.version, rev=update.version)
             self._watch.take(self, replace(answer, update=out_of_use_only(update)))
             return False
-        empty = update.whole and not update.entries and self._replicas.ready > 0
+        empty = update.complete and not update.entries and self._replicas.ready_count > 0
         if empty and not self._empty_before:
             # Guards against one bad moment of discovery: all replicas are gone only if it says so twice.
             self._empty_before = True
             self._watch.doubt("an empty list; asked for again before it is believed")
-            self._replicas.rev = UNKNOWN_VERSION
+            self._replicas.version = UNKNOWN_VERSION
             return False
         self._empty_before = False
         return True
--- a/lockspoke/wire/http/http1.py
+++ b/lockspoke/wire/http/http1.py
@@ -109,18 +109,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Data:
+class BodyChunk:
     """A piece of a body, framing taken off."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class End:
+class MessageEnd:
     """The message is whole."""
 
 
-Piece = RequestHead | ResponseHead | Data | End
+Piece = RequestHead | ResponseHead | BodyChunk | MessageEnd
 
 
 class _At(Enum):
@@ -184,7 +184,7 @@
             return self._counted(pieces)
         if self._at is _At.UNTIL_CLOSE:
             if self._buffer:
-                pieces.append(Data(self._cut(len(self._buffer))))
+                pieces.append(BodyChunk(self._cut(len(self._buffer))))
             return False
         if self._at is _At.CHUNK_END:
             if len(self._buffer) < 2:
@@ -248,7 +248,7 @@
             self._finish(pieces)
 
     def _finish(self, pieces: list[Piece]) -> None:
-        pieces.append(End())
+        pieces.append(MessageEnd())
         self._at = _At.HEAD
 
     def _counted(self, pieces: list[Piece]) -> bool:
@@ -256,7 +256,7 @@
             return False
         data = self._cut(min(self._left, len(self._buffer)))
         self._left -= len(data)
-        pieces.append(Data(data))
+        pieces.append(BodyChunk(data))
         if not self._left:
             if self._at is _At.SIZED:
                 self._finish(pieces)
@@ -353,7 +353,7 @@
         return super()._head(pieces)
 
     def _finish(self, pieces: list[Piece]) -> None:
-        pieces.append(End())
+        pieces.append(MessageEnd())
         self._at = _At.DONE
 
     def _begin(self, line: bytes, headers: Headers, pieces: list[Piece]) -> None:
@@ -390,7 +390,7 @@
 
 
 @dataclass(slots=True)
-class Gatherer:
+class RequestAssembler:
     """Puts the pieces of requests together, for a front that wants them whole."""
 
     parser: RequestParser = field(default_factory=RequestParser)
@@ -422,7 +422,7 @@
         for piece in pieces:
             if isinstance(piece, RequestHead):
                 self.head, self.parts, self.size, self.continued = piece, [], 0, False
-            elif isinstance(piece, Data):
+            elif isinstance(piece, BodyChunk):
                 self.parts.append(piece.data)
                 self.size += len(piece.data)
             elif self.head is not None:
@@ -449,7 +449,7 @@
     return f"HTTP/1.1 {status} {reason}\r\n{_fields(headers)}\r\n".encode("latin-1")
 
 
-def encode_answer(
+def encode_response(
     status: int, body: bytes, headers: Mapping[str, str], keep_alive: bool, method: str = "GET"
 ) -> bytes:
     """A whole answer with a sized body."""
--- a/lockspoke/wire/operators/front.py
+++ b/lockspoke/wire/operators/front.py
@@ -7,8 +7,8 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from lockspoke.wire.http.http1 import Gatherer, HttpError, Request, encode_answer
-from lockspoke.wire.tcp.listener import Listener, Outbox
+from lockspoke.wire.http.http1 import HttpError, Request, RequestAssembler, encode_response
+from lockspoke.wire.tcp.listener import Listener, OutgoingBuffer
 
 from .api import OperatorCall, decode_operator_call
 
@@ -28,7 +28,7 @@
         self.answer = answer
         self.listener = Listener(lambda stream: OperatorConnection(self, stream), MOST)
 
-    def sweep(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Close what stands for longer than any call takes."""
         crowded = len(self.listener.connections) > MOST // 2
         before = asyncio.get_running_loop().time() - (CROWDED if crowded else LONGEST)
@@ -43,10 +43,10 @@
     def __init__(self, front: OperatorFront, stream: IOStream) -> None:
         self.front = front
         self.stream = stream
-        self.outbox = Outbox(stream)
+        self.outbox = OutgoingBuffer(stream)
         self.opened_at = self.active_at = asyncio.get_running_loop().time()
-        self.asked = False
-        self.gatherer = Gatherer()
+        self.has_received = False
+        self.gatherer = RequestAssembler()
 
     @property
     def idle(self) -> bool:
@@ -58,7 +58,7 @@
         try:
             while True:
                 data = await self.stream.read_bytes(READ, partial=True)
-                self.asked = True
+                self.has_received = True
                 try:
                     whole = self.gatherer.feed(data)
                     if not whole:
@@ -66,7 +66,7 @@
                     status, text = 200, self._yes(whole[0])
                 except HttpError as error:
                     status, text = error.status, str(error)
-                await self.stream.write(encode_answer(status, f"{text}\n".encode(), PLAIN, False))
+                await self.stream.write(encode_response(status, f"{text}\n".encode(), PLAIN, False))
                 return
         except StreamClosedError:
             pass
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -12,16 +12,23 @@
 
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.core.replica_set import Replica
-from lockspoke.core.requests import Attempt, Clearance
-from lockspoke.wire.clients.request_fields import decode_load
-from lockspoke.wire.http.http1 import Data, End, HttpError, ResponseHead, ResponseParser, encode_request
+from lockspoke.core.requests import Attempt, SendPermission
+from lockspoke.units import MILLISECOND
+from lockspoke.wire.clients.request_fields import decode_load_report
+from lockspoke.wire.http.http1 import (
+    BodyChunk,
+    HttpError,
+    MessageEnd,
+    ResponseHead,
+    ResponseParser,
+    encode_request,
+)
 from lockspoke.wire.http.sse import EventStream, StreamError
 from lockspoke.wire.tcp.dialing import Dial, dial
 from lockspoke.wire.tcp.read_ahead import ReadAhead
 
 from .keepalive import SHORTEST, KeepAlive
 
-MS = 1_000_000
 OPENING = 1.0  # seconds from an answer's first byte to its first event: both come with the first token
 SETTLE = 0.01  # seconds in which what a replica sends behind an answer shows, before the connection is reused
 IDLE_SHARE = 0.8  # of the time after which a replica closes an idle connection: ours closes before
@@ -33,12 +40,12 @@
     """The connection never came up: the request has surely not run."""
 
 
-class NoRoomError(Exception):
+class ConnectionLimitError(Exception):
     """Every descriptor set aside for replicas is in use by an attempt."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ReplicaResponse:
     """How a replica answered one attempt."""
 
     outcome: Outcome
@@ -47,7 +54,7 @@
     reusable: bool = False  # whether the connection can take another request
 
 
-class Connection(ReadAhead):
+class ReplicaConnection(ReadAhead):
     """A connection to one replica."""
 
     def __init__(self, replica: Replica, stream: IOStream) -> None:
@@ -65,7 +72,7 @@
         return data
 
 
-class ReplicaConnections:
+class ReplicaTransport:
     """Carries out attempts over TCP."""
 
     def __init__(
@@ -80,19 +87,19 @@
         self.dial = dial
         self.reconfigure(load_names, connect_timeout, keepalive, most)
         self.now = now
-        self.open = 0
-        self.spoilt = 0  # answers that could not be read
+        self.open_connections = 0
+        self.malformed_responses = 0  # answers that could not be read
         self.limits: dict[int, float] = {}  # by replica, seconds, where it closes sooner than settings say
-        self.idle: dict[int, deque[Connection]] = {}  # by replica, the one used last at the right
+        self.idle: dict[int, deque[ReplicaConnection]] = {}  # by replica, the one used last at the right
         self.tasks: dict[Attempt, asyncio.Task[None]] = {}
-        self.exchanges: dict[Attempt, Connection] = {}  # the connections on which answers are awaited
+        self.exchanges: dict[Attempt, ReplicaConnection] = {}  # the connections on which answers are awaited
 
     def reconfigure(self, load_names: Sequence[str], connect_timeout: int, keepalive: int, most: int) -> None:
         """New figures from now on; connections past a lower bound go as they fall idle."""
         self.load_names = load_names
         self.connect_timeout = connect_timeout / 1e9
         self.keep_alive = KeepAlive(IDLE_SHARE * keepalive / 1e9)
-        self.most = most
+        self.max_connections = most
 
     # What the core asks for
 
@@ -102,25 +109,25 @@
         self.tasks[attempt] = task
         task.add_done_callback(lambda _: self.tasks.pop(attempt, None))
 
-    def stop(self, attempt: Attempt) -> None:
+    def cancel(self, attempt: Attempt) -> None:
         """Give an attempt up: its connection closes."""
         task = self.tasks.pop(attempt, None)
         if task is not None:
             task.cancel()
 
-    def unread(self, attempt: Attempt) -> bool:
+    def has_unread_response(self, attempt: Attempt) -> bool:
         """Whether bytes of an answer, or its end, have come that its task has not taken yet."""
         connection = self.exchanges.get(attempt)
         return connection is not None and connection.unread
 
-    def forget(self, replica: Replica) -> None:
+    def close_idle_connections(self, replica: Replica) -> None:
         """Close the idle connections to a replica."""
         for connection in self.idle.pop(replica.number, ()):
             self._close(connection)
         if replica.state == ReplicaState.REMOVED:
             self.limits.pop(replica.number, None)
 
-    def sweep(self) -> None:
+    def run_periodic_checks(self) -> None:
         """Close what has stood idle for long: the replica would, and a request written then is lost."""
         now = asyncio.get_running_loop().time()
         kept = self.keep_alive.limit(now)
@@ -137,45 +144,47 @@
         connection = None
         try:
             connection = await self._acquire(attempt.replica)
-            attempt.reused = connection.stood > 0.0
-            while (clearance := attempt.clear()) is Clearance.ASK_AGAIN:
+            attempt.connection_reused = connection.stood > 0.0
+            while (clearance := attempt.permission_to_send()) is SendPermission.CHECK_AGAIN:
                 await asyncio.sleep(0)
-            if clearance is Clearance.OVER:
+            if clearance is SendPermission.ENDED:
                 self._release(connection)
                 connection = None
                 return
             self.exchanges[attempt] = connection
             answer = await self._exchange(connection, attempt)
-            if answer.outcome is Outcome.OVERLOADED and not attempt.reused:
+            if answer.outcome is Outcome.OVERLOADED and not attempt.connection_reused:
                 self.keep_alive.turned_away(asyncio.get_running_loop().time())
             if answer.reusable:
                 self._release(connection)
                 connection = None
             elif answer.outcome is Outcome.RESET and not connection.answering:
                 self._was_stale(connection)
-            attempt.ended(answer.outcome, answer.cached_tokens, decode_load(answer.load, self.load_names))
+            attempt.end(
+                answer.outcome, answer.cached_tokens, decode_load_report(answer.load, self.load_names)
+            )
         except ConnectError:
             if connection is not None:
                 self._was_stale(connection)
             else:
                 self.keep_alive.turned_away(asyncio.get_running_loop().time())
-            attempt.ended(Outcome.CONNECT_FAILED)
-        except NoRoomError:
-            attempt.ended(Outcome.NEVER_SENT)
+            attempt.end(Outcome.CONNECT_FAILED)
+        except ConnectionLimitError:
+            attempt.end(Outcome.NEVER_SENT)
         except Exception:
             log.exception("attempt_failed", worker=attempt.replica.uid)
-            attempt.ended(Outcome.RESET)
+            attempt.end(Outcome.RESET)
         finally:
             self.exchanges.pop(attempt, None)
             if connection is not None:
                 self._close(connection)
 
-    async def _exchange(self, connection: Connection, attempt: Attempt) -> Answer:
+    async def _exchange(self, connection: ReplicaConnection, attempt: Attempt) -> ReplicaResponse:
         """Send the request and read the answer, passing its events on as they come."""
         request = attempt.request
         headers = dict(request.headers)
-        headers["Req-Id"] = request.req_id
-        headers["Req-Deadline-Ms"] = str(max(1, (attempt.deadline - self.now()) // MS))
+        headers["Req-Id"] = request.request_id
+        headers["Req-Deadline-Ms"] = str(max(1, (attempt.deadline - self.now()) // MILLISECOND))
         try:
             await connection.stream.write(
                 encode_request(request.method, request.target, headers, request.body)
@@ -198,33 +207,35 @@
                     for piece in parser.feed(received):
                         if isinstance(piece, ResponseHead):
                             head, outcome = piece, _outcome(piece)
-                        elif isinstance(piece, Data):
+                        elif isinstance(piece, BodyChunk):
                             data += piece.data
                         else:
-                            whole = isinstance(piece, End)
+                            whole = isinstance(piece, MessageEnd)
                     if outcome is Outcome.OK:
                         # What came together goes on together: one write where there would be one an event.
                         data = events.feed(data) + (events.rest() if whole else b"")
                         if data:
                             opening.reschedule(None)
-                            waits = attempt.streamed(data)
+                            waits = attempt.stream_received(data)
                             if waits is not None:
                                 await asyncio.wait([waits])
                     if whole and head is not None:
                         load = events.load or head.headers.get("srv-load")
-                        return Answer(outcome, events.cached_tokens, load, head.keep_alive and parser.clean)
+                        return ReplicaResponse(
+                            outcome, events.cached_tokens, load, head.keep_alive and parser.clean
+                        )
         except (StreamClosedError, HttpError, StreamError, TimeoutError) as error:
             load = events.load or (head.headers.get("srv-load") if head else "")
             if outcome in (Outcome.OK, Outcome.RESET) and not isinstance(error, StreamClosedError):
                 # The replica has run it and answered, if badly; its connections are not to blame.
                 outcome = Outcome.ERROR
-                self.spoilt += 1
-            return Answer(Outcome.RESET if outcome is Outcome.OK else outcome, load=load)
+                self.malformed_responses += 1
+            return ReplicaResponse(Outcome.RESET if outcome is Outcome.OK else outcome, load=load)
 
     # The connections
 
-    async def _acquire(self, replica: Replica) -> Connection:
-        self.sweep()
+    async def _acquire(self, replica: Replica) -> ReplicaConnection:
+        self.run_periodic_checks()
         connections = self.idle.get(replica.number, deque())
         settled = asyncio.get_running_loop().time() - SETTLE
         for connection in [one for one in reversed(connections) if one.idle_since <= settled]:
@@ -234,21 +245,21 @@
                 connection.answering = False
                 return connection
             self._close(connection)
-        if self.open >= self.most:
+        if self.open_connections >= self.max_connections:
             self._make_room()
         if replica.endpoint is None:
             raise ConnectError
-        self.open += 1
+        self.open_connections += 1
         try:
             async with asyncio.timeout(self.connect_timeout):
-                return Connection(replica, await self.dial(replica.endpoint))
+                return ReplicaConnection(replica, await self.dial(replica.endpoint))
         except BaseException as error:
-            self.open -= 1
+            self.open_connections -= 1
             if isinstance(error, OSError | StreamClosedError | TimeoutError):
                 raise ConnectError from None
             raise
 
-    def _was_stale(self, connection: Connection) -> None:
+    def _was_stale(self, connection: ReplicaConnection) -> None:
         """A kept connection broke under its next request: this replica closes them sooner than it should.
 
         Its others are as old or older, and later ones are kept for half as long as this one stood.
@@ -256,7 +267,7 @@
         replica = connection.replica
         if connection.stood <= 0.0 or replica.state == ReplicaState.REMOVED:
             return
-        self.forget(replica)
+        self.close_idle_connections(replica)
         limit = self.limits.get(replica.number, self.keep_alive.longest)
         self.limits[replica.number] = max(SHORTEST, min(limit, connection.stood / 2))
 
@@ -264,10 +275,10 @@
         """Close the connection idle for longest, whichever replica's; the descriptors are bounded."""
         queues = [queue for queue in self.idle.values() if queue]
         if not queues:
-            raise NoRoomError
+            raise ConnectionLimitError
         self._close(min(queues, key=lambda queue: queue[0].idle_since).popleft())
 
-    def _release(self, connection: Connection) -> None:
+    def _release(self, connection: ReplicaConnection) -> None:
         replica = connection.replica
         moved = replica.state != ReplicaState.READY or replica.endpoint != connection.endpoint
         if moved or connection.pending.done() or connection.stream.closed():
@@ -276,8 +287,8 @@
         connection.idle_since = asyncio.get_running_loop().time()
         self.idle.setdefault(replica.number, deque()).append(connection)
 
-    def _close(self, connection: Connection) -> None:
-        self.open -= 1
+    def _close(self, connection: ReplicaConnection) -> None:
+        self.open_connections -= 1
         connection.stream.close()
 
     def close(self) -> None:
--- a/lockspoke/wire/tcp/closing.py
+++ b/lockspoke/wire/tcp/closing.py
@@ -7,7 +7,7 @@
 from tornado.iostream import IOStream
 
 
-def quiet(stream: IOStream) -> bool:
+def is_quiet(stream: IOStream) -> bool:
     """Whether a connection is open and nothing has come on it that the loop has yet to read.
 
     Guards against what the kernel holds already and the loop has not been told of: a request on a
--- a/lockspoke/wire/tcp/dialing.py
+++ b/lockspoke/wire/tcp/dialing.py
@@ -9,11 +9,11 @@
 
 READ_SIZE = 16 * 1024  # bytes
 
-Endpoint = tuple[str, int]
-Dial = Callable[[Endpoint], Awaitable[IOStream]]  # raises OSError or StreamClosedError
+Address = tuple[str, int]
+Dial = Callable[[Address], Awaitable[IOStream]]  # raises OSError or StreamClosedError
 
 
-async def dial(endpoint: Endpoint) -> IOStream:
+async def dial(endpoint: Address) -> IOStream:
     """Open a connection that sends small writes at once; raises OSError or StreamClosedError."""
     family = socket.AF_INET6 if ":" in endpoint[0] else socket.AF_INET
     stream = IOStream(socket.socket(family, socket.SOCK_STREAM), read_chunk_size=READ_SIZE)
--- a/lockspoke/wire/tcp/listener.py
+++ b/lockspoke/wire/tcp/listener.py
@@ -12,7 +12,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 from tornado.netutil import add_accept_handler, bind_sockets
 
-from .closing import quiet
+from .closing import is_quiet
 
 BACKLOG = 1024
 READ = 16 * 1024
@@ -28,7 +28,7 @@
     stream: IOStream
     opened_at: float
     active_at: float
-    asked: bool
+    has_received: bool
 
     @property
     def idle(self) -> bool:
@@ -38,9 +38,9 @@
         """Serve until it ends."""
 
 
-def close_resting(connection: Connection) -> bool:
+def close_if_quiet(connection: Connection) -> bool:
     """Close a connection between two requests, unless the next has come: it is owed an answer."""
-    resting = quiet(connection.stream)
+    resting = is_quiet(connection.stream)
     if resting:
         connection.stream.close()
     return resting
@@ -51,7 +51,7 @@
 
     def __init__(self, make: Callable[[IOStream], Connection], most: int) -> None:
         self.make = make
-        self.most = most
+        self.max_connections = most
         self.connections: set[Connection] = set()
         self.last_accept = 0.0
         self._told_at = -TELL
@@ -70,7 +70,7 @@
         return host, port
 
     def _resume(self) -> None:
-        if self._socket is not None and self._remove is None and self._open() <= self.most:
+        if self._socket is not None and self._remove is None and self._open() <= self.max_connections:
             self._remove = add_accept_handler(self._socket, self._accepted)
 
     def _open(self) -> int:
@@ -82,11 +82,13 @@
         before = asyncio.get_running_loop().time() - FRESH
         idle = [one for one in self.connections if one.idle and one.active_at < before]
         # Those that have never sent a byte go first: hundreds of them must not crowd out the others.
-        return any(close_resting(one) for one in sorted(idle, key=lambda one: (one.asked, one.active_at)))
+        return any(
+            close_if_quiet(one) for one in sorted(idle, key=lambda one: (one.has_received, one.active_at))
+        )
 
     def reclaim(self) -> None:
         """At the bound, look again for a connection that has become idle."""
-        if self._socket is not None and self._remove is None and self._open() > self.most:
+        if self._socket is not None and self._remove is None and self._open() > self.max_connections:
             self._make_room()
 
     def _accepted(self, accepted: socket.socket, _: object) -> None:
@@ -103,7 +105,7 @@
         task = asyncio.ensure_future(connection.run())
         self._tasks.add(task)
         task.add_done_callback(lambda done: self._ended(connection, done))
-        if self._open() > self.most and not self._make_room() and self._remove is not None:
+        if self._open() > self.max_connections and not self._make_room() and self._remove is not None:
             # One past the bound and none idle: what comes next waits in the machine's queue.
             if self.last_accept - self._told_at > TELL:
                 self._told_at = self.last_accept
@@ -125,7 +127,7 @@
         before = asyncio.get_running_loop().time() - older_than
         for connection in list(self.connections):
             if connection.idle and connection.active_at <= before:
-                close_resting(connection)
+                close_if_quiet(connection)
 
     def close_all(self) -> None:
         """Close every connection."""
@@ -140,7 +142,7 @@
             self._remove()
             self._remove = None
         # A request may already be written to a connection that waits in the backlog: it is ours.
-        while self._open() <= self.most:
+        while self._open() <= self.max_connections:
             try:
                 accepted, address = self._socket.accept()
             except OSError:
@@ -150,7 +152,7 @@
         self._socket = None
 
 
-class Outbox:
+class OutgoingBuffer:
     """Writes to one client, and tells when it is too slow to take more."""
 
     HIGH = 32 * 1024  # unsent bytes from which on the source is asked to wait
--- a/lockspoke/wire/tcp/read_ahead.py
+++ b/lockspoke/wire/tcp/read_ahead.py
@@ -6,7 +6,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from .closing import quiet
+from .closing import is_quiet
 from .dialing import READ_SIZE
 
 
@@ -33,7 +33,7 @@
     @property
     def unread(self) -> bool:
         """Whether bytes, or the end, have come that `read` has not given out yet."""
-        return self.pending.done() or not quiet(self.stream)
+        return self.pending.done() or not is_quiet(self.stream)
 
     async def read(self) -> bytes:
         """The next bytes; raises StreamClosedError at the end."""
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -20,7 +20,7 @@
     RequestArrived,
     TimerFired,
 )
-from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass, Settings
+from lockspoke.balancing.settings import BalancerSettings, DeduplicationScope, Idempotency, RequestClass
 
 MS = 1_000_000
 SECOND = 1_000 * MS
@@ -28,7 +28,7 @@
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
 
 
-def settings(**changes: Any) -> Settings:
+def settings(**changes: Any) -> BalancerSettings:
     base: dict[str, Any] = {
         "classes": (RequestClass(latency_objective=SECOND),),
         "max_attempts": 3,
@@ -38,7 +38,7 @@
         "overload_multiple": 3.0,
         "overload_duration": 2 * SECOND,
     }
-    return Settings(**(base | changes))
+    return BalancerSettings(**(base | changes))
 
 
 def ready(*numbers: int, **changes: Any) -> tuple[EndpointListEntry, ...]:
@@ -62,7 +62,7 @@
     """Feeds one balancer and asserts the four rules on every action it takes."""
 
     def __init__(
-        self, given: Settings | None = None, replicas: Iterable[int] = (1, 2, 3), seed: int = 7
+        self, given: BalancerSettings | None = None, replicas: Iterable[int] = (1, 2, 3), seed: int = 7
     ) -> None:
         self.settings = given or settings()
         self.balancer = Balancer(self.settings, seed)
--- a/tests/balancing/test_breaker.py
+++ b/tests/balancing/test_breaker.py
@@ -16,12 +16,12 @@
     BreakerState,
 )
 from lockspoke.balancing.events import EndpointListKind, Outcome
-from lockspoke.balancing.records import Attempt, Replica
+from lockspoke.balancing.records import TrackedAttempt, TrackedReplica
 from tests.balancing.helpers import MS, SECOND, World, ready, settings
 
 
-def attempt_on(breaker: Breaker) -> Attempt:
-    return Attempt(Replica(1, breaker), 0, 1.0)
+def attempt_on(breaker: Breaker) -> TrackedAttempt:
+    return TrackedAttempt(TrackedReplica(1, breaker), 0, 1.0)
 
 
 def opened(now: int = 0) -> Breaker:
--- a/tests/balancing/test_limits.py
+++ b/tests/balancing/test_limits.py
@@ -15,6 +15,7 @@
     "dataclasses",
     "enum",
     "heapq",
+    "lockspoke.units",
     "itertools",
     "math",
     "random",
--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -17,8 +17,8 @@
 from lockspoke.batch.journal import Journal, StoreError
 from lockspoke.batch.lines import BatchLines
 from lockspoke.batch.runner import ENDING, LIVE_PAUSE, BatchRunner
-from lockspoke.batch.store import Batch, BatchStore, End
-from lockspoke.core.core import SECOND
+from lockspoke.batch.store import Batch, BatchStore, LineStatus
+from lockspoke.units import SECOND
 from tests.batch.test_api import LINE
 from tests.core.test_core import World
 from tests.standins import EVENTS, TAIL, until
@@ -215,7 +215,7 @@
         batch = await bench.batch(*lines(1))
         await until(lambda: len(bench.out()) == 1)
         call = bench.out()[0].request
-        bench.world.core.transport.stop(bench.out()[0])
+        bench.world.core.transport.cancel(bench.out()[0])
         bench.out()[0].outcome = Outcome.OVERLOADED
         call.answered = True
         call.sink.refuse(5 * SECOND)
@@ -257,7 +257,7 @@
         await until(lambda: len(bench.out()) == 1)
         await bench.store.set_status(batch, "cancelling")
         bench.runner.poke()
-        await until(lambda: batch.counts.get(End.CANCELLED) == 2)
+        await until(lambda: batch.counts.get(LineStatus.CANCELLED) == 2)
         bench.serve(bench.out()[0])
         await until(lambda: batch.final)
         assert batch.status == "cancelled"
@@ -274,9 +274,9 @@
         batch = await bench.batch(LINE, *lines(2, deadline_ms=5000), LINE | {"custom_id": "z"})
         await until(lambda: len(bench.out()) == 1)
         bench.clock += 6
-        await until(lambda: batch.counts.get(End.EXPIRED) == 2)
+        await until(lambda: batch.counts.get(LineStatus.EXPIRED) == 2)
         bench.clock += 60
-        await until(lambda: batch.counts.get(End.EXPIRED) == 3)
+        await until(lambda: batch.counts.get(LineStatus.EXPIRED) == 3)
         bench.serve(bench.out()[0])
         await until(lambda: batch.final)
         assert batch.status == "expired" and len(bench.world.started) == 1
@@ -289,7 +289,7 @@
     bench = Bench(tmp_path)
 
     async def test() -> None:
-        bench.world.core.live_refused_at = bench.world.now()
+        bench.world.core.interactive_rejected_at = bench.world.now()
         batch = await bench.batch(*lines(1))
         await until(lambda: batch.status == "in_progress")
         await asyncio.sleep(0.15)
@@ -312,7 +312,7 @@
         for n in range(1, 3):
             await until(lambda: len(first.out()) == 3)
             first.serve(first.out()[0])
-            await until(lambda n=n: batch.counts.get(End.SERVED) == n)  # type: ignore[misc]
+            await until(lambda n=n: batch.counts.get(LineStatus.SERVED) == n)  # type: ignore[misc]
 
     async def crash() -> None:
         first.runner.start()
@@ -326,7 +326,7 @@
 
     async def test() -> None:
         batch = second.store.batches[batch_id]
-        assert batch.counts == {End.SERVED: 2}
+        assert batch.counts == {LineStatus.SERVED: 2}
         while not batch.final:
             await until(lambda: bool(second.out()) or batch.final)
             for attempt in second.out():
@@ -346,9 +346,9 @@
     async def test() -> None:
         batch = await bench.batch(*lines(1))
         await until(lambda: batch.status == "in_progress")
-        await bench.store.end_line(batch, 0, End.FAILED, {})
+        await bench.store.end_line(batch, 0, LineStatus.FAILED, {})
         with pytest.raises(StoreError):
-            await bench.store.end_line(batch, 0, End.SERVED, {})
+            await bench.store.end_line(batch, 0, LineStatus.SERVED, {})
         assert isinstance(batch.places, array)
 
     asyncio.run(_started(bench, test))
@@ -389,7 +389,7 @@
         await bench.store.set_status(batch, "cancelling")
         bench.runner.poke()
         most = 0
-        while batch.counts.get(End.CANCELLED, 0) < 99:
+        while batch.counts.get(LineStatus.CANCELLED, 0) < 99:
             most = max(most, bench.runner.ending)
             await asyncio.sleep(0)
         assert 0 < most <= ENDING
--- a/tests/clocked.py
+++ b/tests/clocked.py
@@ -15,7 +15,7 @@
 
 from tornado.iostream import IOStream
 
-from lockspoke.wire.tcp.dialing import Endpoint
+from lockspoke.wire.tcp.dialing import Address
 
 Taken = Callable[[socket.socket], None]
 
@@ -51,7 +51,7 @@
         self._now += max(seconds, 1e-6)
 
 
-class ClockedTimers:
+class ControlledClock:
     """The clock of a core that runs on such a loop."""
 
     def __init__(self, loop: ClockedLoop) -> None:
@@ -60,10 +60,10 @@
     def now(self) -> int:
         return int(self.loop.time() * 1e9)
 
-    def arrived(self) -> int:
+    def earliest_arrival(self) -> int:
         return self.now()
 
-    def later(self, delay: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
+    def call_later(self, delay: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
         return self.loop.call_later(max(0, delay) / 1e9, callback)
 
 
@@ -89,11 +89,11 @@
     """Addresses, what is reached there, and every write of the gateway."""
 
     def __init__(self) -> None:
-        self.services: dict[Endpoint, Taken] = {}
-        self.reach: dict[Endpoint, Reach] = {}
-        self.on_write: Callable[[Endpoint, bytes], None] = lambda endpoint, data: None
+        self.services: dict[Address, Taken] = {}
+        self.reach: dict[Address, Reach] = {}
+        self.on_write: Callable[[Address, bytes], None] = lambda endpoint, data: None
 
-    async def dial(self, endpoint: Endpoint) -> IOStream:
+    async def dial(self, endpoint: Address) -> IOStream:
         """As `lockspoke.wire.dialing.dial` does."""
         reach = self.reach.get(endpoint, Reach.UP)
         if reach is Reach.NEVER_COMES_UP:
