--- a/tests/golden/batch_scenario.py
+++ b/tests/golden/batch_scenario.py
@@ -12,11 +12,11 @@
 from typing import Any
 from unittest import mock
 
-from lockspoke.memory.batch_runner import Answer
-from lockspoke.memory.batch_store import Batch, BatchStore, End
-from lockspoke.wire.batch_api import upload_object
-from lockspoke.wire.batch_lines import BatchLines
-from lockspoke.wire.batch_listener import BatchFront
+from lockspoke.batch.api import upload_object
+from lockspoke.batch.lines import BatchLines
+from lockspoke.batch.listener import BatchFront
+from lockspoke.batch.runner import Answer
+from lockspoke.batch.store import Batch, BatchStore, LineStatus
 
 from .support import counted_identifiers
 
@@ -118,12 +118,14 @@
     async def make_part(self, upload: str, data: bytes, key: str = "") -> str:
         return made(await self.post_form(f"/v1/uploads/{upload}/parts", "data", "part", data, {}, key))
 
-    async def end_line(self, batch: Batch, line: int, end: End) -> None:
+    async def end_line(self, batch: Batch, line: int, end: LineStatus) -> None:
         """Store the end of a line as the runner does."""
         self.clock.now += 1
         places, _ = self.lines.index(batch)
         body = {"object": "chat.completion", "choices": [{"text": f"grüße {line}"}], "usage": {"n": 1.5}}
-        answer = Answer("served" if end is End.SERVED else "failed", body=body if end is End.SERVED else {})
+        answer = Answer(
+            "served" if end is LineStatus.SERVED else "failed", body=body if end is LineStatus.SERVED else {}
+        )
         out = self.lines.out(self.lines.custom_id(batch, places[line]), end, answer)
         await self.store.end_line(batch, line, end, out)
 
@@ -132,14 +134,14 @@
         store = self.store
         lists = {name: (await self.request("GET", f"/v1/{name}"))[1] for name in ("files", "batches")}
         open_lines = {
-            batch.id: [line for line, end in enumerate(batch.ends) if end == End.OPEN]
+            batch.id: [line for line, end in enumerate(batch.ends) if end == LineStatus.OPEN]
             for batch in store.batches.values()
         }
         stored = {
             batch.id: [
                 store.journal.read(place)["out"]["custom_id"]
                 for place, end in zip(batch.places, batch.ends, strict=True)
-                if end != End.OPEN
+                if end != LineStatus.OPEN
             ]
             for batch in store.batches.values()
         }
@@ -211,22 +213,22 @@
 
         running = await session.make_batch(first, {"note": "läuft"}, key="batch-key")
         await store.set_status(running, "in_progress", total=5)
-        await session.end_line(running, 3, End.SERVED)
-        await session.end_line(running, 0, End.FAILED)
+        await session.end_line(running, 3, LineStatus.SERVED)
+        await session.end_line(running, 0, LineStatus.FAILED)
 
         finished = await session.make_batch(second, {})
         await store.set_status(finished, "in_progress", total=3)
-        for line, end in ((2, End.SERVED), (0, End.SERVED), (1, End.FAILED)):
+        for line, end in ((2, LineStatus.SERVED), (0, LineStatus.SERVED), (1, LineStatus.FAILED)):
             await session.end_line(finished, line, end)
         await store.set_status(finished, "finalizing")
         await store.finish(finished, "completed", session.lines.encode)
 
         cancelled = await session.make_batch(second, {"note": "cancelled"})
         await store.set_status(cancelled, "in_progress", total=3)
-        await session.end_line(cancelled, 1, End.SERVED)
+        await session.end_line(cancelled, 1, LineStatus.SERVED)
         assert (await session.request("POST", f"/v1/batches/{cancelled.id}/cancel"))[0] == 200
         for line in (0, 2):
-            await session.end_line(cancelled, line, End.CANCELLED)
+            await session.end_line(cancelled, line, LineStatus.CANCELLED)
         await store.finish(cancelled, "cancelled", session.lines.encode)
 
         failed = await session.make_batch(second, {})
@@ -236,12 +238,12 @@
         expired = await session.make_batch(second, {})
         await store.set_status(expired, "in_progress", total=3)
         for line in range(3):
-            await session.end_line(expired, line, End.EXPIRED)
+            await session.end_line(expired, line, LineStatus.EXPIRED)
         await store.finish(expired, "expired", session.lines.encode)
         # Left in the midst of cancelling, as a crash would leave it.
         cancelling = await session.make_batch(first, {})
         await store.set_status(cancelling, "in_progress", total=5)
-        await session.end_line(cancelling, 4, End.SERVED)
+        await session.end_line(cancelling, 4, LineStatus.SERVED)
         assert (await session.request("POST", f"/v1/batches/{cancelling.id}/cancel"))[0] == 200
 
 
@@ -293,12 +295,12 @@
             f"/v1/uploads/{pending}/complete", {"part_ids": upload_parts[::-1]}
         )
         assert completed[0] == 200, completed
-        for line, end in ((1, End.SERVED), (4, End.FAILED), (2, End.SERVED)):
+        for line, end in ((1, LineStatus.SERVED), (4, LineStatus.FAILED), (2, LineStatus.SERVED)):
             await session.end_line(running, line, end)
         await store.set_status(running, "finalizing")
         await store.finish(running, "completed", session.lines.encode)
         for line in range(4):
-            await session.end_line(cancelling, line, End.CANCELLED)
+            await session.end_line(cancelling, line, LineStatus.CANCELLED)
         await store.finish(cancelling, "cancelled", session.lines.encode)
         assert (await session.request("DELETE", f"/v1/files/{second}"))[0] == 200
         late = await session.make_upload(9, key="late")
--- a/tests/golden/decision_codec.py
+++ b/tests/golden/decision_codec.py
@@ -58,7 +58,7 @@
     return events.EndpointListEntry(replica, list(events.ReplicaState)[state], *values)
 
 
-def decode_settings(classes: list[Row], *values: Any) -> balancer_settings.Settings:
+def decode_settings(classes: list[Row], *values: Any) -> balancer_settings.BalancerSettings:
     """Build settings; the first value holds the request classes, the eighth the tenants' shares."""
     request_classes = tuple(
         balancer_settings.RequestClass(
@@ -69,7 +69,7 @@
         for effect, scope, *rest in classes
     )
     before, shares, after = values[:6], values[6], values[7:]
-    return balancer_settings.Settings(
+    return balancer_settings.BalancerSettings(
         request_classes, *before, tuple(balancer_settings.Tenant(share) for share in shares), *after
     )
 
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -20,13 +20,13 @@
 from lockspoke.address.listening import Announcer
 from lockspoke.address.member import Member
 from lockspoke.address.record import Record, RecordError
-from lockspoke.address.settings import Settings as AddressSettings
+from lockspoke.address.settings import AddressSettings
 from lockspoke.address.terms import Hold, Lose
 from lockspoke.cli.main import cli
 from lockspoke.inventory import store as inventory_store
-from lockspoke.inventory.settings import Settings as InventorySettings
+from lockspoke.inventory.settings import InventorySettings
 from lockspoke.inventory.source import InventorySource
-from lockspoke.lifecycle.bans import read_bans, write_bans
+from lockspoke.lifecycle.bans_file import read_bans, write_bans
 
 from .support import Tree, read_tree, write_tree
 
@@ -193,7 +193,7 @@
     )
     with capture_logs() as logs:
         source = InventorySource(settings, (), lambda: NOW_MS)
-        source.first()
+        source.initial_list()
         source.close()
     status = source.status()
     log = [{key: 0 if key == "took_ms" else value for key, value in line.items()} for line in logs]
--- a/tests/golden/message_cases.py
+++ b/tests/golden/message_cases.py
@@ -13,9 +13,9 @@
 
 from click.testing import CliRunner
 
-from hillridge.wire import SettingsError, decode_settings
 from lockspoke.cli.main import cli
 from lockspoke.lifecycle.config import ConfigError, read_config
+from lockspoke.simulator.protocol import SettingsError, decode_settings
 
 from .support import write_tree
 
--- a/tests/golden/test_stored_batches.py
+++ b/tests/golden/test_stored_batches.py
@@ -8,10 +8,10 @@
 import pytest
 from structlog.testing import capture_logs
 
-from lockspoke.lifecycle.batch import Settings, make
-from lockspoke.lifecycle.config import Config, ConfigError, read_config
-from lockspoke.lifecycle.parts import Surroundings
-from lockspoke.memory.batch_store import BatchStore
+from lockspoke.batch.store import BatchStore
+from lockspoke.batch.subsystem import BatchSettings, create
+from lockspoke.lifecycle.config import ConfigError, GatewayConfig, read_config
+from lockspoke.lifecycle.subsystems import SubsystemContext
 
 from . import batch_scenario
 from .message_cases import GATEWAY
@@ -59,13 +59,13 @@
 
 def _refusal() -> str:
     """What the program says at a start with the store of the working folder."""
-    settings = Settings(listen="127.0.0.1:0", store="store")
-    part = make(settings, Surroundings(_gateway(), {}, Path()))
+    settings = BatchSettings(listen="127.0.0.1:0", store="store")
+    part = create(settings, SubsystemContext(_gateway(), {}, Path()))
     with pytest.raises(ConfigError) as refused:
         part.attach(None, None)  # type: ignore[arg-type]  # the store is opened before either is used
     return str(refused.value)
 
 
-def _gateway() -> Config:
+def _gateway() -> GatewayConfig:
     Path("gateway.json").write_text(json.dumps(GATEWAY))
     return read_config({"NODE_CONFIG": "gateway.json"})
--- a/tests/inventory/test_reconcile.py
+++ b/tests/inventory/test_reconcile.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import Entry
+from lockspoke.core.replica_set import ListedReplica
 from lockspoke.inventory.model import Snapshot, WorkerRecord
 from lockspoke.inventory.reading import FileText
 from lockspoke.inventory.reconcile import Act, Caution, Reconciler, Step
@@ -44,7 +44,7 @@
     made = started()
     bad = ["w1,300.1.1.1,gen-a,up", "w2,10.0.0.2,gen-z,up", "w3", *rows(10, 1, 2, 3, 7)]
     step = made.step(snapshot(*bad), 10)
-    assert step.entries == (Entry("w7", ReplicaState.REMOVED, None),)
+    assert step.entries == (ListedReplica("w7", ReplicaState.REMOVED, None),)
     assert acts(step) == {"w7": Act.REMOVE} | dict.fromkeys(("w1", "w2", "w3"), Act.HOLD)
     assert made.known["w1"].record.host == "10.0.0.1" and "INV305" in made.known["w1"].held
     # Told once, and no longer held when mended.
@@ -152,7 +152,7 @@
     made = started(5)
     draining = snapshot(*rows(4), "w5,10.0.0.5,gen-a,draining")
     assert made.step(draining, 10).entries[0].state == ReplicaState.DRAINING
-    assert made.step(snapshot(*rows(4)), 20).entries == (Entry("w5", ReplicaState.REMOVED, None),)
+    assert made.step(snapshot(*rows(4)), 20).entries == (ListedReplica("w5", ReplicaState.REMOVED, None),)
     # Back and still said to drain, it drains; nothing is sent to it in between or after.
     assert made.step(draining, 50).entries[0].state == ReplicaState.DRAINING
     assert made.step(snapshot(*rows(4)), 60).entries[0].state == ReplicaState.REMOVED
@@ -231,7 +231,7 @@
 @given(st.lists(st.tuples(STATES, st.integers(1, 100_000)), min_size=1, max_size=8))
 def test_what_holds_for_any_sequence(steps: list[tuple[dict[int, tuple[int, str, str]], int]]) -> None:
     made, now = Reconciler(), 0
-    registry: dict[str, Entry] = {}
+    registry: dict[str, ListedReplica] = {}
     for hosts, later in steps:
         now += later
         lines = [f"w{name},10.0.0.{at},{kind},{state}" for name, (at, kind, state) in hosts.items()]
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -10,9 +10,9 @@
 import pytest
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import Entry
+from lockspoke.core.replica_set import ListedReplica
 from lockspoke.lifecycle.program import give_back
-from lockspoke.wire.discovery.messages import decode_list
+from lockspoke.wire.discovery.messages import decode_endpoint_list
 from tests.peers import Gateway, Peer
 
 WORKERS = 1024
@@ -29,18 +29,18 @@
 
 
 def all_begin_anew(gateway: Gateway) -> None:
-    gateway.core.list_changed(decode_list(listed(10**12)).complete())
+    gateway.core.endpoint_list_changed(decode_endpoint_list(listed(10**12)).complete())
 
 
 def all_go(gateway: Gateway) -> None:
-    gateway.core.list_changed(decode_list(listed(0)).complete())
-    gateway.tell(*(Entry(f"s-{n}", ReplicaState.REMOVED, None) for n in range(WORKERS)))
+    gateway.core.endpoint_list_changed(decode_endpoint_list(listed(0)).complete())
+    gateway.tell(*(ListedReplica(f"s-{n}", ReplicaState.REMOVED, None) for n in range(WORKERS)))
 
 
 def sweeps(gateway: Gateway) -> None:
     gateway.core._sweep()
-    gateway.transport.sweep()
-    gateway.front.sweep()
+    gateway.transport.run_periodic_checks()
+    gateway.front.run_periodic_checks()
     give_back()
 
 
@@ -48,7 +48,7 @@
 def test_housekeeping_is_done_within_the_time_an_event_may_be_held(work: Callable[[Gateway], None]) -> None:
     async def whole() -> float:
         async with Gateway(Peer()) as gateway:
-            gateway.core.list_changed(decode_list(listed(0)).complete())
+            gateway.core.endpoint_list_changed(decode_endpoint_list(listed(0)).complete())
             began = time.process_time()
             work(gateway)
             return time.process_time() - began
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -13,14 +13,14 @@
 from typing import Any
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.balancing.settings import RequestClass, Settings
+from lockspoke.balancing.settings import BalancerSettings, RequestClass
 from lockspoke.core.core import Core
-from lockspoke.core.identifiers import Numbers
-from lockspoke.core.replica_set import Entry, ReplicaSet, ReplicaUpdate
+from lockspoke.core.identifiers import Identifiers
+from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate, ReplicaSet
 from lockspoke.core.requests import Discovery
-from lockspoke.lifecycle.clock import LoopTimers
+from lockspoke.lifecycle.clock import EventLoopClock
 from lockspoke.wire.clients.front import ClientFront
-from lockspoke.wire.replicas.transport import ReplicaConnections
+from lockspoke.wire.replicas.transport import ReplicaTransport
 from tests.balancing.helpers import settings
 from tests.standins import PATIENCE
 
@@ -102,25 +102,33 @@
     def __init__(
         self, *workers: Peer, connect: int = 20_000, discovery: Discovery | None = None, **changes: Any
     ) -> None:
-        timers = LoopTimers()
-        self.replica_set = ReplicaSet(Numbers(), ["z"])
-        self.transport = ReplicaConnections((), connect * MS, 60_000 * MS, 64, timers.now)
-        told: Settings = settings(**{"classes": (RequestClass(),)} | changes)
+        timers = EventLoopClock()
+        self.replica_set = ReplicaSet(Identifiers(), ["z"])
+        self.transport = ReplicaTransport((), connect * MS, 60_000 * MS, 64, timers.now)
+        told: BalancerSettings = settings(**{"classes": (RequestClass(),)} | changes)
         self.core = Core(told, 7, self.replica_set, timers, self.transport, discovery or self)
         self.front = ClientFront(self.core, {"docs": 0}, 64, 48_000_000, lambda: True)
         self.rev = 0
-        self.changes_unread = False  # what it tells is in force at once
-        self.tell(*(Entry(f"w{at}", ReplicaState.READY, one.endpoint, "z") for at, one in enumerate(workers)))
+        self.has_unread_changes = False  # what it tells is in force at once
+        self.tell(
+            *(
+                ListedReplica(f"w{at}", ReplicaState.READY, one.endpoint, "z")
+                for at, one in enumerate(workers)
+            )
+        )
 
-    def tell(self, *entries: Entry) -> None:
+    def tell(self, *entries: ListedReplica) -> None:
         """What discovery has to say; the whole list at first."""
         self.rev += 1
-        self.core.list_changed(ReplicaUpdate(self.rev, self.rev == 1, entries))
+        self.core.endpoint_list_changed(ReplicaListUpdate(self.rev, self.rev == 1, entries))
 
     def tell_of(self, *workers: Peer) -> None:
         """Discovery has found more replicas."""
         self.tell(
-            *(Entry(f"more{at}", ReplicaState.READY, one.endpoint, "z") for at, one in enumerate(workers))
+            *(
+                ListedReplica(f"more{at}", ReplicaState.READY, one.endpoint, "z")
+                for at, one in enumerate(workers)
+            )
         )
 
     def watch(self, enable: bool) -> None:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -12,7 +12,14 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.wire.http.http1 import Data, Gatherer, Request, ResponseHead, ResponseParser, encode_request
+from lockspoke.wire.http.http1 import (
+    BodyChunk,
+    Request,
+    RequestAssembler,
+    ResponseHead,
+    ResponseParser,
+    encode_request,
+)
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE = float(
@@ -84,7 +91,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        gatherer = Gatherer()
+        gatherer = RequestAssembler()
         try:
             while data := await reader.read(65536):
                 for request in gatherer.feed(data):
@@ -275,7 +282,7 @@
             for piece in parser.feed(data) if data else ():
                 if isinstance(piece, ResponseHead):
                     head = piece
-                elif isinstance(piece, Data):
+                elif isinstance(piece, BodyChunk):
                     body += piece.data
                 elif head is not None:
                     return head.status, dict(head.headers.fields), body, True
--- a/tests/wire/clients/test_front.py
+++ b/tests/wire/clients/test_front.py
@@ -71,23 +71,23 @@
     async def served(pair: Pair) -> None:
         pair.send(call_bytes(1, body=BODY))
         await until(lambda: bool(pair.world.started))
-        assert pair.front.held_bytes == len(BODY)
-        pair.world.started[0].streamed(EVENTS[0])
-        pair.world.started[0].ended(Outcome.OK)
-        assert pair.front.held_bytes == 0
+        assert pair.front.buffered_bytes == len(BODY)
+        pair.world.started[0].stream_received(EVENTS[0])
+        pair.world.started[0].end(Outcome.OK)
+        assert pair.front.buffered_bytes == 0
         await pair.leave()
 
     async def left(pair: Pair) -> None:
         pair.send(call_bytes(1, body=BODY))
         await until(lambda: bool(pair.world.started))
         await pair.leave()
-        assert pair.front.held_bytes == 0 and pair.world.core.totals["left"] == 1
+        assert pair.front.buffered_bytes == 0 and pair.world.core.totals["left"] == 1
 
     async def half(pair: Pair) -> None:
         pair.send(call_bytes(1, body=BODY)[:-10])
-        await until(lambda: pair.front.held_bytes == len(BODY) - 10)
+        await until(lambda: pair.front.buffered_bytes == len(BODY) - 10)
         await pair.leave()
-        assert pair.front.held_bytes == 0 and not pair.world.started
+        assert pair.front.buffered_bytes == 0 and not pair.world.started
 
     for test in (served, left, half):
         play(test)
@@ -95,12 +95,12 @@
 
 def test_past_the_bound_on_held_bytes_a_call_is_turned_away() -> None:
     async def test(pair: Pair) -> None:
-        pair.front.most_bytes = 1000
+        pair.front.max_buffered_bytes = 1000
         pair.send(call_bytes(1, body=BODY))
         answer = await pair.read(b"held\n")
         assert answer.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1.000" in answer
         await pair.leave()
-        assert pair.front.held_bytes == 0 and not pair.world.started
+        assert pair.front.buffered_bytes == 0 and not pair.world.started
 
     play(test)
 
@@ -123,8 +123,8 @@
     async def test(pair: Pair) -> None:
         pair.send(call_bytes(1) + b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         await until(lambda: bool(pair.world.started) and bool(pair.connection.waiting))
-        pair.world.started[0].streamed(EVENTS[0])
-        pair.world.started[0].ended(Outcome.OK)
+        pair.world.started[0].stream_received(EVENTS[0])
+        pair.world.started[0].end(Outcome.OK)
         answer = await pair.read(b"ready\n")
         assert answer.index(EVENTS[0]) < answer.index(b"0\r\n\r\n") < answer.index(b"ready\n")
 
@@ -138,11 +138,11 @@
         pair.send(b"".join(call_bytes(number) for number in range(1, 200)))
         for number in range(clients.WAITING):
             await until(lambda number=number: len(pair.world.started) == number + 1)  # type: ignore[misc]
-            pair.world.started[number].streamed(EVENTS[0])
-            pair.world.started[number].ended(Outcome.OK)
+            pair.world.started[number].stream_received(EVENTS[0])
+            pair.world.started[number].end(Outcome.OK)
         answer = await pair.read(b"ahead\n")
         assert answer.count(EVENTS[0]) == clients.WAITING and b"HTTP/1.1 503 " in answer
-        assert pair.front.held_bytes == 0 and not pair.front.open_ids
+        assert pair.front.buffered_bytes == 0 and not pair.front.open_ids
         await pair.leave()
 
     async def noise(pair: Pair) -> None:
@@ -151,8 +151,8 @@
             pair.send(b"noise\r\n\r\n")
             await asyncio.sleep(0)
         await until(lambda: bool(pair.world.started))
-        pair.world.started[0].streamed(EVENTS[0])
-        pair.world.started[0].ended(Outcome.OK)
+        pair.world.started[0].stream_received(EVENTS[0])
+        pair.world.started[0].end(Outcome.OK)
         answer = await pair.read(b"an error\n")
         assert EVENTS[0] in answer and answer.count(b"HTTP/1.1 400 ") == 1
         await pair.leave()
@@ -169,8 +169,8 @@
         other.join(pair.front)
         other.send(call_bytes(1))
         assert b"HTTP/1.1 409 " in await other.read(b"in use\n")
-        pair.world.started[0].streamed(EVENTS[0])
-        pair.world.started[0].ended(Outcome.OK)
+        pair.world.started[0].stream_received(EVENTS[0])
+        pair.world.started[0].end(Outcome.OK)
         other.send(call_bytes(1))
         await until(lambda: len(pair.world.started) == 2)
         assert pair.client is first
@@ -220,8 +220,8 @@
         pair.send(call_bytes(1).replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Host: origin.svc\r\n", b""))
         await until(lambda: bool(pair.world.started))
         assert pair.world.started[0].request.headers["host"] == "origin.svc"
-        pair.world.started[0].streamed(EVENTS[0])
-        pair.world.started[0].ended(Outcome.OK)
+        pair.world.started[0].stream_received(EVENTS[0])
+        pair.world.started[0].end(Outcome.OK)
         answer = await pair.read(EVENTS[0])
         assert b"chunked" not in answer and answer.endswith(b"\r\n\r\n" + EVENTS[0])
         await pair.ended()
@@ -234,12 +234,12 @@
 
     async def script(pair: Pair) -> None:
         ours = True
-        pair.connection.guard = lambda: ours
+        pair.connection.lease_is_valid = lambda: ours
         pair.send(call_bytes(1))
         await until(lambda: pair.world.core.totals["calls"] == 1)
         call = pair.connection.open_request
         assert call is not None
-        call.sink.refuse(0)
+        call.response.reject(0)
         await pair.read(b"overloaded")
         ours = False
         pair.send(call_bytes(2))
@@ -263,8 +263,8 @@
             await until(lambda at=at: len(pair.world.started) > at)  # type: ignore[misc]
             told = pair.world.core.balancer.requests[pair.world.started[at].request.number].arrived
             assert told.tenant == {"south": 1}.get(owner, 0)
-            pair.world.started[at].streamed(b"data: x\n\n")
-            pair.world.started[at].ended(Outcome.OK)
+            pair.world.started[at].stream_received(b"data: x\n\n")
+            pair.world.started[at].end(Outcome.OK)
             await pair.read(b"0\r\n\r\n")
 
     play(test)
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -12,8 +12,8 @@
 
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import UNKNOWN_VERSION
-from lockspoke.wire.clients.request_fields import decode_call, decode_load
-from lockspoke.wire.discovery.messages import STATES, ListError, decode_list, out_of_use_only
+from lockspoke.wire.clients.request_fields import decode_load_report, decode_request_fields
+from lockspoke.wire.discovery.messages import STATES, EndpointListError, decode_endpoint_list, out_of_use_only
 from lockspoke.wire.http.http1 import Headers, HttpError
 from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, StreamError
 from tests.wire.http.test_http1 import cut, fixed
@@ -88,13 +88,13 @@
 
 
 def test_the_fields_of_a_call() -> None:
-    call = decode_call(head())
-    assert (call.req_id, call.kind, call.deadline_ms, call.key) == ("9b1f", "chat", 4800, "7f3a")
+    call = decode_request_fields(head())
+    assert (call.request_id, call.kind, call.deadline_ms, call.key) == ("9b1f", "chat", 4800, "7f3a")
     assert (call.prefix, call.prompt_len, call.prefix_len, call.max_out) == ("5c0f", 5120, 2048, 800)
-    assert not call.retry and decode_call(head(req_retry="1")).retry
+    assert not call.retry and decode_request_fields(head(req_retry="1")).retry
     # Asking for the rest of a stream is not a retry of something that failed.
-    assert not decode_call(head(req_retry="again")).retry
-    assert (call.tenant, decode_call(head(req_owner="north")).tenant) == ("", "north")
+    assert not decode_request_fields(head(req_retry="again")).retry
+    assert (call.tenant, decode_request_fields(head(req_owner="north")).tenant) == ("", "north")
 
 
 @pytest.mark.parametrize(
@@ -112,19 +112,24 @@
 )
 def test_bad_fields_are_a_400(changes: dict[str, str]) -> None:
     with pytest.raises(HttpError) as caught:
-        decode_call(head(**changes))
+        decode_request_fields(head(**changes))
     assert caught.value.status == 400
 
 
 def test_a_field_that_came_twice_is_refused() -> None:
     twice = Headers([*head().fields, ("req-id", "other")])
     with pytest.raises(HttpError):
-        decode_call(twice)
+        decode_request_fields(twice)
 
 
 def test_load_reports_need_every_name() -> None:
-    assert decode_load("b=2, a=1", ("a", "b")) == (1.0, 2.0)
-    assert decode_load("a=1", ("a", "b")) == decode_load("a=x,b=1", ("a", "b")) == decode_load("", ()) == ()
+    assert decode_load_report("b=2, a=1", ("a", "b")) == (1.0, 2.0)
+    assert (
+        decode_load_report("a=1", ("a", "b"))
+        == decode_load_report("a=x,b=1", ("a", "b"))
+        == decode_load_report("", ())
+        == ()
+    )
 
 
 def a_list(*targets: object, whole: bool = True) -> bytes:
@@ -133,16 +138,16 @@
 
 def test_of_a_replica_that_a_whole_list_names_twice_only_a_drain_is_believed() -> None:
     twice = [TARGET, TARGET | {"state": "draining"}, TARGET | {"uid": "s-2"}]
-    answer = decode_list(a_list(*twice))
+    answer = decode_endpoint_list(a_list(*twice))
     assert [(entry.uid, entry.state) for entry in answer.update.entries] == [
         ("s-1", ReplicaState.DRAINING),
         ("s-2", ReplicaState.READY),
     ]
-    with pytest.raises(ListError, match="uid 's-1' is listed twice; name each replica once"):
+    with pytest.raises(EndpointListError, match="uid 's-1' is listed twice; name each replica once"):
         answer.complete()
-    both = decode_list(a_list(TARGET, TARGET))
-    assert both.faults and not both.update.entries and both.update.unread == {"s-1"}
-    changes = decode_list(a_list(*twice[:2], whole=False)).complete()
+    both = decode_endpoint_list(a_list(TARGET, TARGET))
+    assert both.faults and not both.update.entries and both.update.unreadable == {"s-1"}
+    changes = decode_endpoint_list(a_list(*twice[:2], whole=False)).complete()
     assert [entry.state for entry in changes.entries] == [
         ReplicaState.READY,
         ReplicaState.DRAINING,
@@ -150,18 +155,18 @@
 
 
 def test_lists_are_read() -> None:
-    update = decode_list(a_list(TARGET, whole=False)).complete()
-    assert (update.rev, update.whole) == (4, False)
+    update = decode_endpoint_list(a_list(TARGET, whole=False)).complete()
+    assert (update.version, update.complete) == (4, False)
     entry = update.entries[0]
     assert (entry.uid, entry.endpoint, entry.cell, entry.boot_ms) == ("s-1", ("127.0.0.1", 5000), 3, 5)
     gone = {"uid": "s-1", "state": "removed"}  # what is gone needs no address
-    assert decode_list(a_list(gone)).complete().entries[0].state is ReplicaState.REMOVED
+    assert decode_endpoint_list(a_list(gone)).complete().entries[0].state is ReplicaState.REMOVED
 
 
 def test_a_list_tells_the_kind_of_machine_where_it_is_a_name() -> None:
     for given_kind, kind in (("m2", "m2"), (7, ""), (None, "")):
-        update = decode_list(a_list(TARGET | {"model": given_kind})).complete()
-        assert update.entries[0].kind == kind
+        update = decode_endpoint_list(a_list(TARGET | {"model": given_kind})).complete()
+        assert update.entries[0].machine_kind == kind
 
 
 @pytest.mark.parametrize(
@@ -176,25 +181,29 @@
     ],
 )
 def test_an_entry_that_cannot_be_read_is_named_and_costs_no_other(change: dict[str, object]) -> None:
-    answer = decode_list(a_list(TARGET | change, TARGET | {"uid": "s-2"}))
+    answer = decode_endpoint_list(a_list(TARGET | change, TARGET | {"uid": "s-2"}))
     assert [entry.uid for entry in answer.update.entries] == ["s-2"]
-    with pytest.raises(ListError, match="|".join([*map(re.escape, change), "nowhere", "a:0"])):
+    with pytest.raises(EndpointListError, match="|".join([*map(re.escape, change), "nowhere", "a:0"])):
         answer.complete()
     # The replica stays as it is: by its uid, or since nothing is concluded from what the list doesn't name.
-    assert answer.update.unread == {"s-1"} if "uid" not in change else not answer.update.whole
+    assert answer.update.unreadable == {"s-1"} if "uid" not in change else not answer.update.complete
 
 
 @pytest.mark.parametrize("state", ["draining", "removed"])
 def test_a_drain_takes_effect_whatever_else_of_its_entry_cannot_be_read(state: str) -> None:
-    answer = decode_list(a_list(TARGET | {"state": state, "endpoint": 5, "boot_ms": "x"}))
+    answer = decode_endpoint_list(a_list(TARGET | {"state": state, "endpoint": 5, "boot_ms": "x"}))
     assert [(entry.uid, entry.state) for entry in answer.update.entries] == [("s-1", STATES[state])]
     assert answer.faults
 
 
 def test_of_an_older_answer_only_what_takes_replicas_out_of_use_is_kept() -> None:
-    update = decode_list(a_list(TARGET, TARGET | {"uid": "s-2", "state": "draining"})).complete()
+    update = decode_endpoint_list(a_list(TARGET, TARGET | {"uid": "s-2", "state": "draining"})).complete()
     kept = out_of_use_only(update)
-    assert [entry.uid for entry in kept.entries] == ["s-2"] and not kept.whole and kept.rev == UNKNOWN_VERSION
+    assert (
+        [entry.uid for entry in kept.entries] == ["s-2"]
+        and not kept.complete
+        and kept.version == UNKNOWN_VERSION
+    )
 
 
 @fixed
@@ -209,6 +218,6 @@
 )
 def test_garbage_lists_give_clean_errors_only(text: bytes) -> None:
     try:
-        decode_list(text)
-    except ListError as error:
+        decode_endpoint_list(text)
+    except EndpointListError as error:
         assert str(error)
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -24,21 +24,21 @@
 class Told:
     """What the watch tells the core."""
 
-    def __init__(self, rev: int) -> None:
-        self.replica_set, self.rev, self.ready = self, rev, 1
+    def __init__(self, version: int) -> None:
+        self.replica_set, self.version, self.ready_count = self, version, 1
         self.lists: list[Any] = []
         self.failed = 0
         self.on_change: Callable[[], None] | None = None  # what crosses the next list, once
 
-    def list_changed(self, update: Any, answers: bool = True) -> None:
-        del answers
-        self.rev = update.rev
+    def endpoint_list_changed(self, update: Any, completes_poll: bool = True) -> None:
+        del completes_poll
+        self.version = update.version
         happens, self.on_change = self.on_change, None
         if happens is not None:
             happens()
         self.lists.append(update)
 
-    def list_failed(self) -> None:
+    def endpoint_list_failed(self) -> None:
         self.failed += 1
 
 
@@ -169,7 +169,7 @@
         await second.read(b"from=2&")
         second.send(listed(3))
         await second.read(b"from=3&")
-        assert [update.rev for update in told.lists] == [2, 3]
+        assert [update.version for update in told.lists] == [2, 3]
 
     follow(test)
 
@@ -186,7 +186,7 @@
         assert b"from=" not in await line.read(b"\r\n\r\n")
         line.send(listed(4))
         await line.read(b"from=4&")
-        assert [update.rev for update in told.lists] == [UNKNOWN_VERSION, 4]
+        assert [update.version for update in told.lists] == [UNKNOWN_VERSION, 4]
         assert await old.more() == b"", "the old service is asked nothing more"
 
     follow(test)
@@ -213,8 +213,8 @@
 
 
 def test_holds_are_spread_over_the_gateways() -> None:
-    holds = [watch.hold_of(index, 200) for index in range(200)]
+    holds = [watch.hold_duration_ms(index, 200) for index in range(200)]
     assert len(set(holds)) == 200 and holds == sorted(holds)
     assert (holds[0], holds[-1]) == (1500, 3490)
-    assert watch.hold_of(777, 200) in holds and watch.hold_of(0, 1) == 1500
-    assert max(watch.hold_of(index, 1024) for index in range(1024)) < 3500
+    assert watch.hold_duration_ms(777, 200) in holds and watch.hold_duration_ms(0, 1) == 1500
+    assert max(watch.hold_duration_ms(index, 1024) for index in range(1024)) < 3500
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_play.py
@@ -21,16 +21,16 @@
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.balancing.settings import RequestClass
 from lockspoke.core.core import Core
-from lockspoke.core.identifiers import Numbers
-from lockspoke.core.replica_set import Entry, ReplicaSet, ReplicaUpdate
+from lockspoke.core.identifiers import Identifiers
+from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate, ReplicaSet
 from lockspoke.core.requests import ClientRequest
 from lockspoke.wire.discovery.connection import GRACE as WATCH_GRACE
-from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_of
-from lockspoke.wire.http.http1 import Gatherer, Request
-from lockspoke.wire.replicas.transport import ReplicaConnections
-from lockspoke.wire.tcp.dialing import Endpoint
+from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
+from lockspoke.wire.http.http1 import Request, RequestAssembler
+from lockspoke.wire.replicas.transport import ReplicaTransport
+from lockspoke.wire.tcp.dialing import Address
 from tests.balancing.helpers import settings
-from tests.clocked import ClockedLoop, ClockedTimers, Network, Reach
+from tests.clocked import ClockedLoop, ControlledClock, Network, Reach
 from tests.standins import EVENTS, HEAD, TAIL, chunk
 
 SECOND = 1_000_000_000
@@ -39,7 +39,7 @@
 DAY = 45.0  # seconds
 REPLICAS = 6
 PACE = 12.0  # requests a second
-HOMES: tuple[Endpoint, ...] = (("discovery-1", 80), ("discovery-2", 80))
+HOMES: tuple[Address, ...] = (("discovery-1", 80), ("discovery-2", 80))
 
 
 class Fault(Enum):
@@ -188,7 +188,7 @@
 
 async def requests(sock: socket.socket) -> Any:
     """The requests that come on a connection, one by one."""
-    loop, gatherer = asyncio.get_running_loop(), Gatherer()
+    loop, gatherer = asyncio.get_running_loop(), RequestAssembler()
     with contextlib.suppress(OSError):
         while data := await loop.sock_recv(sock, 65536):
             for request in gatherer.feed(data):
@@ -350,16 +350,16 @@
 class Answer:
     """A client that takes whatever comes."""
 
-    unread = False
+    has_unread_input = False
 
-    def event(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         return None
 
-    def end(self) -> None: ...
+    def finish(self) -> None: ...
 
-    def broken(self) -> None: ...
+    def abort(self) -> None: ...
 
-    def refuse(self, retry_after: int) -> None: ...
+    def reject(self, retry_after: int) -> None: ...
 
     def fail(self) -> None: ...
 
@@ -372,14 +372,14 @@
         self.random = random.Random(seed)
         self.schedule = draw(self.random, faults_in_a_row)
         self.judge = Judge(loop, self.schedule)
-        network, timers = Network(), ClockedTimers(loop)
+        network, timers = Network(), ControlledClock(loop)
         network.on_write = self._written
         self.discovery = Discovery(self.random, self.judge, network)
         self.replicas = Replicas(self.random, network)
         index = self.random.randrange(gateways)
-        self.watch = DiscoveryWatch(HOMES[0], hold_of(index, gateways), network.dial)
+        self.watch = DiscoveryWatch(HOMES[0], hold_duration_ms(index, gateways), network.dial)
         self.discovery.on_move = partial(self.watch.move, HOMES[1])
-        workers = ReplicaConnections((), SECOND, 10 * SECOND, 64, timers.now, network.dial)
+        workers = ReplicaTransport((), SECOND, 10 * SECOND, 64, timers.now, network.dial)
         told = settings(
             classes=(RequestClass(),),
             polls_endpoint_list=self.random.random() < 0.8,
@@ -388,11 +388,11 @@
             gateway_index=index,
             hedging_allowed=True,
         )
-        self.core = Core(told, seed, ReplicaSet(Numbers(), ["z"]), timers, workers, self.watch)
+        self.core = Core(told, seed, ReplicaSet(Identifiers(), ["z"]), timers, workers, self.watch)
         self.watch.core = self.core
         self.workers = workers
 
-    def _written(self, endpoint: Endpoint, data: bytes) -> None:
+    def _written(self, endpoint: Address, data: bytes) -> None:
         if endpoint not in HOMES:
             self.judge.sent(endpoint[0])
 
@@ -429,12 +429,12 @@
         return events
 
     def _start(self) -> None:
-        known = tuple(Entry(f"r{n}", ReplicaState.READY, (f"r{n}", 80), "z") for n in range(REPLICAS))
+        known = tuple(ListedReplica(f"r{n}", ReplicaState.READY, (f"r{n}", 80), "z") for n in range(REPLICAS))
         self.core.start()
-        self.core.list_changed(ReplicaUpdate(1, True, known), cached=True)
+        self.core.endpoint_list_changed(ReplicaListUpdate(1, True, known), cached=True)
 
     def _ban(self, uid: str, banned: bool) -> None:
-        if self.core.ban(uid, banned):  # a replica that is gone and forgotten can't be banned
+        if self.core.set_banned(uid, banned):  # a replica that is gone and forgotten can't be banned
             (self.judge.banned.add if banned else self.judge.banned.discard)(uid)
 
     def _ask(self) -> None:
--- a/tests/wire/http/test_http1.py
+++ b/tests/wire/http/test_http1.py
@@ -10,10 +10,10 @@
 
 from lockspoke.wire.http import http1
 from lockspoke.wire.http.http1 import (
-    Data,
-    End,
-    Gatherer,
+    BodyChunk,
     HttpError,
+    MessageEnd,
+    RequestAssembler,
     RequestHead,
     RequestParser,
     ResponseParser,
@@ -33,12 +33,12 @@
     """Pieces with neighbouring data joined, since cuts split it freely."""
     out: list[object] = []
     for piece in pieces:
-        if isinstance(piece, Data):
+        if isinstance(piece, BodyChunk):
             if out and isinstance(out[-1], bytes):
                 out[-1] += piece.data
             else:
                 out.append(piece.data)
-        elif isinstance(piece, End):
+        elif isinstance(piece, MessageEnd):
             out.append("end")
         else:
             out.append((piece.headers.fields, getattr(piece, "target", None), getattr(piece, "status", None)))
@@ -129,12 +129,12 @@
 
 def test_the_largest_body_is_taken() -> None:
     body = b"x" * http1.BODY_LIMIT
-    (request,) = Gatherer().feed(POST + b"Content-Length: %d\r\n\r\n" % len(body) + body)
+    (request,) = RequestAssembler().feed(POST + b"Content-Length: %d\r\n\r\n" % len(body) + body)
     assert request.body == body
 
 
 def test_whole_requests_before_an_error_are_answered_first() -> None:
-    gatherer = Gatherer()
+    gatherer = RequestAssembler()
     (request,) = gatherer.feed(GET + b"nonsense\r\n\r\n")
     assert request.head.path == "/up"
     with pytest.raises(HttpError):
@@ -175,14 +175,14 @@
     parser = ResponseParser()
     head, data = parser.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")
     assert isinstance(head, http1.ResponseHead) and not head.keep_alive
-    assert data == Data(b"abc")
+    assert data == BodyChunk(b"abc")
     assert parser.closed()
 
 
 @fixed
 @given(st.binary(max_size=2000), st.lists(st.integers(0)))
 def test_what_is_written_is_read_back(body: bytes, cuts: list[int]) -> None:
-    gatherer = Gatherer()
+    gatherer = RequestAssembler()
     whole = []
     for part in cut(http1.encode_request("POST", "/a", {"Host": "h"}, body), cuts):
         whole += gatherer.feed(part)
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -8,10 +8,11 @@
 
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.core.replica_set import Replica
-from lockspoke.core.requests import Attempt, Clearance, ClientRequest
-from lockspoke.wire.clients.front import StreamedAnswer
+from lockspoke.core.requests import Attempt, ClientRequest, SendPermission
+from lockspoke.units import MILLISECOND as MS
+from lockspoke.wire.clients.front import StreamingResponse
 from lockspoke.wire.replicas.keepalive import BACK, SHORTEST, KeepAlive
-from lockspoke.wire.replicas.transport import MS, SETTLE, ReplicaConnections
+from lockspoke.wire.replicas.transport import SETTLE, ReplicaTransport
 from tests.standins import until
 
 START = 5_000_000.0  # a machine that has been up for long
@@ -49,14 +50,14 @@
     def __init__(self) -> None:
         self.ends: list[Outcome] = []
 
-    def clear(self, attempt: Attempt) -> Clearance:
+    def permission_to_send(self, attempt: Attempt) -> SendPermission:
         del attempt
-        return Clearance.SEND
+        return SendPermission.GRANTED
 
-    def streamed(self, attempt: Attempt, data: bytes) -> None:
+    def stream_received(self, attempt: Attempt, data: bytes) -> None:
         del attempt, data
 
-    def ended(self, attempt: Attempt, outcome: Outcome, kept: int, report: tuple[float, ...]) -> None:
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, kept: int, report: tuple[float, ...]) -> None:
         del attempt, kept, report
         self.ends.append(outcome)
 
@@ -80,10 +81,12 @@
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         told, loop = Told(), asyncio.get_running_loop()
-        connections = ReplicaConnections((), 5_000 * MS, 10_000 * MS, 8, time.time_ns)
+        connections = ReplicaTransport((), 5_000 * MS, 10_000 * MS, 8, time.time_ns)
 
         async def ask(target: str, worker: Replica) -> Outcome:
-            call = ClientRequest(StreamedAnswer.__new__(StreamedAnswer), 0, 0, "1", "POST", target, {}, b"")
+            call = ClientRequest(
+                StreamingResponse.__new__(StreamingResponse), 0, 0, "1", "POST", target, {}, b""
+            )
             now = time.time_ns()
             count = len(told.ends)
             connections.start(Attempt(call, 0, worker, now, now + 5_000 * MS, told))
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -153,7 +153,7 @@
             await asyncio.sleep(0.01)
         line.send(scene.drain_of_the_first)
         time.sleep(max(0.0, held - asyncio.get_running_loop().time()))
-        await until(lambda: scene.gateway.replica_set.rev == 2)
+        await until(lambda: scene.gateway.replica_set.version == 2)
         assert scene.state("w0") is ReplicaState.DRAINING
 
     play(test, hold_ms=SHORT_HOLD_MS)
@@ -169,7 +169,7 @@
         taken = await slow.accept()
         assert b"from=" not in await taken.read(b"\r\n\r\n"), "versions are each service's own"
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
-        assert scene.gateway.replica_set.rev == -1
+        assert scene.gateway.replica_set.version == -1
 
     play(test)
 
@@ -195,7 +195,7 @@
         line = await scene.watching()
         line.send(answer(2, target("w0", scene.first, "draining"), bad))
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
-        assert scene.gateway.replica_set.rev == 1, "the same is asked for again"
+        assert scene.gateway.replica_set.version == 1, "the same is asked for again"
 
     play(test)
 
@@ -332,7 +332,7 @@
         scene.watch.move(new.endpoint)
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
         former.unread = False
-        await until(lambda: not scene.watch.changes_unread)
+        await until(lambda: not scene.watch.has_unread_changes)
         assert b"from=" not in await (await new.accept()).read(b"\r\n\r\n")
 
     play(test)
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -13,11 +13,11 @@
 
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.balancing.settings import Idempotency, RequestClass
-from lockspoke.core.replica_set import Entry
-from lockspoke.wire.clients.front import LINGER, ClientConnection, Intake
+from lockspoke.core.replica_set import ListedReplica
+from lockspoke.wire.clients.front import LINGER, AdmissionMode, ClientConnection
 from lockspoke.wire.replicas import transport as replica_side
 from lockspoke.wire.tcp import dialing
-from lockspoke.wire.tcp.listener import Outbox
+from lockspoke.wire.tcp.listener import OutgoingBuffer
 from tests.peers import Gateway, Line, Peer
 from tests.standins import EVENTS, HEAD, TAIL, call_bytes, chunk, until
 
@@ -88,7 +88,7 @@
 
 async def slow_stream(gateway: Gateway, peer: Peer) -> tuple[Line, Line]:
     """A stream to a client that takes next to nothing, of a gateway that has been told to stop."""
-    gateway.front.intake = Intake.LAST
+    gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
     client = await gateway.client(SO_RCVBUF=4096)
     client.send(call_bytes(1))
     worker = await peer.accept()
@@ -121,9 +121,9 @@
         worker.send(HEAD + chunk(LONG))
         await until(lambda: served(gateway).open_request is not None and gateway.core.totals["attempts"] == 1)
         (call,) = gateway.core.requests.values()
-        await until(lambda: call.owner is not None and not served(gateway).outbox.unsent)
+        await until(lambda: call.streaming_attempt is not None and not served(gateway).outbox.unsent)
         client.send(call_bytes(2))
-        call.attempts[0].ended(Outcome.OK)
+        call.attempts[0].end(Outcome.OK)
         assert (await client.rest()).endswith(chunk(LONG) + chunk(b""))
         assert gateway.core.totals["calls"] == 1, "read after the shutdown, it is not run"
 
@@ -135,7 +135,7 @@
         lazy, slow_worker = await slow_stream(gateway, peer)
         served(gateway).stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         slow_worker.send(HEAD + b"".join(chunk(LONG) for _ in range(4)))
-        await until(lambda: served(gateway).outbox.unsent > Outbox.HIGH)
+        await until(lambda: served(gateway).outbox.unsent > OutgoingBuffer.HIGH)
         client = await gateway.client()
         client.send(call_bytes(2))
         worker = await peer.accept()
@@ -219,8 +219,10 @@
 
 async def drains(gateway: Gateway, client: Line) -> None:
     (worker,) = gateway.replica_set.replicas.values()
-    gateway.tell(Entry(worker.uid, ReplicaState.DRAINING, worker.endpoint, "z"))
-    gateway.tell(Entry(worker.uid, ReplicaState.READY, ("127.0.0.1", 9), "z"))  # it comes back elsewhere
+    gateway.tell(ListedReplica(worker.uid, ReplicaState.DRAINING, worker.endpoint, "z"))
+    gateway.tell(
+        ListedReplica(worker.uid, ReplicaState.READY, ("127.0.0.1", 9), "z")
+    )  # it comes back elsewhere
 
 
 @pytest.mark.parametrize("happens", [leaves, drains])
@@ -293,7 +295,7 @@
         client.close()
         time.sleep(HELD)
         await until(lambda: gateway.core.totals["left"] == 1 and not gateway.core.requests)
-        assert gateway.core.totals["outcome_moot"] == 1
+        assert gateway.core.totals["outcome_never_sent"] == 1
         gateway.transport.close()
         assert await worker.rest() == b"", "nothing came on the connection that was kept"
 
@@ -316,7 +318,7 @@
 
     async def test(gateway: Gateway, peer: Peer) -> None:
         client = await rested(gateway)
-        gateway.front.intake = Intake.LAST
+        gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
         client.send(UP + call_bytes(2) + UP)
         worker = await peer.accept()
         await worker.read(b"{}")
@@ -332,7 +334,7 @@
 
     async def test(gateway: Gateway, peer: Peer) -> None:
         client = await rested(gateway)
-        gateway.front.intake = Intake.LAST
+        gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
         client.send(UP)
         taken = served(gateway)
         taken._take(taken.stream.socket.recv(65536))
@@ -354,7 +356,7 @@
         worker.send(HEAD + chunk(EVENTS[0]))
         await client.read(EVENTS[0])
         worker.send(chunk(TAIL) + chunk(b""))
-        gateway.core.hand_over(at_once=False)
+        gateway.core.hand_off(immediately=False)
         assert (await client.read(chunk(b""))).endswith(chunk(TAIL) + chunk(b""))
         assert gateway.core.totals["handed_over"] == 0
 
@@ -369,7 +371,7 @@
         await worker.read(b"{}")
         worker.send(HEAD + chunk(EVENTS[0]))
         await client.read(EVENTS[0])
-        gateway.core.hand_over(at_once=False)
+        gateway.core.hand_off(immediately=False)
         assert chunk(b"") not in await client.rest()
         assert await worker.more() == b"", "its worker is told, too"
 
