--- a/tests/golden/decision_codec.py
+++ b/tests/golden/decision_codec.py
@@ -69,9 +69,8 @@
         for effect, scope, *rest in classes
     )
     before, shares, after = values[:6], values[6], values[7:]
-    return balancer_settings.BalancerSettings(
-        request_classes, *before, tuple(balancer_settings.Tenant(share) for share in shares), *after
-    )
+    tenants = tuple(balancer_settings.Tenant(share) for share in shares)
+    return balancer_settings.BalancerSettings(*(request_classes, *before, tenants, *after))
 
 
 class Decisions:
--- a/tests/golden/fleet.py
+++ b/tests/golden/fleet.py
@@ -9,6 +9,7 @@
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from functools import partial
 from typing import Any
 
 Row = list[Any]
@@ -149,11 +150,15 @@
                 case ["fail", number]:
                     self.requests[number].closed = True
                 case ["timer", delay, token]:
-                    self._at(now + delay, lambda when, token=token: [["timer", token]])
+                    self._at(now + delay, partial(self._timer, token))
                 case ["watch", enable]:
                     if enable:
                         self._at(now + self.random.randrange(5 * MS, 80 * MS), self._watch_answer)
 
+    @staticmethod
+    def _timer(token: int, when: int) -> list[Row]:
+        return [["timer", token]]
+
     def _send(self, now: int, number: int, replica_number: int) -> None:
         draw, request, replica = self.random, self.requests[number], self.replicas[replica_number]
         attempt, request.attempts = request.attempts, request.attempts + 1
@@ -168,14 +173,8 @@
         chance = draw.random()
         if request.closed:
             ends(NEVER_SENT, 0)
-        elif replica.state == GONE or replica.fault == "unreachable":
-            ends(CONNECT_FAILED, draw.choice((MS, 400 * MS)))
-        elif replica.fault == "resetting":
-            ends(RESET, draw.randrange(5 * MS, 200 * MS))
-        elif replica.fault == "failing" and chance < 0.8:
-            ends(ERROR, draw.randrange(5 * MS, 50 * MS))
-        elif replica.fault == "sheds slowly":
-            ends(FULL, draw.randrange(120 * MS, 600 * MS))
+        elif (failed := self._outcome_of_fault(replica, chance)) is not None:
+            ends(*failed)
         elif replica.in_flight > self.traffic.slots:
             ends(FULL, draw.randrange(MS, 5 * MS))
         elif self.traffic.whole_interface and (number % 23 == 0 or replica.fault == "rejecting"):
@@ -187,6 +186,19 @@
         else:
             self._serve(now, request, attempt, replica, ends)
 
+    def _outcome_of_fault(self, replica: Replica, chance: float) -> tuple[int, int] | None:
+        """Return the outcome that a replica's fault leads to, and after how many nanoseconds."""
+        draw = self.random
+        if replica.state == GONE or replica.fault == "unreachable":
+            return CONNECT_FAILED, draw.choice((MS, 400 * MS))
+        if replica.fault == "resetting":
+            return RESET, draw.randrange(5 * MS, 200 * MS)
+        if replica.fault == "failing" and chance < 0.8:
+            return ERROR, draw.randrange(5 * MS, 50 * MS)
+        if replica.fault == "sheds slowly":
+            return FULL, draw.randrange(120 * MS, 600 * MS)
+        return None
+
     def _serve(
         self, now: int, request: Request, attempt: int, replica: Replica, ends: Callable[..., None]
     ) -> None:
--- a/tests/golden/frames.py
+++ b/tests/golden/frames.py
@@ -50,13 +50,13 @@
             )
         case ["arrived", number, left, kind, tenant, session, prefix, prompt, shared, most, hint, retry]:
             flags = (1 if hint else 0) | (2 if retry else 0)
-            values = (number, kind, tenant, session, left, hint, prefix, prompt, shared, most, flags)
-            return struct.pack("<HHIHHQQQQfffB", 1020, instance, *values)
+            fields = (number, kind, tenant, session, left, hint, prefix, prompt, shared, most, flags)
+            return struct.pack("<HHIHHQQQQfffB", 1020, instance, *fields)
         case ["first_token", *values]:
             return struct.pack("<HHIHIQ", 1030, instance, *values)
         case ["ended", number, attempt, replica, outcome, elapsed, closed, cached, report, _]:
-            values = (number, elapsed, cached, replica, attempt, OUTCOME_CODES[outcome], closed)
-            return struct.pack("<HHIQIIHHB", 1040, instance, *values) + _report(report)
+            outcome_fields = (number, elapsed, cached, replica, attempt, OUTCOME_CODES[outcome], closed)
+            return struct.pack("<HHIQIIHHB", 1040, instance, *outcome_fields) + _report(report)
         case ["client_left", number]:
             return struct.pack("<HHI", 1050, instance, number)
         case ["timer", token]:
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -204,9 +204,11 @@
     tree = read_tree(folder / KEPT)
     for name, data in tree.items():
         if name.endswith(".json"):
+            normalised = data
             for member, pattern in _VARYING:
-                data = re.sub(rb'"%b": %b' % (member.encode(), pattern), b'"%b": 0' % member.encode(), data)
-            tree[name] = data
+                key = member.encode()
+                normalised = re.sub(rb'"%b": %b' % (key, pattern), b'"%b": 0' % key, normalised)
+            tree[name] = normalised
     return tree
 
 
--- a/tests/golden/record_decisions.py
+++ b/tests/golden/record_decisions.py
@@ -216,7 +216,9 @@
 
 def run_sim(stream: bytes) -> subprocess.CompletedProcess[bytes]:
     """Pipe a stream into the simulator's command."""
-    return subprocess.run(sim_command(), shell=True, cwd=ROOT, input=stream, capture_output=True, timeout=120)
+    return subprocess.run(
+        sim_command(), shell=True, cwd=ROOT, input=stream, capture_output=True, timeout=120, check=False
+    )
 
 
 def error_text(stderr: bytes) -> str:
--- a/tests/golden/test_simulator_wire.py
+++ b/tests/golden/test_simulator_wire.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+from typing import Any
 
 import pytest
 
@@ -25,7 +26,7 @@
 
 
 @pytest.mark.parametrize("case", MALFORMED, ids=[case["case"] for case in MALFORMED])
-def test_malformed_input_ends_as_recorded(case: dict[str, str]) -> None:
+def test_malformed_input_ends_as_recorded(case: dict[str, Any]) -> None:
     done = run_sim(bytes.fromhex(case["input"]))
     assert done.stdout == bytes.fromhex(case["output"])
     assert (done.returncode, error_text(done.stderr)) == (case["exit"], case["error"])
--- a/tests/golden/test_wire_batch.py
+++ b/tests/golden/test_wire_batch.py
@@ -162,7 +162,7 @@
     await front.ask("uploads: made again", ask("POST", "/v1/uploads", wanted, Idempotency_Key="u"))
     other = ask("POST", "/v1/uploads", wanted | {"filename": "v"}, Idempotency_Key="u")
     await front.ask("uploads: the key again with another", other)
-    for case, changes in {
+    bad_uploads: dict[str, dict[str, Any]] = {
         "no filename": {"filename": ""},
         "a long filename": {"filename": "f" * 513},
         "no size": {"bytes": None},
@@ -170,8 +170,9 @@
         "too large": {"bytes": KB * KB + 1},
         "another purpose": {"purpose": "vision"},
         "no mime_type": {"mime_type": 5},
-    }.items():
-        await front.ask(f"uploads: {case}", ask("POST", "/v1/uploads", wanted | changes))
+    }
+    for case, changes in bad_uploads.items():
+        await front.ask(f"uploads: {case}", ask("POST", "/v1/uploads", {**wanted, **changes}))
     path = f"/v1/uploads/{upload['id']}"
     one = await front.ask("part", form(f"{path}/parts", data[:9], "data", Idempotency_Key="p"))
     await front.ask("part: again", form(f"{path}/parts", data[:9], "data", Idempotency_Key="p"))
@@ -207,7 +208,7 @@
     await front.ask(
         "batches: the key again with another", ask("POST", "/v1/batches", good, Idempotency_Key="b")
     )
-    for case, changes in {
+    bad_batches: dict[str, dict[str, Any]] = {
         "no input": {"input_file_id": None},
         "input that is not there": {"input_file_id": "file-none"},
         "no endpoint": {"endpoint": None},
@@ -216,8 +217,9 @@
         "a bad window": {"completion_window": "soon"},
         "a long window": {"completion_window": "8d"},
         "bad metadata": {"metadata": {"a": 5}},
-    }.items():
-        await front.ask(f"batches: {case}", ask("POST", "/v1/batches", good | changes))
+    }
+    for case, changes in bad_batches.items():
+        await front.ask(f"batches: {case}", ask("POST", "/v1/batches", {**good, **changes}))
     await front.ask("batches: no JSON", ask("POST", "/v1/batches", b"{"))
     await front.ask("batches: no object", ask("POST", "/v1/batches", b"[]"))
     await front.ask("batches: a body too large", ask("POST", "/v1/batches", b" " * (KB * KB + 1)))
--- a/tests/golden/transcripts.py
+++ b/tests/golden/transcripts.py
@@ -23,7 +23,7 @@
         self._ids: dict[bytes, bytes] = {}
 
     def normalise(self, data: bytes, ports: dict[int, str] | None = None) -> bytes:
-        """What is replaced, and nothing else:
+        """Replace what varies, and nothing else.
 
         - ports that the kernel picked, by the name of who listens there;
         - ids that the batch front draws, by their kind and the order in which they come;
