--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -141,8 +141,8 @@
         return [d for d in self.world.started if d.outcome is None]
 
     def serve(self, attempt: Any) -> None:
-        attempt.streamed(ANSWER)
-        attempt.ended(Outcome.OK)
+        attempt.stream_received(ANSWER)
+        attempt.end(Outcome.OK)
 
     async def close(self) -> None:
         await self.runner.stop()
@@ -214,11 +214,11 @@
     async def test() -> None:
         batch = await bench.batch(*lines(1))
         await until(lambda: len(bench.out()) == 1)
-        call = bench.out()[0].request
+        request = bench.out()[0].request
         bench.world.core.transport.cancel(bench.out()[0])
         bench.out()[0].outcome = Outcome.OVERLOADED
-        call.answered = True
-        call.sink.refuse(5 * SECOND)
+        request.answered = True
+        request.response.reject(5 * SECOND)
         await until(lambda: not bench.runner.running)
         bench.clock += 4
         await asyncio.sleep(0.15)
@@ -239,8 +239,8 @@
         batch = await bench.batch(*lines(1))
         for _ in range(2):
             await until(lambda: bool(bench.out()))
-            bench.out()[0].streamed(EVENTS[0])
-            bench.out()[0].ended(Outcome.RESET)  # half an answer is none
+            bench.out()[0].stream_received(EVENTS[0])
+            bench.out()[0].end(Outcome.RESET)  # half an answer is none
             await until(lambda: not bench.runner.running)
             bench.clock += 2
         await until(lambda: batch.final)
@@ -409,7 +409,7 @@
             await asyncio.sleep(0.06)
             for attempt in bench.out():
                 attempt.outcome, attempt.request.answered = Outcome.OVERLOADED, True
-                attempt.request.sink.refuse(60 * SECOND)
+                attempt.request.response.reject(60 * SECOND)
         assert bench.runner.waiting == 4 and len(bench.world.started) == 4
         await bench.store.set_status(batch, "cancelling")
         await until(lambda: batch.final)
