--- a/lockspoke/batch/batch_run.py
+++ b/lockspoke/batch/batch_run.py
@@ -18,7 +18,7 @@
 
     batch: Batch
     index: InputIndex
-    next_line: int = 0  # the first line that has not been taken in order
+    next_line: int = 0  # lines before it have been started or ended
     active: set[int] = field(default_factory=set)  # lines in flight, backing off or being ended
     drained: asyncio.Event = field(default_factory=asyncio.Event)  # set once all lines have ended
     _own_deadlines: list[tuple[float, int]] = field(default_factory=list)  # a heap, by deadline
@@ -31,7 +31,7 @@
 
     @property
     def all_taken(self) -> bool:
-        """Whether no line is left to be taken in order."""
+        """Whether `take_next` has gone through all lines."""
         return self.next_line >= self.batch.total
 
     def deadline(self, line: int) -> float:
--- a/lockspoke/batch/line_runner.py
+++ b/lockspoke/batch/line_runner.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _AttemptHistory:
-    """What the attempts of a line have come to so far."""
+    """Outcomes of the attempts of a line so far."""
 
     failures: int = 0
     consecutive_rejections: int = 0
--- a/lockspoke/batch/store.py
+++ b/lockspoke/batch/store.py
@@ -1,7 +1,7 @@
 """Files, uploads and batches as they are stored: contents in files, everything else in one journal.
 
 A change is written to the journal first and applied to memory afterwards, by the same code that reads the
-journal at start-up. What a client has been told therefore survives a crash.
+journal at start-up. Whatever a response has confirmed therefore survives a crash.
 """
 
 from __future__ import annotations
--- a/lockspoke/batch/validation.py
+++ b/lockspoke/batch/validation.py
@@ -122,7 +122,7 @@
 def decode_range(text: str, size: int) -> ByteRange | None:
     """The range that a `Range` header asks for; None to send the complete file.
 
-    None also stands for what a server may ignore: several ranges, other units, a malformed header.
+    The result is also None for what a server may ignore: several ranges, other units, a malformed header.
 
     Raises:
         ApiError: The range lies past the end of the file (416).
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -1,9 +1,8 @@
-"""The batch front in a running program: the public API, a crash, and interactive requests beside it."""
+"""The batch front in a running program: a crash, reloads, and interactive requests beside it."""
 
 from __future__ import annotations
 
 import asyncio
-import json
 import time
 from pathlib import Path
 from typing import Any
@@ -12,89 +11,11 @@
 
 from lockspoke.lifecycle.config import ConfigError
 from lockspoke.lifecycle.edge_file import read_batch_file
-from lockspoke.wire.http.http1 import encode_request
 from tests.standins import EVENTS, HEAD, ROOT, TAIL, Client, FakeWorker, Program, call_bytes, chunk, until
 
-LINES = 2000
-URL = "/v1/chat/completions"
-
-
-def batch_config(folder: Path, **settings: Any) -> Path:
-    values = {"listen": "127.0.0.1:0", "store": str(folder / "store"), "concurrency": 8} | settings
-    path = folder / "batch.toml"
-    tables = {key: value for key, value in values.items() if isinstance(value, dict)}
-    plain = {key: value for key, value in values.items() if key not in tables}
-    sections = [toml_lines(plain)] + [f"[{name}]\n{toml_lines(table)}" for name, table in tables.items()]
-    path.write_text("\n".join(sections))
-    return path
-
-
-def toml_lines(values: dict[str, Any]) -> str:
-    return "\n".join(f"{key} = {json.dumps(value)}" for key, value in values.items())
-
-
-class Api:
-    """A client of the batch API on one connection."""
-
-    def __init__(self, client: Client) -> None:
-        self.client = client
-
-    async def request(
-        self, method: str, path: str, body: Any = None, expect: int = 200, **headers: str
-    ) -> tuple[Any, dict[str, str]]:
-        raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
-        fields = {"Host": "a"} | {name.replace("_", "-"): value for name, value in headers.items()}
-        status, got, data, complete = await self.client.ask(encode_request(method, path, fields, raw))
-        assert (status, complete) == (expect, True), (status, data)
-        return (json.loads(data) if "json" in got["content-type"] else data), got
-
-    async def send_form(self, path: str, name: str, data: bytes, expect: int = 200, **headers: str) -> Any:
-        body = b'--b\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n'
-        body += (
-            b'--b\r\nContent-Disposition: form-data; name="%b"; filename="in.jsonl"\r\n\r\n' % name.encode()
-        )
-        body += data + b"\r\n--b--\r\n"
-        headers["Content_Type"] = "multipart/form-data; boundary=b"
-        return (await self.request("POST", path, body, expect, **headers))[0]
-
-    async def create_batch(self, data: bytes, window: str = "24h", **headers: str) -> str:
-        file = await self.send_form("/v1/files", "file", data)
-        raw = {"input_file_id": file["id"], "endpoint": URL, "completion_window": window}
-        batch = (await self.request("POST", "/v1/batches", raw, 200, **headers))[0]
-        assert batch["object"] == "batch"
-        assert batch["status"] in ("validating", "in_progress")
-        return str(batch["id"])
-
-    async def wait_until_final(self, batch_id: str) -> Any:
-        async with asyncio.timeout(120):
-            while True:
-                batch = (await self.request("GET", f"/v1/batches/{batch_id}"))[0]
-                if batch["status"] in ("completed", "failed", "expired", "cancelled"):
-                    return batch
-                await asyncio.sleep(0.05)
-
-    async def results(self, file_id: str) -> list[Any]:
-        data = (await self.request("GET", f"/v1/files/{file_id}/content"))[0]
-        return [json.loads(line) for line in data.splitlines()]
-
+from .api_client import batch_config, connect, input_file
 
-def input_file(count: int) -> bytes:
-    body = {"model": "m", "messages": [{"role": "user", "content": "summarise the lamps of street 7"}]}
-    rows = [{"custom_id": f"c{n}", "method": "POST", "url": URL, "body": body} for n in range(count)]
-    return b"".join(json.dumps(row).encode() + b"\n" for row in rows)
-
-
-def batch_port(program: Program) -> int:
-    found = program.log("batch_listening")
-    assert found is not None
-    return int(found["port"])
-
-
-async def connect(program: Program) -> Api:
-    await until(lambda: program.log("batch_listening") is not None)
-    client = Client(batch_port(program))
-    await client.__aenter__()
-    return Api(client)
+LINES = 2000
 
 
 def test_two_thousand_lines_survive_a_kill_and_a_restart(tmp_path: Path) -> None:
@@ -198,99 +119,6 @@
     assert beside >= 0.98 * alone
 
 
-def test_files_uploads_and_batches_follow_the_public_api(tmp_path: Path) -> None:
-    options = ("--batch", batch_config(tmp_path, max_file_mb=1))
-
-    async def scenario() -> None:
-        async with FakeWorker() as replica, Program(replica, options=options) as program:
-            api = await connect(program)
-            # A creation that is repeated with its idempotency key gives what it gave the first time.
-            file = await api.send_form("/v1/files", "file", input_file(2), Idempotency_Key="f")
-            assert file == await api.send_form("/v1/files", "file", input_file(2), Idempotency_Key="f")
-            error = (await api.send_form("/v1/files", "file", input_file(3), 409, Idempotency_Key="f"))[
-                "error"
-            ]
-            assert error["code"] == "idempotency_key_reused" and error["type"] == "invalid_request_error"
-            assert (file["object"], file["bytes"], file["purpose"]) == ("file", len(input_file(2)), "batch")
-            raw = {
-                "input_file_id": file["id"],
-                "endpoint": URL,
-                "completion_window": "24h",
-            }
-            repeated = [
-                (
-                    await api.request(
-                        "POST", "/v1/batches", raw | {"metadata": {"a": "b"}}, Idempotency_Key="b"
-                    )
-                )[0]
-                for _ in range(2)
-            ]
-            assert repeated[0]["id"] == repeated[1]["id"]
-            assert repeated[0]["metadata"] == {"a": "b"}
-            batch = await api.wait_until_final(repeated[0]["id"])
-            results = await api.results(batch["output_file_id"])
-            message = results[0]["response"]["body"]["choices"][0]["message"]
-            assert message == {"role": "assistant", "content": "one two"}
-
-            # A download resumes where it broke.
-            path = f"/v1/files/{file['id']}/content"
-            complete, head = await api.request("GET", path)
-            part, got = await api.request("GET", path, expect=206, Range="bytes=10-19", If_Range=head["etag"])
-            assert part == complete[10:20] and got["content-range"] == f"bytes 10-19/{len(complete)}"
-            assert (await api.request("GET", path, Range="bytes=10-", If_Range='"old"'))[0] == complete
-            await api.request("GET", path, expect=416, Range=f"bytes={len(complete)}-")
-
-            # A file in parts, one of them repeated.
-            raw = {
-                "filename": "u.jsonl",
-                "purpose": "batch",
-                "bytes": len(complete),
-                "mime_type": "application/jsonl",
-            }
-            upload = (await api.request("POST", "/v1/uploads", raw))[0]
-            parts_path = f"/v1/uploads/{upload['id']}/parts"
-            part_ids = []
-            for data, key in ((complete[:100], "p1"), (complete[100:], "p2"), (complete[100:], "p2")):
-                part_ids.append((await api.send_form(parts_path, "data", data, Idempotency_Key=key))["id"])
-            assert part_ids[1] == part_ids[2]
-            complete_path = f"/v1/uploads/{upload['id']}/complete"
-            await api.request("POST", complete_path, {"part_ids": part_ids[:1]}, expect=400)
-            completed = (await api.request("POST", complete_path, {"part_ids": part_ids[:2]}))[0]
-            repeated_completion = (await api.request("POST", complete_path, {"part_ids": part_ids[:2]}))[0]
-            assert completed == repeated_completion
-            assert completed["status"] == "completed"
-            assert (await api.request("GET", f"/v1/files/{completed['file']['id']}/content"))[0] == complete
-            await api.send_form(parts_path, "data", b"x", 409)
-
-            # Listings, page by page; newest first.
-            files = (await api.request("GET", "/v1/files?limit=2"))[0]
-            assert files["has_more"] and files["data"][0]["id"] == completed["file"]["id"]
-            rest = (await api.request("GET", f"/v1/files?after={files['last_id']}"))[0]
-            assert not rest["has_more"] and rest["data"][-1]["id"] == file["id"]
-            assert (await api.request("GET", "/v1/batches"))[0]["data"] == [batch]
-
-            # Errors, each with an error object.
-            for method, path, body, status in (
-                ("GET", "/v1/nothing", None, 404),
-                ("GET", "/v1/files/file-none", None, 404),
-                ("PUT", "/v1/files", {}, 405),
-                ("POST", "/v1/files", {}, 415),
-                ("POST", "/v1/batches", b"{", 400),
-                ("POST", "/v1/batches", {"endpoint": "/v1/embeddings", "completion_window": "24h"}, 400),
-                ("POST", "/v1/batches", raw, 400),
-                ("POST", f"/v1/batches/{batch['id']}/cancel", {}, 409),
-                ("GET", "/v1/batches?limit=0", None, 400),
-            ):
-                error = (await api.request(method, path, body, expect=status))[0]["error"]
-                assert error["message"] and error["type"] == "invalid_request_error"
-            await api.send_form("/v1/files", "file", b"x" * 1_100_000, 413)
-            api = await connect(program)
-            assert (await api.request("DELETE", f"/v1/files/{file['id']}"))[0]["deleted"] is True
-            await api.request("GET", f"/v1/files/{file['id']}", expect=404)
-
-    asyncio.run(scenario())
-
-
 def test_an_inventory_feeds_the_replica_set_and_an_invalid_reload_keeps_the_old_list(tmp_path: Path) -> None:
     inventory = tmp_path / "replicas.csv"
     options = (
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -10,7 +10,7 @@
 
 from lockspoke.balancing.events import Outcome
 from lockspoke.batch.journal import StoreError
-from lockspoke.batch.records import BatchStatus, LineStatus
+from lockspoke.batch.records import Batch, BatchStatus, LineStatus
 from lockspoke.batch.scheduler import MAX_ENDING
 from lockspoke.batch.slots import PAUSE_AFTER_REJECTION
 from lockspoke.batch.store import BatchStore
@@ -153,16 +153,22 @@
     harness.run(scenario)
 
 
+async def serve_next(harness: Harness, batch: Batch) -> None:
+    """Serve one attempt and wait until the store has its result."""
+    served = batch.line_counts.get(LineStatus.SERVED, 0)
+    harness.serve(harness.in_flight()[0])
+    await until(lambda: batch.line_counts.get(LineStatus.SERVED) == served + 1)
+
+
 def test_a_restart_finishes_open_lines_and_runs_no_ended_line_again(tmp_path: Path) -> None:
     first = Harness(tmp_path, concurrency=3)
 
     async def serve_two_lines_and_crash() -> str:
         first.runner.start()
         batch = await first.begin_batch(*lines(6))
-        for served in range(1, 3):
+        for _ in range(2):
             await until(lambda: len(first.in_flight()) == 3)
-            first.serve(first.in_flight()[0])
-            await until(lambda served=served: batch.line_counts.get(LineStatus.SERVED) == served)  # type: ignore[misc]  # mypy infers no type for a lambda's default
+            await serve_next(first, batch)
         return batch.id  # without closing anything
 
     batch_id = asyncio.run(serve_two_lines_and_crash())
