--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -19,6 +19,7 @@
 from lockspoke.address.member import Member
 from lockspoke.address.settings import AddressSettings, endpoint
 from lockspoke.core.core import Core
+from lockspoke.core.totals import RequestOutcome
 from lockspoke.lifecycle.config import ConfigError, GatewayConfig
 from lockspoke.lifecycle.subsystems import EndpointListSource, Subsystem, SubsystemContext
 from lockspoke.wire.clients.front import ClientConnection, ClientFront
@@ -107,9 +108,9 @@
             self.member.keep_record()
 
     def _vitals(self, now: float) -> Vitals:
-        totals = self.core.totals
-        failed = totals["failed"] + totals["refused"]
-        self._samples.append((now, totals["served"] + failed, failed))
+        outcomes = self.core.totals.request_outcomes
+        failed = outcomes[RequestOutcome.FAILED] + outcomes[RequestOutcome.REJECTED]
+        self._samples.append((now, outcomes[RequestOutcome.SERVED] + failed, failed))
         while self._samples[0][0] < now - WINDOW:
             self._samples.popleft()
         calls = self._samples[-1][1] - self._samples[0][1]
--- a/lockspoke/batch/lines.py
+++ b/lockspoke/batch/lines.py
@@ -10,7 +10,8 @@
 from lockspoke.batch.runner import Answer, BadLinesError
 from lockspoke.batch.store import Batch, BatchStore, LineStatus
 from lockspoke.core.identifiers import key_identifier
-from lockspoke.core.requests import ClientRequest, ResponseWriter
+from lockspoke.core.interfaces import ResponseWriter
+from lockspoke.core.requests import ClientRequest
 from lockspoke.units import SECOND
 from lockspoke.wire.http.http1 import BODY_LIMIT
 
--- a/lockspoke/batch/runner.py
+++ b/lockspoke/batch/runner.py
@@ -13,7 +13,8 @@
 import structlog
 
 from lockspoke.core.core import Core
-from lockspoke.core.requests import ClientRequest, ResponseWriter
+from lockspoke.core.interfaces import ResponseWriter
+from lockspoke.core.requests import ClientRequest
 from lockspoke.units import SECOND
 
 from .journal import StoreError
--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -1,112 +1,98 @@
-"""The core: feeds the decisions with events, carries out their actions, and owes each request one answer.
+"""The core: the one object through which fronts, discovery and subsystems use this package.
 
-It knows no wire. Fronts hand it a `ClientRequest` with a sink for the answer; replicas and discovery are
-reached through the small interfaces of `requests.py`.
+It feeds the balancer with events, has its actions carried out, and sees to it that each request gets exactly
+one answer. Fronts submit a `ClientRequest` that carries the writer of its response; replicas, discovery and
+the clock are reached through the protocols of `interfaces.py`.
 """
 
 from __future__ import annotations
 
-import asyncio
-from collections import Counter
-from collections.abc import Callable, Iterable, Sequence
-from typing import Protocol
-
-import structlog
+from collections.abc import Iterable, Sequence
 
 from lockspoke.balancing import Balancer
-from lockspoke.balancing.actions import Action, Fail, Log, Reject, SendAttempt, SetTimer, WatchEndpointList
 from lockspoke.balancing.events import (
-    AttemptEnded,
     ClientDisconnected,
     EndpointListKind,
     EndpointListUpdate,
-    Event,
-    FirstToken,
     Outcome,
     RequestArrived,
-    TimerFired,
 )
 from lockspoke.balancing.settings import BalancerSettings
-from lockspoke.units import MILLISECOND, SECOND
-
-from .decision_loop import DecisionLoop
-from .replica_set import UNKNOWN_VERSION, ReplicaListUpdate, ReplicaSet
-from .requests import Attempt, AttemptStage, ClientRequest, Discovery, SendPermission, Transport
-
-SWEEP = SECOND // 4
-SILENT = 3 * SECOND  # a stream that brings nothing for so long has lost its replica
-OVERDUE = 10 * MILLISECOND  # past the deadline: an answer that the decisions owe is given for them
-
-log = structlog.get_logger()
-
-
-class TimerHandle(Protocol):
-    """What was asked of the clock, and can be called off."""
-
-    def cancel(self) -> None:
-        """It is not wanted any more: nothing is kept for it."""
-
-
-class Clock(Protocol):
-    """The clock, and a way to be called later."""
+from lockspoke.units import SECOND
 
-    def now(self) -> int:
-        """Nanoseconds since the Unix epoch, never going back."""
+from .actions import ActionExecutor
+from .interfaces import Clock, Discovery, Transport
+from .replica_set import ReplicaListUpdate, ReplicaSet, ReplicaSetChange
+from .request_lifecycle import RequestLifecycle
+from .requests import Attempt, ClientRequest
+from .stream_supervision import StreamSupervision
+from .totals import RequestOutcome, Totals
 
-    def earliest_arrival(self) -> int:
-        """The earliest moment at which what is taken up now can have come: a busy loop reads late."""
-
-    def call_later(self, delay: int, callback: Callable[[], None]) -> TimerHandle:
-        """ClientRequest back after so many nanoseconds."""
+WATCH_RETRY_DELAY = SECOND  # after a failed poll, where the balancer does not schedule the polls
 
 
 class Core:
-    """All that one gateway keeps of its requests."""
+    """The state of one gateway: its requests, their attempts, the replicas and the balancer."""
 
     def __init__(
         self,
         settings: BalancerSettings,
         seed: int,
         replica_set: ReplicaSet,
-        timers: Clock,
+        clock: Clock,
         transport: Transport,
         discovery: Discovery,
     ) -> None:
         self.balancer = Balancer(settings, seed)
-        decisions = DecisionLoop(self.balancer, timers.now, self._carry_out, self._decisions_failed)
-        self._post = decisions.post
         self.replica_set = replica_set
-        self.clock = timers
+        self.clock = clock
         self.transport = transport
         self.discovery = discovery
-        self.requests: dict[int, ClientRequest] = {}
-        self.totals: Counter[str] = Counter()
-        self.interactive_rejected_at = 0  # when a request that somebody waits for was last turned away
+        self.request_lifecycle = RequestLifecycle()
+        self.requests = self.request_lifecycle.open_requests
+        executor = ActionExecutor(
+            self.balancer, self.request_lifecycle, replica_set, clock, transport, discovery
+        )
+        self._post = executor.post
+        self.attempts = executor.attempts
+        self.stream_supervision = StreamSupervision(
+            self.request_lifecycle, self.attempts, clock, transport, self._post
+        )
         self._polls_endpoint_list = settings.polls_endpoint_list
 
+    @property
+    def totals(self) -> Totals:
+        """Counters since the start."""
+        return self.request_lifecycle.totals
+
+    @property
+    def interactive_rejected_at(self) -> int:
+        """When the balancer last rejected a request that is not background; 0: never."""
+        return self.request_lifecycle.interactive_rejected_at
+
     def start(self) -> None:
-        """Begin to look after streams and overdue answers."""
-        self._sweep()
+        """Begin the periodic checks, and the watch of the endpoint list."""
+        self.stream_supervision.run()
         if not self._polls_endpoint_list:
-            # The decisions expect the list to come by itself; on sockets it never does unasked.
+            # With these settings the balancer expects to be sent the list without asking, but discovery
+            # sends nothing that was not asked for. Otherwise the balancer starts the watch by an action.
             self.discovery.watch(True)
 
     def reconfigure(self, settings: BalancerSettings, zones: Sequence[str]) -> bool:
-        """New settings from now on; whether the replica set has to be told the whole list again for them."""
+        """Apply new settings. Returns whether they need a full endpoint list, as new zones do."""
         self._polls_endpoint_list = settings.polls_endpoint_list
         self.balancer.reconfigure(settings)
-        return self.replica_set.rename_zones(zones)
+        return self.replica_set.set_zones(zones)
 
-    # What fronts and discovery say
+    # Requests
 
     def submit(self, request: ClientRequest) -> None:
-        """Take a request; from here on it is owed one final answer."""
+        """Take in a request. From here on it gets exactly one answer, unless its client disconnects first."""
         request.number = self.replica_set.identifiers.request()
         now = self.clock.now()
         request.deadline = (request.arrived_at or now) + request.time_remaining
         request.class_settings = self.balancer.settings.classes[request.request_class]
-        self.requests[request.number] = request
-        self.totals["calls"] += 1
+        self.request_lifecycle.register(request)
         self._post(
             RequestArrived(
                 request=request.number,
@@ -123,43 +109,21 @@
         )
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """The client is gone: nothing is owed any more, but what has been sent for it runs on."""
+        """Complete a request whose client has disconnected.
+
+        Its attempts go on: a replica does not stop generating when the client disconnects, and reading the
+        stream to its end shows the balancer how long the replica is busy with it.
+        """
         if request.answered:
             return
-        # A replica does not stop for a client that left; read to its end, the stream still tells the
-        # decisions how busy that replica is.
-        self._answered(request, "left")
+        self.request_lifecycle.complete(request, RequestOutcome.CLIENT_DISCONNECTED)
         self._post(ClientDisconnected(request.number))
 
-    def endpoint_list_changed(
-        self, update: ReplicaListUpdate, cached: bool = False, completes_poll: bool = True
-    ) -> None:
-        """The list of replicas, or a change of it; `answers`: it ends the request that is out, or due."""
-        told, left = self.replica_set.apply(update, cached, completes_poll)
-        for replica in left:
-            self.transport.close_idle_connections(replica)
-        self._post(told)
-        # What discovery has named all day would be kept for ever: only what is still in use is.
-        self.replica_set.prune(self.balancer.replicas)
+    def interactive_request_waiting(self) -> bool:
+        """Whether a request that is not background is queued because no replica has capacity for it."""
+        return self.request_lifecycle.interactive_request_waiting()
 
-    def set_banned(self, uid: str, banned: bool) -> bool:
-        """An operator takes a replica out of use or puts it back; False where no list has named it."""
-        found = self.replica_set.set_banned(uid, banned)
-        if found is None:
-            return False
-        told, closing = found
-        for replica in closing:
-            self.transport.close_idle_connections(replica)
-        if told.entries:
-            self._post(told)
-        return True
-
-    def endpoint_list_failed(self) -> None:
-        """A request for the list has failed; the old list still holds."""
-        self.totals["list_failed"] += 1
-        self._post(EndpointListUpdate(EndpointListKind.FAILED))
-        if not self._polls_endpoint_list:
-            self.clock.call_later(SECOND, lambda: self.discovery.watch(True))
+    # Hand-off
 
     def hand_off(
         self,
@@ -167,237 +131,73 @@
         include_streams: bool = True,
         immediately: bool = True,
     ) -> None:
-        """Give requests away to other gateways: those named, or all; streams too if clients ask for the rest.
+        """End requests here so that their clients continue at other gateways.
+
+        A stream is cut, and its client requests the rest elsewhere. A request that has not begun to stream
+        is rejected if a retry does no harm, and failed otherwise. The attempts are cancelled, since nothing
+        uses their responses any more.
 
-        A stream ends without its end, and its client goes on elsewhere. If that is not pressing (`at_once`),
-        one of which more has come than was passed on is let go on meanwhile: its replica may have finished
-        it. A request that has not begun gets an overload reply if it may be repeated. What replicas still run
-        for them is of no use any more.
+        Args:
+            requests: The requests to hand off; None for all.
+            include_streams: Whether to cut streams too.
+            immediately: If False, a stream with data that is not forwarded yet goes on for now, and no
+                longer waits for a slow client: its replica may have finished it already.
         """
         for request in list(self.requests.values() if requests is None else requests):
-            if (
-                request.streaming_attempt is not None
-                and request.streaming_attempt.outcome is None
-                and not request.answered
-            ):
+            stream = request.streaming_attempt
+            if stream is not None and stream.outcome is None and not request.answered:
                 if not include_streams:
                     continue
                 request.handing_off = True
-                self._unthrottle(request.streaming_attempt)
-                if not immediately and self.transport.has_unread_response(request.streaming_attempt):
+                self.attempts.resume_reading(stream)
+                if not immediately and self.transport.has_unread_response(stream):
                     continue
             if not request.answered:
-                if request.streaming_attempt is not None:
-                    self._answered(request, "handed_over")
-                    request.response.abort()
-                elif request.safe_to_reject:
-                    self._answered(request, "refused")
-                    request.response.reject(0)
-                else:
-                    self._answered(request, "failed")
-                    request.response.fail()
-                self._post(ClientDisconnected(request.number))
+                self._end_for_hand_off(request, stream)
             for attempt in request.attempts:
-                self._give_up(attempt, Outcome.CANCELLED)
-
-    def _give_up(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt that is out; of one that was never sent nothing may have run, whatever ends it."""
-        if attempt.outcome is None:
-            self.transport.cancel(attempt)
-            self.attempt_ended(attempt, outcome if attempt.maybe_ran else Outcome.NEVER_SENT)
-
-    def interactive_request_waiting(self) -> bool:
-        """Whether a request that somebody waits for is held, since no replica has room for it."""
-        return any(
-            not request.background
-            and not request.answered
-            and all(one.outcome is not None for one in request.attempts)
-            for request in self.requests.values()
-        )
-
-    # What attempts say
-
-    def permission_to_send(self, attempt: Attempt) -> SendPermission:
-        """Its connection is up: whether its first byte may go out now.
-
-        Connecting takes its time, and what was decided before may not hold any more: the client has left,
-        the replica was told to drain or has begun anew, the time in which a repeat does no harm has passed.
-        A busy loop reads late, so what lies unread from discovery or the client is taken first: both count
-        from when they were written. This is the one way to a first byte, for every attempt of every front.
-        """
-        now, request, replica = self.clock.now(), attempt.request, attempt.replica
-        if attempt.outcome is not None:
-            return SendPermission.ENDED
-        late = now >= attempt.deadline or (attempt.start_by and now >= attempt.start_by)
-        moved = replica.incarnation != attempt.replica_incarnation or not self.replica_set.accepts_requests(
-            replica
-        )
-        if request.answered or request.streaming_attempt is not None or late or moved:
-            self.attempt_ended(attempt, Outcome.NEVER_SENT)
-            return SendPermission.ENDED
-        if self.discovery.has_unread_changes or request.response.has_unread_input:
-            return SendPermission.CHECK_AGAIN
-        attempt.stage = AttemptStage.SENT
-        return SendPermission.GRANTED
-
-    def stream_received(self, attempt: Attempt, data: bytes) -> asyncio.Future[None] | None:
-        """A piece of a stream: the first makes the request this attempt's, all pass on as they come."""
-        request = attempt.request
-        if attempt.outcome is not None:
-            return None
-        attempt.last_received_at = self.clock.now()
-        if request.streaming_attempt is None:
-            request.streaming_attempt, attempt.stage = attempt, AttemptStage.STREAMING
-            request.body = b""  # nothing is sent again for a request that streams, and streams are long
-            self._call_off(attempt)
-            self._first_token(attempt)
-            for other in request.attempts:
-                if other is not attempt:
-                    self._give_up(other, Outcome.CANCELLED)
-        if request.answered or request.streaming_attempt is not attempt:
-            return None
-        written = request.response.write(data)
-        if written is None or request.handing_off:
-            return None
-        attempt.backpressure = asyncio.get_running_loop().create_future()
-        written.add_done_callback(lambda _: self._unthrottle(attempt))
-        return attempt.backpressure
-
-    def _unthrottle(self, attempt: Attempt) -> None:
-        """Its client has caught up, or is not waited for any more."""
-        waits, attempt.backpressure = attempt.backpressure, None
-        if waits is not None:
-            attempt.last_received_at = self.clock.now()
-            if not waits.done():
-                waits.set_result(None)
+                self.attempts.abandon(attempt, Outcome.CANCELLED)
+
+    def _end_for_hand_off(self, request: ClientRequest, stream: Attempt | None) -> None:
+        if stream is not None:
+            self.request_lifecycle.complete(request, RequestOutcome.HANDED_OFF)
+            request.response.abort()
+        else:
+            self.request_lifecycle.reject_or_fail(request)
+        self._post(ClientDisconnected(request.number))
 
-    def _first_token(self, attempt: Attempt) -> None:
-        elapsed = attempt.last_received_at - attempt.started_at
-        number = attempt.replica.number
-        self._post(FirstToken(attempt.request.number, attempt.index, number, elapsed))
+    # The endpoint list
 
-    def attempt_ended(
-        self,
-        attempt: Attempt,
-        outcome: Outcome,
-        cached_tokens: int = 0,
-        report: tuple[float, ...] = (),
+    def endpoint_list_changed(
+        self, update: ReplicaListUpdate, cached: bool = False, completes_poll: bool = True
     ) -> None:
-        """An attempt is over; what it means for its request follows from whether it had begun to stream."""
-        if attempt.outcome is not None:
-            return
-        attempt.outcome = outcome
-        self._call_off(attempt)
-        request = attempt.request
-        self.totals[f"outcome_{outcome.name.lower()}"] += 1
-        if not request.answered:
-            if outcome is Outcome.OK:
-                self._answered(request, "served")
-                request.response.finish()
-            elif request.streaming_attempt is attempt:
-                self._answered(request, "broken")
-                request.response.abort()
-        elapsed = self.clock.now() - attempt.started_at
-        number = attempt.replica.number
-        self._post(
-            AttemptEnded(
-                request.number,
-                attempt.index,
-                number,
-                outcome,
-                elapsed,
-                request.answered,
-                cached_tokens,
-                report,
-                attempt.connection_reused,
-            )
-        )
-        self._drop_if_over(request)
-
-    # The decisions
-
-    def _decisions_failed(self, event: Event) -> None:
-        self.totals["decisions_failed"] += 1
-        if isinstance(event, EndpointListUpdate):
-            # They may know a part of it only: the whole list is asked for next.
-            self.replica_set.version = UNKNOWN_VERSION
+        """Apply a full endpoint list, or a change of it.
 
-    def _carry_out(self, action: Action) -> None:
-        match action:
-            case SendAttempt(number, replica, timeout, begin_within):
-                self._send(number, replica, timeout, begin_within)
-            case Reject(number, retry_after):
-                request = self.requests.get(number)
-                if request is not None and not request.answered:
-                    if not request.background:
-                        self.interactive_rejected_at = self.clock.now()
-                    self._answered(request, "refused")
-                    request.response.reject(retry_after)
-            case Fail(number):
-                request = self.requests.get(number)
-                if request is not None and not request.answered:
-                    self._answered(request, "failed")
-                    request.response.fail()
-            case SetTimer(delay, token):
-                self.clock.call_later(delay, lambda: self._post(TimerFired(token)))
-            case WatchEndpointList(enable):
-                self.discovery.watch(enable)
-            case Log(text):
-                log.warning("decision", text=text)
-
-    def _send(self, number: int, replica_number: int, timeout: int, begin_within: int = 0) -> None:
-        request, replica = self.requests.get(number), self.replica_set.replicas.get(replica_number)
-        if request is None or replica is None:
-            log.error("send_unknown", call=number, worker=replica_number)
-            return
-        now = self.clock.now()
-        deadline = min(now + timeout, request.deadline) if timeout else request.deadline
-        attempt = Attempt(request, len(request.attempts), replica, now, deadline, self)
-        attempt.replica_incarnation = replica.incarnation
-        attempt.start_by = now + begin_within if begin_within else 0
-        request.attempts.append(attempt)
-        if request.answered or request.streaming_attempt is not None or now >= deadline:
-            self.attempt_ended(attempt, Outcome.NEVER_SENT)
-            return
-        self.totals["attempts"] += 1
-        attempt.timer = self.clock.call_later(deadline - now, lambda: self._timed_out(attempt))
-        self.transport.start(attempt)
-
-    @staticmethod
-    def _call_off(attempt: Attempt) -> None:
-        if attempt.timer is not None:
-            attempt.timer.cancel()
-            attempt.timer = None
-
-    def _timed_out(self, attempt: Attempt) -> None:
-        # A stream that has begun has no deadline.
-        if attempt.request.streaming_attempt is not attempt:
-            self._give_up(attempt, Outcome.TIMEOUT)
-
-    # The end of a request
+        Args:
+            update: The list or change.
+            cached: Whether it was stored by an earlier process, and is not confirmed by discovery yet.
+            completes_poll: Whether it answers the poll that the balancer waits for.
+        """
+        self._apply(self.replica_set.apply(update, cached, completes_poll))
+        # Without pruning, every replica that discovery has ever listed would be kept.
+        self.replica_set.prune(self.balancer.replicas)
 
-    def _answered(self, request: ClientRequest, how: str) -> None:
-        request.answered = True
-        self.totals[how] += 1
-        self._drop_if_over(request)
+    def set_banned(self, uid: str, banned: bool) -> bool:
+        """Ban a replica from new attempts, or lift the ban. Returns False if the replica is unknown."""
+        change = self.replica_set.set_banned(uid, banned)
+        if change is None:
+            return False
+        if change.event.entries:
+            self._apply(change)
+        return True
 
-    def _drop_if_over(self, request: ClientRequest) -> None:
-        if request.finished and self.requests.pop(request.number, None) is not None:
-            request.body = b""
+    def _apply(self, change: ReplicaSetChange) -> None:
+        for replica in change.connections_to_close:
+            self.transport.close_idle_connections(replica)
+        self._post(change.event)
 
-    def _sweep(self) -> None:
-        now = self.clock.now()
-        for request in list(self.requests.values()):
-            owner = request.streaming_attempt
-            if owner is not None and owner.outcome is None:
-                # A machine that vanished leaves its connections open and silent: its client would wait
-                # for ever, where it could ask for the rest.
-                if owner.backpressure is None and now - owner.last_received_at > SILENT:
-                    self.transport.cancel(owner)
-                    self.attempt_ended(owner, Outcome.RESET)
-            elif not request.answered and owner is None and now > request.deadline + OVERDUE:
-                self._answered(request, "overdue")
-                log.error("answer_overdue", call=request.number)
-                request.response.fail()
-                self._post(ClientDisconnected(request.number))
-        self.clock.call_later(SWEEP, self._sweep)
+    def endpoint_list_failed(self) -> None:
+        """Take note that a poll of the endpoint list has failed; the last list stays in force."""
+        self.totals.endpoint_list_polls_failed += 1
+        self._post(EndpointListUpdate(EndpointListKind.FAILED))
+        if not self._polls_endpoint_list:
+            self.clock.call_later(WATCH_RETRY_DELAY, lambda: self.discovery.watch(True))
--- a/lockspoke/core/decision_loop.py
+++ b/lockspoke/core/decision_loop.py
@@ -1,4 +1,4 @@
-"""The decisions at work: events go in one at a time, and the actions that follow are carried out in order."""
+"""The loop that feeds events to the balancer, one at a time, and has its actions carried out in order."""
 
 from __future__ import annotations
 
@@ -15,43 +15,51 @@
 
 
 class DecisionLoop:
-    """Feeds a balancer with events. Carrying out an action may bring more of them: they wait their turn."""
+    """Feeds a balancer with events.
+
+    Carrying out an action may post more events. They are queued until all actions of the current event are
+    carried out.
+    """
 
     def __init__(
         self,
         balancer: Balancer,
         now: Callable[[], int],
-        carry_out: Callable[[Action], None],
-        failed: Callable[[Event], None],
+        execute: Callable[[Action], None],
+        decision_failed: Callable[[Event], None],
     ) -> None:
-        self.balancer = balancer
+        self._balancer = balancer
         self._now = now
-        self._carry_out = carry_out
-        self._failed = failed  # told of an event that the balancer raised an exception at
-        self._events: deque[Event] = deque()
-        self._busy = False
+        self._execute = execute
+        self._decision_failed = decision_failed  # called with the event when the balancer raises
+        self._queue: deque[Event] = deque()
+        self._running = False
 
     def post(self, event: Event) -> None:
-        """Have an event decided on, and all that follow from it."""
-        self._events.append(event)
-        if self._busy:
+        """Queue an event, and process the queue unless that is under way further up the call stack."""
+        self._queue.append(event)
+        if self._running:
             return
-        self._busy = True
+        self._running = True
         try:
-            while self._events:
-                self._decide(self._events.popleft())
+            while self._queue:
+                self._process(self._queue.popleft())
         finally:
-            self._busy = False
+            self._running = False
+
+    def _process(self, event: Event) -> None:
+        """Have one event decided on, and carry out the actions.
 
-    def _decide(self, event: Event) -> None:
-        """Have one event decided on: a fault costs what would have followed from it, and no other event."""
+        If the balancer raises an exception, the rest of this event's decisions is lost, but no other event.
+        """
         try:
-            actions = self.balancer.handle(self._now(), [event])
+            actions = self._balancer.handle(self._now(), [event])
         except Exception:
-            # The program must outlive a fault of the decisions; the sweep answers what they leave open.
-            log.exception("decisions_failed", given=type(event).__name__)
-            self._failed(event)
-            # What was decided before the fault is counted as done by then, and so it has to be.
-            actions = self.balancer.out
+            # The gateway must survive a fault of the balancer. Requests that stay unanswered because of it
+            # are failed by the periodic check for overdue requests.
+            log.exception("decision_failed", event_type=type(event).__name__)
+            self._decision_failed(event)
+            # The balancer already counts the actions decided before the fault as done: carry them out.
+            actions = self._balancer.out
         for action in actions:
-            self._carry_out(action)
+            self._execute(action)
--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -1,21 +1,29 @@
-"""The replica set: the replicas that the list has named, and where they listen."""
+"""The set of replicas that endpoint lists have named, with their addresses and states."""
 
 from __future__ import annotations
 
 from collections.abc import Container, Iterable, Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from lockspoke.balancing.events import EndpointListEntry, EndpointListKind, EndpointListUpdate, ReplicaState
 from lockspoke.units import MILLISECOND
 
 from .identifiers import Identifiers, machine_kind_identifier
 
-UNKNOWN_VERSION = -1  # no list has been taken, or none of the service that is asked now
+UNKNOWN_VERSION = -1  # no list has been applied, or none from the discovery service that is polled now
+
+
+class Incarnation(NamedTuple):
+    """One process of a replica at one address. A restart or a move makes a new incarnation."""
+
+    endpoint: tuple[str, int] | None
+    boot_ms: int  # Unix time
 
 
 @dataclass(frozen=True, slots=True)
 class ListedReplica:
-    """One replica as a list names it."""
+    """A replica as an endpoint list describes it."""
 
     uid: str
     state: ReplicaState
@@ -23,23 +31,30 @@
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
-    boot_ms: int = 0  # Unix time; 0: long ago
-    machine_kind: str = ""  # of machine
+    boot_ms: int = 0  # Unix time; 0: not listed, taken as long ago
+    machine_kind: str = ""
+
+    @property
+    def incarnation(self) -> Incarnation:
+        """Its process and address."""
+        return Incarnation(self.endpoint, self.boot_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaListUpdate:
-    """A list, whole or only what has changed."""
+    """A complete endpoint list, or only its changes."""
 
     version: int
     complete: bool
     entries: tuple[ListedReplica, ...]
-    unreadable: frozenset[str] = frozenset()  # uids of entries that can't be read: they stay as they are
+    unreadable: frozenset[str] = (
+        frozenset()
+    )  # uids of entries that can't be read: those replicas stay as they are
 
 
 @dataclass(slots=True)
 class Replica:
-    """One replica that can be spoken to."""
+    """A replica with its present address and state."""
 
     number: int
     uid: str
@@ -48,162 +63,208 @@
     boot_ms: int
 
     @property
-    def incarnation(self) -> object:
-        """Its process and address: another one is another replica's, or this one begun anew."""
-        return self.endpoint, self.boot_ms
+    def incarnation(self) -> Incarnation:
+        """Its process and address."""
+        return Incarnation(self.endpoint, self.boot_ms)
+
+
+@dataclass(slots=True)
+class ReplicaSetChange:
+    """What follows from a change of the replica set."""
+
+    event: EndpointListUpdate  # for the balancer
+    # Replicas that have moved, restarted, left or been taken out of use: their idle connections have no use.
+    connections_to_close: list[Replica] = field(default_factory=list)
 
 
 class ReplicaSet:
-    """The replicas that lists have named, until they are gone and nothing speaks of them any more."""
+    """The replicas that endpoint lists have named. A removed one is kept until `prune`."""
 
-    def __init__(self, numbers: Identifiers, zones: Sequence[str]) -> None:
-        self.identifiers = numbers
-        self.zones = {name: index for index, name in enumerate(zones)}
-        self.replicas: dict[int, Replica] = {}
+    def __init__(self, identifiers: Identifiers, zones: Sequence[str]) -> None:
+        self.identifiers = identifiers
+        self.zones = _zone_indexes(zones)
+        self.replicas: dict[int, Replica] = {}  # by number
         self.version = UNKNOWN_VERSION
-        # Kept with each change, so that a change of one replica costs nothing for the thousands of others.
-        self._at: dict[tuple[str, int], set[int]] = {}  # by address, the replicas that are not gone
-        self._gone: set[int] = set()
-        self._listed: dict[int, ListedReplica] = {}  # each replica as it was last named
-        self._banned: set[str] = set()  # by uid: it holds whatever lists say of the replica
-
-    def rename_zones(self, zones: Sequence[str]) -> bool:
-        """New names of the zones; whether they differ, so that only a whole list can be placed by them."""
-        named = {name: index for index, name in enumerate(zones)}
-        changed, self.zones = named != self.zones, named
+        # These indexes are updated with each entry, so that a change of one replica does not take a pass
+        # over the thousands of others.
+        self._by_endpoint: dict[tuple[str, int], set[int]] = {}  # without removed replicas
+        self._removed: set[int] = set()
+        self._last_listed: dict[int, ListedReplica] = {}  # by number, the last entry for each replica
+        self._banned: set[str] = set()  # uids; a ban holds whatever state the lists give
+
+    def set_zones(self, zones: Sequence[str]) -> bool:
+        """Set the zones' names.
+
+        Returns whether they differ from before. Then the next update has to be a full list: replicas are
+        placed in zones when their entries are applied.
+        """
+        indexes = _zone_indexes(zones)
+        changed = indexes != self.zones
+        self.zones = indexes
         return changed
 
     @property
     def ready_count(self) -> int:
-        """How many replicas the list calls ready."""
+        """How many replicas are listed as ready."""
         return sum(replica.state == ReplicaState.READY for replica in self.replicas.values())
 
+    # Endpoint lists
+
     def apply(
         self, update: ReplicaListUpdate, cached: bool = False, completes_poll: bool = True
-    ) -> tuple[EndpointListUpdate, list[Replica]]:
-        """Take an update: what the decisions are told of it, and the replicas that have moved or left."""
+    ) -> ReplicaSetChange:
+        """Apply an update; see `Core.endpoint_list_changed` for the arguments."""
         self.version = update.version
-        left: list[Replica] = []
+        to_close: list[Replica] = []
         entries: dict[int, EndpointListEntry] = {}
-        touched: dict[tuple[str, int], None] = {}
+        touched: dict[tuple[str, int], None] = {}  # an ordered set of the addresses that entries name
         for entry in update.entries:
             number = self.identifiers.replica(entry.uid)
-            self._listed[number] = entry
-            entries[number] = self._entry(number, entry)
+            self._last_listed[number] = entry
+            entries[number] = self._balancer_entry(number, entry)
             replica = self.replicas.get(number)
             if replica is None:
                 replica = Replica(number, entry.uid, entry.endpoint, entry.state, entry.boot_ms)
                 self.replicas[number] = replica
-                self._stand(replica, touched)
-                continue
-            self._leave(replica)
-            if entry.state != ReplicaState.READY or (entry.endpoint, entry.boot_ms) != replica.incarnation:
-                left.append(replica)
-            replica.endpoint, replica.boot_ms = entry.endpoint or replica.endpoint, entry.boot_ms
-            replica.state = entry.state
-            self._stand(replica, touched)
+            elif self._update(replica, entry):
+                to_close.append(replica)
+            self._index(replica)
+            if replica.state != ReplicaState.REMOVED and replica.endpoint is not None:
+                touched[replica.endpoint] = None
         if update.complete:
-            for replica in self.replicas.values():
-                if replica.number in entries or replica.state == ReplicaState.REMOVED:
-                    continue
-                if replica.uid in update.unreadable:
-                    # To the decisions, too, what a whole list does not name is gone.
-                    entries[replica.number] = self._entry(replica.number, self._listed[replica.number])
-                    continue
-                self._end(replica)
-                left.append(replica)
+            self._remove_unlisted(update.unreadable, entries, to_close)
         for replica in self._superseded(touched):
-            self._end(replica)
+            self._remove(replica)
             entries[replica.number] = EndpointListEntry(replica.number, ReplicaState.REMOVED)
-            left.append(replica)
-        kind = (
-            EndpointListKind.CACHED
-            if cached
-            else EndpointListKind.FULL
-            if update.complete
-            else EndpointListKind.DELTA
-        )
-        return EndpointListUpdate(kind, tuple(entries.values()), completes_poll), left
+            to_close.append(replica)
+        kind = _update_kind(update, cached)
+        return ReplicaSetChange(EndpointListUpdate(kind, tuple(entries.values()), completes_poll), to_close)
 
-    def set_banned(self, uid: str, banned: bool) -> tuple[EndpointListUpdate, list[Replica]] | None:
-        """Take a replica out of use, or put it back: what the decisions are told, and what connections close.
+    def _update(self, replica: Replica, entry: ListedReplica) -> bool:
+        """Give a known replica what its entry says; returns whether its idle connections have no use now.
 
-        None where no list has named it and no ban holds. A ban given twice is one ban.
+        The replica is left without an index entry.
         """
-        number = next((one for one, replica in self.replicas.items() if replica.uid == uid), None)
-        if number is None and uid not in self._banned:
-            return None
-        (self._banned.add if banned else self._banned.discard)(uid)
-        if number is None or self.replicas[number].state == ReplicaState.REMOVED:
-            return EndpointListUpdate(EndpointListKind.DELTA), []
-        told = self._entry(number, self._listed[number])
-        return EndpointListUpdate(EndpointListKind.DELTA, (told,), completes_poll=False), [
-            self.replicas[number]
-        ] if banned else []
-
-    def accepts_requests(self, replica: Replica) -> bool:
-        """Whether something new may be sent to a replica: it is listed as ready and not taken out of use."""
-        return replica.state == ReplicaState.READY and replica.uid not in self._banned
-
-    @property
-    def banned(self) -> frozenset[str]:
-        """The uids of the replicas that operators have taken out of use."""
-        return frozenset(self._banned)
-
-    def ban_all(self, uids: Iterable[str]) -> None:
-        """Take up the bans of the process before this one, ahead of the first list."""
-        self._banned.update(uids)
-
-    def _stand(self, replica: Replica, touched: dict[tuple[str, int], None]) -> None:
-        """A replica is listed as it is now; its address is one to be looked at."""
-        if replica.state == ReplicaState.REMOVED:
-            self._gone.add(replica.number)
-        elif replica.endpoint is not None:
-            self._at.setdefault(replica.endpoint, set()).add(replica.number)
-            touched[replica.endpoint] = None
-
-    def _leave(self, replica: Replica) -> None:
-        """A replica stands nowhere, until it is listed again."""
-        self._gone.discard(replica.number)
-        if replica.endpoint is not None and (there := self._at.get(replica.endpoint)) is not None:
-            there.discard(replica.number)
-            if not there:
-                del self._at[replica.endpoint]
-
-    def _end(self, replica: Replica) -> None:
-        self._leave(replica)
-        replica.state = ReplicaState.REMOVED
-        self._gone.add(replica.number)
+        self._unindex(replica)
+        stale = entry.state != ReplicaState.READY or entry.incarnation != replica.incarnation
+        replica.endpoint = entry.endpoint or replica.endpoint
+        replica.boot_ms = entry.boot_ms
+        replica.state = entry.state
+        return stale
+
+    def _remove_unlisted(
+        self, unreadable: frozenset[str], entries: dict[int, EndpointListEntry], to_close: list[Replica]
+    ) -> None:
+        """After a complete list: remove the replicas that it does not name."""
+        for replica in self.replicas.values():
+            if replica.number in entries or replica.state == ReplicaState.REMOVED:
+                continue
+            if replica.uid in unreadable:
+                # The balancer, too, removes what a full list does not name: repeat the last readable entry.
+                entries[replica.number] = self._balancer_entry(
+                    replica.number, self._last_listed[replica.number]
+                )
+                continue
+            self._remove(replica)
+            to_close.append(replica)
 
-    def _superseded(self, touched: Iterable[tuple[str, int]]) -> list[Replica]:
-        """Replicas at whose address a younger one listens: discovery has not yet noticed that they are gone.
+    def _superseded(self, endpoints: Iterable[tuple[str, int]]) -> list[Replica]:
+        """The replicas at these addresses at whose address a younger one listens.
 
-        Sent to, they would bring the younger one twice the work, and their old health and connections.
+        Such a replica is gone, though discovery has not noticed yet. Requests sent to it would reach the
+        younger one, which would get a double load and be judged by the old one's health.
         """
-        old: list[Replica] = []
-        for endpoint in touched:
-            there = [self.replicas[number] for number in self._at.get(endpoint, ())]
-            youngest = max((replica.boot_ms for replica in there), default=0)
-            old += [replica for replica in there if replica.boot_ms != youngest]
-        return old
+        superseded: list[Replica] = []
+        for endpoint in endpoints:
+            residents = [self.replicas[number] for number in self._by_endpoint.get(endpoint, ())]
+            youngest = max((replica.boot_ms for replica in residents), default=0)
+            superseded += [replica for replica in residents if replica.boot_ms != youngest]
+        return superseded
 
     def prune(self, used: Container[int]) -> None:
-        """Forget the replicas that are gone and of no more use to the decisions."""
-        for number in [one for one in self._gone if one not in used]:
-            self._gone.discard(number)
-            self._listed.pop(number, None)
+        """Forget the removed replicas whose numbers are not in `used`."""
+        for number in [number for number in self._removed if number not in used]:
+            self._removed.discard(number)
+            self._last_listed.pop(number, None)
             self.identifiers.forget(self.replicas.pop(number).uid)
 
-    def _entry(self, number: int, entry: ListedReplica) -> EndpointListEntry:
+    def _balancer_entry(self, number: int, entry: ListedReplica) -> EndpointListEntry:
         banned = entry.state == ReplicaState.READY and entry.uid in self._banned
         return EndpointListEntry(
             replica=number,
-            # To the decisions it drains: what it has goes on, nothing new is sent.
+            # To the balancer a banned replica is draining: open attempts go on, and no new ones are sent.
             state=ReplicaState.DRAINING if banned else entry.state,
-            # A zone that the settings do not name is nobody's home.
+            # All zones that the settings do not name share one index, which is no gateway's own zone.
             zone=self.zones.get(entry.zone, len(self.zones)),
             cell=entry.cell,
             weight=entry.weight,
             started_at=entry.boot_ms * MILLISECOND,
             machine_kind=machine_kind_identifier(entry.machine_kind),
         )
+
+    # Bans
+
+    @property
+    def banned(self) -> frozenset[str]:
+        """The uids of the replicas that operators have taken out of use."""
+        return frozenset(self._banned)
+
+    def ban_all(self, uids: Iterable[str]) -> None:
+        """Restore the bans of an earlier process, before the first list is applied."""
+        self._banned.update(uids)
+
+    def set_banned(self, uid: str, banned: bool) -> ReplicaSetChange | None:
+        """Ban a replica from new attempts, or lift the ban.
+
+        Returns None if the replica is neither known nor banned. The change's event has no entries if there
+        is nothing to tell the balancer.
+        """
+        replica = next((replica for replica in self.replicas.values() if replica.uid == uid), None)
+        if replica is None and uid not in self._banned:
+            return None
+        if banned:
+            self._banned.add(uid)
+        else:
+            self._banned.discard(uid)
+        if replica is None or replica.state == ReplicaState.REMOVED:
+            return ReplicaSetChange(EndpointListUpdate(EndpointListKind.DELTA))
+        entry = self._balancer_entry(replica.number, self._last_listed[replica.number])
+        event = EndpointListUpdate(EndpointListKind.DELTA, (entry,), completes_poll=False)
+        return ReplicaSetChange(event, [replica] if banned else [])
+
+    def accepts_requests(self, replica: Replica) -> bool:
+        """Whether a new attempt may be sent to a replica: it is listed as ready and not banned."""
+        return replica.state == ReplicaState.READY and replica.uid not in self._banned
+
+    # Indexes
+
+    def _index(self, replica: Replica) -> None:
+        if replica.state == ReplicaState.REMOVED:
+            self._removed.add(replica.number)
+        elif replica.endpoint is not None:
+            self._by_endpoint.setdefault(replica.endpoint, set()).add(replica.number)
+
+    def _unindex(self, replica: Replica) -> None:
+        self._removed.discard(replica.number)
+        if replica.endpoint is None:
+            return
+        residents = self._by_endpoint.get(replica.endpoint)
+        if residents is not None:
+            residents.discard(replica.number)
+            if not residents:
+                del self._by_endpoint[replica.endpoint]
+
+    def _remove(self, replica: Replica) -> None:
+        self._unindex(replica)
+        replica.state = ReplicaState.REMOVED
+        self._index(replica)
+
+
+def _zone_indexes(zones: Sequence[str]) -> dict[str, int]:
+    return {name: index for index, name in enumerate(zones)}
+
+
+def _update_kind(update: ReplicaListUpdate, cached: bool) -> EndpointListKind:
+    if cached:
+        return EndpointListKind.CACHED
+    return EndpointListKind.FULL if update.complete else EndpointListKind.DELTA
--- /dev/null
+++ b/lockspoke/core/request_lifecycle.py
@@ -0,0 +1,53 @@
+"""Open requests: each is registered once, completed once, and forgotten when its last attempt has ended."""
+
+from __future__ import annotations
+
+from .requests import ClientRequest
+from .totals import RequestOutcome, Totals
+
+
+class RequestLifecycle:
+    """The open requests of this gateway."""
+
+    def __init__(self) -> None:
+        # By number. An answered request stays until its last attempt has ended.
+        self.open_requests: dict[int, ClientRequest] = {}
+        self.totals = Totals()
+        self.interactive_rejected_at = 0  # when the balancer last rejected a request that is not background
+
+    def register(self, request: ClientRequest) -> None:
+        """Take in a submitted request."""
+        self.open_requests[request.number] = request
+        self.totals.requests += 1
+
+    def unanswered(self, number: int) -> ClientRequest | None:
+        """The request of this number, or None if it is unknown or answered."""
+        request = self.open_requests.get(number)
+        return None if request is None or request.answered else request
+
+    def complete(self, request: ClientRequest, outcome: RequestOutcome) -> None:
+        """Mark an unanswered request as answered. The caller writes the response after this."""
+        request.answered = True
+        self.totals.request_outcomes[outcome] += 1
+        self.forget_if_finished(request)
+
+    def reject_or_fail(self, request: ClientRequest) -> None:
+        """Answer a request that has not begun to stream and that this gateway abandons."""
+        if request.safe_to_reject:
+            self.complete(request, RequestOutcome.REJECTED)
+            request.response.reject(0)
+        else:
+            self.complete(request, RequestOutcome.FAILED)
+            request.response.fail()
+
+    def forget_if_finished(self, request: ClientRequest) -> None:
+        """Drop a request that is answered and has no open attempt."""
+        if request.finished and self.open_requests.pop(request.number, None) is not None:
+            request.body = b""
+
+    def interactive_request_waiting(self) -> bool:
+        """Whether a request that is not background is unanswered and has no open attempt."""
+        return any(
+            not request.background and not request.answered and not request.has_open_attempt
+            for request in self.open_requests.values()
+        )
--- /dev/null
+++ b/lockspoke/core/stream_supervision.py
@@ -0,0 +1,73 @@
+"""Periodic checks of open requests: silent streams, and requests past their deadline without an answer."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import structlog
+
+from lockspoke.balancing.events import ClientDisconnected, Event, Outcome
+from lockspoke.units import MILLISECOND, SECOND
+
+from .attempt_lifecycle import AttemptLifecycle
+from .interfaces import Clock, Transport
+from .request_lifecycle import RequestLifecycle
+from .requests import Attempt, ClientRequest
+from .totals import RequestOutcome
+
+CHECK_INTERVAL = SECOND // 4
+# A stream that brings no data for so long has lost its replica.
+MAX_STREAM_SILENCE = 3 * SECOND
+# How long past its deadline a request waits for the balancer's answer before the check fails it.
+OVERDUE_GRACE = 10 * MILLISECOND
+
+log = structlog.get_logger()
+
+
+class StreamSupervision:
+    """Ends streams of vanished replicas, and fails requests for which no decision came."""
+
+    def __init__(
+        self,
+        requests: RequestLifecycle,
+        attempts: AttemptLifecycle,
+        clock: Clock,
+        transport: Transport,
+        post: Callable[[Event], None],
+    ) -> None:
+        self._requests = requests
+        self._attempts = attempts
+        self._clock = clock
+        self._transport = transport
+        self._post = post
+
+    def run(self) -> None:
+        """Check all open requests, and schedule the next check."""
+        now = self._clock.now()
+        for request in list(self._requests.open_requests.values()):
+            stream = request.streaming_attempt
+            if stream is None:
+                self._check_overdue(request, now)
+            elif stream.outcome is None:
+                self._check_silent(stream, now)
+        self._clock.call_later(CHECK_INTERVAL, self.run)
+
+    def _check_silent(self, stream: Attempt, now: int) -> None:
+        """End a stream that has brought nothing for long.
+
+        A machine that vanishes leaves its connections open and silent. Without this check its clients would
+        wait for ever; once their streams are cut, they can request the rest from another replica.
+        """
+        # While reading is paused for a slow client, silence says nothing about the replica.
+        if stream.backpressure is None and now - stream.last_received_at > MAX_STREAM_SILENCE:
+            self._transport.cancel(stream)
+            self._attempts.attempt_ended(stream, Outcome.RESET)
+
+    def _check_overdue(self, request: ClientRequest, now: int) -> None:
+        """Fail a request that should have been answered by now, as after a fault of the balancer."""
+        if request.answered or now <= request.deadline + OVERDUE_GRACE:
+            return
+        self._requests.complete(request, RequestOutcome.OVERDUE)
+        log.error("request_overdue", request=request.number)
+        request.response.fail()
+        self._post(ClientDisconnected(request.number))
--- /dev/null
+++ b/lockspoke/core/totals.py
@@ -0,0 +1,55 @@
+"""Counts of what the gateway has done since it started."""
+
+from __future__ import annotations
+
+from collections import Counter
+from enum import Enum
+
+from lockspoke.balancing.events import Outcome
+
+
+class RequestOutcome(Enum):
+    """How a request was completed. Each request is completed exactly once."""
+
+    SERVED = "served"  # the client has the complete response
+    TRUNCATED = "truncated"  # the replica's stream broke off after it had begun
+    REJECTED = "rejected"  # an overload reply: the client may retry without harm
+    FAILED = "failed"  # an error reply: the request may have run
+    CLIENT_DISCONNECTED = "client_disconnected"  # the client left before the response was complete
+    HANDED_OFF = "handed_off"  # the stream was cut so that the client continues at another gateway
+    OVERDUE = "overdue"  # no decision came by the deadline, and the periodic check failed the request
+
+
+class Totals:
+    """Counters since the start of the process."""
+
+    __slots__ = (
+        "attempt_outcomes",
+        "attempts",
+        "decisions_failed",
+        "endpoint_list_polls_failed",
+        "request_outcomes",
+        "requests",
+    )
+
+    def __init__(self) -> None:
+        self.requests = 0
+        self.attempts = 0  # attempts that the transport was asked to start
+        self.endpoint_list_polls_failed = 0
+        self.decisions_failed = 0  # events at which the balancer raised an exception
+        self.request_outcomes: Counter[RequestOutcome] = Counter()
+        self.attempt_outcomes: Counter[Outcome] = Counter()
+
+    def log_fields(self) -> dict[str, int]:
+        """The counters that are not 0, by the names that they have in the `totals` log line."""
+        counts = {
+            "requests": self.requests,
+            "attempts": self.attempts,
+            "endpoint_list_polls_failed": self.endpoint_list_polls_failed,
+            "decisions_failed": self.decisions_failed,
+        }
+        counts |= {outcome.value: count for outcome, count in self.request_outcomes.items()}
+        counts |= {
+            f"outcome_{outcome.name.lower()}": count for outcome, count in self.attempt_outcomes.items()
+        }
+        return {name: count for name, count in counts.items() if count}
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -246,7 +246,7 @@
             clients=len(self.clients.listener.connections),
             workers=self.transport.open_connections,
             spoilt=self.transport.malformed_responses,
-            **self.core.totals,
+            **self.core.totals.log_fields(),
         )
 
 
--- a/lockspoke/units.py
+++ b/lockspoke/units.py
@@ -1,4 +1,7 @@
-"""Units: durations are integer nanoseconds and sizes bytes, unless a name says otherwise."""
+"""Units of time and size.
+
+Throughout the package durations are integer nanoseconds and sizes are bytes, unless a name says otherwise.
+"""
 
 MILLISECOND = 1_000_000  # nanoseconds
 SECOND = 1_000 * MILLISECOND
--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -289,7 +289,7 @@
     bench = Bench(tmp_path)
 
     async def test() -> None:
-        bench.world.core.interactive_rejected_at = bench.world.now()
+        bench.world.core.request_lifecycle.interactive_rejected_at = bench.world.now()
         batch = await bench.batch(*lines(1))
         await until(lambda: batch.status == "in_progress")
         await asyncio.sleep(0.15)
--- a/tests/core/test_core.py
+++ b/tests/core/test_core.py
@@ -8,12 +8,15 @@
 
 import pytest
 
+from lockspoke.balancing.actions import SendAttempt
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass
-from lockspoke.core.core import OVERDUE, SILENT, SWEEP, Core
+from lockspoke.core.core import Core
 from lockspoke.core.identifiers import Identifiers, key_identifier
 from lockspoke.core.replica_set import UNKNOWN_VERSION, ListedReplica, Replica, ReplicaListUpdate, ReplicaSet
 from lockspoke.core.requests import Attempt, ClientRequest, SendPermission
+from lockspoke.core.stream_supervision import CHECK_INTERVAL, MAX_STREAM_SILENCE, OVERDUE_GRACE
+from lockspoke.core.totals import RequestOutcome
 from lockspoke.units import MILLISECOND as MS
 from lockspoke.units import SECOND
 from tests.balancing.helpers import settings
@@ -122,7 +125,7 @@
     attempt.end(Outcome.RESET)  # said twice, only the first counts
     assert sink.got == [b"a", b"b", "end"]
     assert not world.core.requests and call.answered
-    assert world.core.totals["served"] == 1
+    assert world.core.totals.request_outcomes[RequestOutcome.SERVED] == 1
 
 
 def test_a_broken_stream_is_told_at_once_and_nothing_is_sent_again() -> None:
@@ -167,7 +170,7 @@
         old = ListedReplica(f"n{n - 1}", ReplicaState.REMOVED, None, "z")
         world.core.endpoint_list_changed(ReplicaListUpdate(2 + n, False, (new, old) if n else (new,)))
     replica_set = world.core.replica_set
-    assert len(replica_set.replicas) < 50 and len(replica_set.identifiers._replicas) < 50
+    assert len(replica_set.replicas) < 50 and len(replica_set.identifiers._replica_numbers) < 50
     assert replica_set.ready_count == 3
 
 
@@ -179,12 +182,12 @@
     kinds = []
     for _ in range(2):
         registry = ReplicaSet(Identifiers(), ("z",))
-        told, _ = registry.apply(
+        change = registry.apply(
             ReplicaListUpdate(
                 1, True, (*entries, ListedReplica("k9", ReplicaState.READY, ("127.0.0.1", 9000)))
             )
         )
-        kinds.append([entry.machine_kind for entry in told.entries])
+        kinds.append([entry.machine_kind for entry in change.event.entries])
     assert kinds[0] == kinds[1]
     assert kinds[0][0] == kinds[0][1] != kinds[0][2] and kinds[0][3] == 0
 
@@ -264,7 +267,7 @@
     assert sink.got == [] and attempt.outcome is None and world.core.requests
     attempt.end(Outcome.OK)
     assert sink.got == [] and not world.core.requests
-    assert world.core.totals["left"] == 1
+    assert world.core.totals.request_outcomes[RequestOutcome.CLIENT_DISCONNECTED] == 1
 
 
 def keyed(scope: DeduplicationScope = DeduplicationScope.ALL, window: int = 5 * SECOND) -> RequestClass:
@@ -410,9 +413,9 @@
     world.core.start()
     _, sink = world.call()
     world.started[0].stream_received(b"a")
-    world.pass_time(SILENT - SWEEP)
+    world.pass_time(MAX_STREAM_SILENCE - CHECK_INTERVAL)
     assert sink.got == [b"a"]
-    world.pass_time(3 * SWEEP)
+    world.pass_time(3 * CHECK_INTERVAL)
     assert sink.got == [b"a", "broken"] and world.stopped == [world.started[0]]
 
 
@@ -423,12 +426,12 @@
         _, sink = world.call()
         sink.waits = asyncio.get_running_loop().create_future()
         held_up = world.started[0].stream_received(b"a")
-        world.pass_time(2 * SILENT)
+        world.pass_time(2 * MAX_STREAM_SILENCE)
         assert sink.got == [b"a"] and held_up is not None and not held_up.done()
         sink.waits.set_result(None)
         await asyncio.sleep(0)
         assert held_up.done()
-        world.pass_time(SILENT // 2)
+        world.pass_time(MAX_STREAM_SILENCE // 2)
         assert sink.got == [b"a"]
 
     asyncio.run(play())
@@ -443,7 +446,7 @@
 
     monkeypatch.setattr(world.core.balancer, "handle", broken)
     _, sink = world.call(seconds=1)
-    world.pass_time(SECOND + OVERDUE + 2 * SWEEP)
+    world.pass_time(SECOND + OVERDUE_GRACE + 2 * CHECK_INTERVAL)
     assert sink.got == ["failed"] and not world.core.requests
 
 
@@ -555,7 +558,7 @@
     world = World()
     call, _ = world.call()
     world.started[0].stream_received(b"a")
-    world.core._send(call.number, world.started[0].replica.number, 0)
+    world.core.attempts.start(SendAttempt(call.number, world.started[0].replica.number))
     assert call.attempts[1].outcome is Outcome.NEVER_SENT and len(world.started) == 1
 
 
@@ -563,7 +566,7 @@
     world = World()
     call, sink = world.call()
     other = next(w for w in world.core.replica_set.replicas.values() if w is not world.started[0].replica)
-    world.core._send(call.number, other.number, 0)
+    world.core.attempts.start(SendAttempt(call.number, other.number))
     world.started[1].stream_received(b"a")
     assert world.stopped == [world.started[0]] and world.started[0].outcome is Outcome.CANCELLED
     world.started[0].stream_received(b"late")
@@ -575,7 +578,7 @@
     assert numbers.replica("s-1") == Identifiers().replica("s-1") != numbers.replica("s-2")
     assert numbers.request() != numbers.request()
     assert key_identifier("") == 0 != key_identifier("7f3a") < 1 << 64
-    numbers._taken.add(Identifiers().replica("s-3"))
+    numbers._used_numbers.add(Identifiers().replica("s-3"))
     assert numbers.replica("s-3") != Identifiers().replica("s-3")
 
 
--- a/tests/golden/log_names.py
+++ b/tests/golden/log_names.py
@@ -10,7 +10,10 @@
 from typing import Any
 
 EVENTS: dict[str, str] = {}  # by event at the recording, its name now
-FIELDS: dict[str, str] = {}  # by field at the recording, its name now
+FIELDS: dict[str, str] = {  # by field at the recording, its name now
+    "calls": "requests",
+    "list_failed": "endpoint_list_polls_failed",
+}
 VALUES: dict[tuple[str, str], str] = {}  # by field and word at the recording, the word now
 
 
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -38,7 +38,7 @@
 
 
 def sweeps(gateway: Gateway) -> None:
-    gateway.core._sweep()
+    gateway.core.stream_supervision.run()
     gateway.transport.run_periodic_checks()
     gateway.front.run_periodic_checks()
     give_back()
--- a/tests/lifecycle/test_program.py
+++ b/tests/lifecycle/test_program.py
@@ -201,7 +201,7 @@
             client.writer.write(call_bytes(1, deadline=3000))
             await until(lambda: bool(worker.seen))
         await program.terminate()
-        assert program.log("totals")["left"] == 1  # type: ignore[index]
+        assert program.log("totals")["client_disconnected"] == 1  # type: ignore[index]
 
 
 UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -437,7 +437,7 @@
             assert await program.terminate() == 0
             status, _, body, whole = await asked
             assert (status, whole) == (200, False) and body.startswith(EVENTS[0])
-            await until(lambda: program.log("totals", handed_over=1) is not None)
+            await until(lambda: program.log("totals", handed_off=1) is not None)
 
 
 @run
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -16,8 +16,8 @@
 from lockspoke.balancing.settings import BalancerSettings, RequestClass
 from lockspoke.core.core import Core
 from lockspoke.core.identifiers import Identifiers
+from lockspoke.core.interfaces import Discovery
 from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate, ReplicaSet
-from lockspoke.core.requests import Discovery
 from lockspoke.lifecycle.clock import EventLoopClock
 from lockspoke.wire.clients.front import ClientFront
 from lockspoke.wire.replicas.transport import ReplicaTransport
--- a/tests/wire/clients/test_front.py
+++ b/tests/wire/clients/test_front.py
@@ -11,6 +11,7 @@
 from tornado.iostream import IOStream
 
 from lockspoke.balancing.events import Outcome
+from lockspoke.core.totals import RequestOutcome
 from lockspoke.wire.clients import front as clients
 from lockspoke.wire.clients.front import ClientConnection, ClientFront
 from tests.core.test_core import World
@@ -81,7 +82,8 @@
         pair.send(call_bytes(1, body=BODY))
         await until(lambda: bool(pair.world.started))
         await pair.leave()
-        assert pair.front.buffered_bytes == 0 and pair.world.core.totals["left"] == 1
+        outcomes = pair.world.core.totals.request_outcomes
+        assert pair.front.buffered_bytes == 0 and outcomes[RequestOutcome.CLIENT_DISCONNECTED] == 1
 
     async def half(pair: Pair) -> None:
         pair.send(call_bytes(1, body=BODY)[:-10])
@@ -236,7 +238,7 @@
         ours = True
         pair.connection.lease_is_valid = lambda: ours
         pair.send(call_bytes(1))
-        await until(lambda: pair.world.core.totals["calls"] == 1)
+        await until(lambda: pair.world.core.totals.requests == 1)
         call = pair.connection.open_request
         assert call is not None
         call.response.reject(0)
@@ -246,7 +248,7 @@
         answer = await pair.read(b"the address has moved")
         assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After: 0.050" in answer
         assert b"Connection: close" in answer
-        assert pair.world.core.totals["calls"] == 1
+        assert pair.world.core.totals.requests == 1
         await pair.ended()
 
     play(script)
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -44,7 +44,7 @@
         client = await gateway.client()
         sent_at = time.monotonic()
         client.send(call_bytes(1, DEADLINE_MS))
-        await until(lambda: gateway.core.totals["attempts"] == 1 and time.monotonic() - sent_at > HELD)
+        await until(lambda: gateway.core.totals.attempts == 1 and time.monotonic() - sent_at > HELD)
         line = await peer.let_in()
         assert await told_ms(line) <= left_ms(sent_at)
 
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -14,6 +14,7 @@
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.balancing.settings import Idempotency, RequestClass
 from lockspoke.core.replica_set import ListedReplica
+from lockspoke.core.totals import RequestOutcome
 from lockspoke.wire.clients.front import LINGER, AdmissionMode, ClientConnection
 from lockspoke.wire.replicas import transport as replica_side
 from lockspoke.wire.tcp import dialing
@@ -37,6 +38,10 @@
     asyncio.run(whole())
 
 
+def disconnects(gateway: Gateway) -> int:
+    return gateway.core.totals.request_outcomes[RequestOutcome.CLIENT_DISCONNECTED]
+
+
 def served(gateway: Gateway) -> ClientConnection:
     (one,) = gateway.front.listener.connections
     assert isinstance(one, ClientConnection)
@@ -119,13 +124,13 @@
     async def test(gateway: Gateway, peer: Peer) -> None:
         client, worker = await slow_stream(gateway, peer)
         worker.send(HEAD + chunk(LONG))
-        await until(lambda: served(gateway).open_request is not None and gateway.core.totals["attempts"] == 1)
+        await until(lambda: served(gateway).open_request is not None and gateway.core.totals.attempts == 1)
         (call,) = gateway.core.requests.values()
         await until(lambda: call.streaming_attempt is not None and not served(gateway).outbox.unsent)
         client.send(call_bytes(2))
         call.attempts[0].end(Outcome.OK)
         assert (await client.rest()).endswith(chunk(LONG) + chunk(b""))
-        assert gateway.core.totals["calls"] == 1, "read after the shutdown, it is not run"
+        assert gateway.core.totals.requests == 1, "read after the shutdown, it is not run"
 
     play(test)
 
@@ -206,7 +211,7 @@
         await worker.read(b"x" * 200_000 if whole else b"\r\n\r\n")
         worker.reset()
         assert status in await client.read(b"\r\n\r\n")
-        assert gateway.core.totals[f"outcome_{outcome}"] == gateway.core.totals["attempts"]
+        assert gateway.core.totals.attempt_outcomes[Outcome[outcome.upper()]] == gateway.core.totals.attempts
 
     monkeypatch.setattr(dialing, "IOStream", small)
     play(test, classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
@@ -214,7 +219,7 @@
 
 async def leaves(gateway: Gateway, client: Line) -> None:
     client.close()
-    await until(lambda: gateway.core.totals["left"] == 1)
+    await until(lambda: disconnects(gateway) == 1)
 
 
 async def drains(gateway: Gateway, client: Line) -> None:
@@ -234,7 +239,7 @@
     async def test(gateway: Gateway, peer: Peer) -> None:
         client = await gateway.client()
         client.send(call_bytes(1))
-        await until(lambda: gateway.core.totals["attempts"] == 1)
+        await until(lambda: gateway.core.totals.attempts == 1)
         (call,) = gateway.core.requests.values()
         await happens(gateway, client)
         late = await peer.let_in()
@@ -261,7 +266,7 @@
     worker = await peer.accept()
     await worker.read(b"{}")
     client.close()
-    await until(lambda: gateway.core.totals["left"] == 1)
+    await until(lambda: disconnects(gateway) == 1)
     worker.send(ANSWER)
     await until(lambda: not gateway.core.requests)
 
@@ -272,12 +277,12 @@
 ) -> None:
     async def test(gateway: Gateway, peer: Peer) -> None:
         await waits(gateway, peer)
-        await until(lambda: gateway.core.totals["left"] == 1)
+        await until(lambda: disconnects(gateway) == 1)
         other = await gateway.client()
         other.send(call_bytes(3))  # it would go after what waits
         worker = await peer.accept()
         assert b"0000000000000003" in await worker.read(b"{}")
-        assert gateway.core.totals["attempts"] == 2, "one for each of two requests"
+        assert gateway.core.totals.attempts == 2, "one for each of two requests"
 
     play(test)
 
@@ -291,11 +296,11 @@
         client.send(call_bytes(2) + (call_bytes(3) if pipelined else b""))
         taken = served(gateway)
         taken._take(taken.stream.socket.recv(65536))
-        assert gateway.core.totals["attempts"] == 2
+        assert gateway.core.totals.attempts == 2
         client.close()
         time.sleep(HELD)
-        await until(lambda: gateway.core.totals["left"] == 1 and not gateway.core.requests)
-        assert gateway.core.totals["outcome_never_sent"] == 1
+        await until(lambda: disconnects(gateway) == 1 and not gateway.core.requests)
+        assert gateway.core.totals.attempt_outcomes[Outcome.NEVER_SENT] == 1
         gateway.transport.close()
         assert await worker.rest() == b"", "nothing came on the connection that was kept"
 
@@ -340,7 +345,7 @@
         taken._take(taken.stream.socket.recv(65536))
         client.send(call_bytes(2))  # the last answer is written, and the loop has not gone round
         assert (await client.rest()).count(b"HTTP/1.1") == 1
-        assert not gateway.core.totals["calls"]
+        assert not gateway.core.totals.requests
         client.close()
         await until(lambda: not gateway.front.listener.connections)
 
@@ -358,7 +363,7 @@
         worker.send(chunk(TAIL) + chunk(b""))
         gateway.core.hand_off(immediately=False)
         assert (await client.read(chunk(b""))).endswith(chunk(TAIL) + chunk(b""))
-        assert gateway.core.totals["handed_over"] == 0
+        assert gateway.core.totals.request_outcomes[RequestOutcome.HANDED_OFF] == 0
 
     play(test)
 
