--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -20,7 +20,7 @@
 from lockspoke.batch.store import Batch, BatchStore, LineStatus
 from lockspoke.units import SECOND
 from tests.batch.test_api import LINE
-from tests.core.test_core import World
+from tests.core.world import World
 from tests.standins import EVENTS, TAIL, until
 from tests.wire.http.test_http1 import fixed
 
--- /dev/null
+++ b/tests/core/test_request_lifecycle.py
@@ -0,0 +1,67 @@
+"""Requests: each gets one answer, and is forgotten once nothing more can happen to it."""
+
+from __future__ import annotations
+
+from lockspoke.balancing.events import Outcome
+from lockspoke.core.totals import RequestOutcome
+from lockspoke.units import SECOND
+from tests.core.world import World
+
+
+def test_a_stream_is_forwarded_as_it_arrives_and_finishes_once() -> None:
+    world = World()
+    request, response = world.submit()
+    (attempt,) = world.started
+    attempt.stream_received(b"a")
+    attempt.stream_received(b"b")
+    attempt.end(Outcome.OK)
+    attempt.end(Outcome.RESET)  # only the first report counts
+    assert response.written == [b"a", b"b", "finished"]
+    assert not world.core.requests and request.answered
+    assert world.core.totals.request_outcomes[RequestOutcome.SERVED] == 1
+
+
+def test_a_truncated_stream_aborts_the_response_at_once_and_is_not_retried() -> None:
+    world = World()
+    _, response = world.submit()
+    world.started[0].stream_received(b"a")
+    world.started[0].end(Outcome.RESET)
+    world.pass_time(10 * SECOND)
+    assert response.written == [b"a", "aborted"]
+    assert len(world.started) == 1
+
+
+def test_bodies_and_timers_are_released_once_they_are_not_needed() -> None:
+    """Regression: bodies of streams and timers of finished requests made the heap grow all day."""
+    world = World()
+    request, _ = world.submit()
+    assert len(world.timers) == 2  # the balancer's and the attempt's
+    world.started[0].stream_received(b"a")
+    assert request.body == b"" and len(world.timers) == 1
+    world.started[0].end(Outcome.OK)
+    for _ in range(50):
+        world.submit()
+        world.started[-1].end(Outcome.ERROR)
+        world.started[-1].stream_received(b"a")
+        world.started[-1].end(Outcome.OK)
+    assert len(world.timers) == 1
+
+
+def test_without_replicas_a_request_is_rejected_at_once() -> None:
+    world = World(replicas=0)
+    _, response = world.submit()
+    assert response.written == ["rejected"]
+
+
+def test_a_disconnected_client_gets_no_response_and_its_attempt_goes_on() -> None:
+    world = World()
+    request, response = world.submit()
+    world.core.client_disconnected(request)
+    world.core.client_disconnected(request)
+    attempt = world.started[0]
+    attempt.stream_received(b"a")
+    world.pass_time(2 * SECOND)
+    assert response.written == [] and attempt.outcome is None and world.core.requests
+    attempt.end(Outcome.OK)
+    assert response.written == [] and not world.core.requests
+    assert world.core.totals.request_outcomes[RequestOutcome.CLIENT_DISCONNECTED] == 1
--- /dev/null
+++ b/tests/core/test_send_permission.py
@@ -0,0 +1,89 @@
+"""The check before an attempt's first byte: whether the decision to send it still holds."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import pytest
+
+from lockspoke.balancing.events import Outcome, ReplicaState
+from lockspoke.balancing.settings import Idempotency, RequestClass
+from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate
+from lockspoke.core.requests import ClientRequest, SendPermission
+from lockspoke.units import MILLISECOND, SECOND
+from tests.core.world import World, idempotent_with_key
+
+
+def client_disconnects(world: World, request: ClientRequest) -> None:
+    world.core.client_disconnected(request)
+
+
+def replica_drains(world: World, request: ClientRequest) -> None:
+    uid = request.attempts[0].replica.uid
+    world.core.endpoint_list_changed(
+        ReplicaListUpdate(2, False, (ListedReplica(uid, ReplicaState.DRAINING, ("127.0.0.1", 5000), "z"),))
+    )
+
+
+def replica_restarts(world: World, request: ClientRequest) -> None:
+    uid, endpoint = request.attempts[0].replica.uid, request.attempts[0].replica.endpoint
+    world.core.endpoint_list_changed(
+        ReplicaListUpdate(2, False, (ListedReplica(uid, ReplicaState.READY, endpoint, "z", boot_ms=10**6),))
+    )
+
+
+def replica_is_banned(world: World, request: ClientRequest) -> None:
+    assert world.core.set_banned(request.attempts[0].replica.uid, True)
+
+
+@pytest.mark.parametrize("change", [client_disconnects, replica_drains, replica_restarts, replica_is_banned])
+def test_changes_while_connecting_are_obeyed_before_the_first_byte(
+    change: Callable[[World, ClientRequest], None],
+) -> None:
+    """Regression: requests were sent after their client had disconnected, and to draining replicas."""
+    world = World()
+    world.connects_at_once = False
+    request, _ = world.submit()
+    attempt = world.started[0]
+    change(world, request)
+    assert attempt.outcome is None
+    assert attempt.permission_to_send() is SendPermission.ENDED and attempt.outcome is Outcome.NEVER_SENT
+    # If the client still waits, the request is retried at another replica at once.
+    others = [other.replica for other in world.started[1:]]
+    assert len(others) == (change is not client_disconnects) and attempt.replica not in others
+    assert bool(world.core.requests) == (change is not client_disconnects)
+
+
+def test_a_retry_whose_deduplication_window_ends_while_connecting_is_not_sent() -> None:
+    """Regression: decided on within the window, it was sent after its end, where a duplicate runs again."""
+    world = World(classes=(idempotent_with_key(window=SECOND),))
+    world.submit()
+    world.connects_at_once = False
+    world.pass_time(SECOND - 60 * MILLISECOND)
+    world.started[0].end(Outcome.RESET)
+    retry = world.started[1]
+    assert retry.start_by == retry.started_at + 60 * MILLISECOND
+    world.pass_time(60 * MILLISECOND)
+    assert retry.permission_to_send() is SendPermission.ENDED and retry.outcome is Outcome.NEVER_SENT
+
+
+def test_an_attempt_whose_deadline_passes_while_connecting_has_not_run() -> None:
+    """Regression: it counted as one that may have run, and the request was failed in place of rejected."""
+    world = World(classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
+    world.connects_at_once = False
+    _, response = world.submit()
+    world.pass_time(4 * SECOND)
+    assert world.started[0].outcome is Outcome.NEVER_SENT and response.written == ["rejected"]
+
+
+def test_an_attempt_waits_until_input_of_discovery_and_its_client_is_read() -> None:
+    world = World()
+    world.connects_at_once = False
+    _, response = world.submit()
+    (attempt,) = world.started
+    world.has_unread_changes = True
+    assert attempt.permission_to_send() is SendPermission.CHECK_AGAIN
+    world.has_unread_changes, response.has_unread_input = False, True
+    assert attempt.permission_to_send() is SendPermission.CHECK_AGAIN and attempt.outcome is None
+    response.has_unread_input = False
+    assert attempt.permission_to_send() is SendPermission.GRANTED
--- a/tests/wire/clients/test_front.py
+++ b/tests/wire/clients/test_front.py
@@ -14,7 +14,7 @@
 from lockspoke.core.totals import RequestOutcome
 from lockspoke.wire.clients import front as clients
 from lockspoke.wire.clients.front import ClientConnection, ClientFront
-from tests.core.test_core import World
+from tests.core.world import World
 from tests.standins import EVENTS, call_bytes, until
 
 BODY = b"x" * 5000
