--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -1,7 +1,7 @@
 """The core: the one object through which fronts, discovery and subsystems use this package.
 
-It feeds the balancer with events, has its actions carried out, and sees to it that each request gets exactly
-one answer. Fronts submit a `ClientRequest` that carries the writer of its response; replicas, discovery and
+It feeds the balancer with events, has its actions carried out, and ensures that each request gets exactly one
+answer. Fronts submit a `ClientRequest` that carries the writer of its response; replicas, discovery and
 the clock are reached through the protocols of `interfaces.py`.
 """
 
@@ -196,7 +196,7 @@
         self._post(change.event)
 
     def endpoint_list_failed(self) -> None:
-        """Take note that a poll of the endpoint list has failed; the last list stays in force."""
+        """Record that a poll of the endpoint list has failed; the last list stays in force."""
         self.totals.endpoint_list_polls_failed += 1
         self._post(EndpointListUpdate(EndpointListKind.FAILED))
         if not self._polls_endpoint_list:
--- a/lockspoke/core/interfaces.py
+++ b/lockspoke/core/interfaces.py
@@ -76,7 +76,7 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, cached_tokens: int, report: tuple[float, ...]
     ) -> None:
-        """Take note that the attempt has ended, with what the replica reported of itself."""
+        """Record that the attempt has ended, with the load report of its replica."""
 
 
 class Transport(Protocol):
--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -73,7 +73,7 @@
     """What follows from a change of the replica set."""
 
     event: EndpointListUpdate  # for the balancer
-    # Replicas that have moved, restarted, left or been taken out of use: their idle connections have no use.
+    # Replicas that have moved, restarted, left or been taken out of use: their idle connections are stale.
     connections_to_close: list[Replica] = field(default_factory=list)
 
 
@@ -141,9 +141,9 @@
         return ReplicaSetChange(EndpointListUpdate(kind, tuple(entries.values()), completes_poll), to_close)
 
     def _update(self, replica: Replica, entry: ListedReplica) -> bool:
-        """Give a known replica what its entry says; returns whether its idle connections have no use now.
+        """Update a known replica from its entry; returns whether its idle connections are stale now.
 
-        The replica is left without an index entry.
+        The replica is taken out of the indexes. The caller adds it again.
         """
         self._unindex(replica)
         stale = entry.state != ReplicaState.READY or entry.incarnation != replica.incarnation
@@ -169,7 +169,7 @@
             to_close.append(replica)
 
     def _superseded(self, endpoints: Iterable[tuple[str, int]]) -> list[Replica]:
-        """The replicas at these addresses at whose address a younger one listens.
+        """The replicas at these addresses that are older than another replica at the same address.
 
         Such a replica is gone, though discovery has not noticed yet. Requests sent to it would reach the
         younger one, which would get a double load and be judged by the old one's health.
