--- a/lockspoke/batch/lines.py
+++ b/lockspoke/batch/lines.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from lockspoke.core.identifiers import key_identifier
-from lockspoke.core.requests import ClientRequest, ResponseWriter
+from lockspoke.core.interfaces import ResponseWriter
+from lockspoke.core.requests import ClientRequest
 from lockspoke.units import SECOND
 
 from .chat_completion import ChatCompletionAssembler, PromptSize, measure_prompt
--- a/tests/batch/harness.py
+++ b/tests/batch/harness.py
@@ -15,7 +15,7 @@
 from lockspoke.batch.store import BatchStore
 from lockspoke.core.requests import Attempt
 from lockspoke.units import SECOND
-from tests.core.test_core import World
+from tests.core.world import World
 from tests.standins import EVENTS, TAIL
 
 ENDPOINT = "/v1/chat/completions"
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -140,7 +140,7 @@
     harness = Harness(tmp_path)
 
     async def scenario() -> None:
-        harness.world.core.interactive_rejected_at = harness.world.now()
+        harness.world.core.request_lifecycle.interactive_rejected_at = harness.world.now()
         batch = await harness.begin_batch(*lines(1))
         await until(lambda: batch.status is BatchStatus.IN_PROGRESS)
         await asyncio.sleep(0.15)
--- a/tests/golden/log_names.py
+++ b/tests/golden/log_names.py
@@ -9,9 +9,26 @@
 
 from typing import Any
 
-EVENTS: dict[str, str] = {}  # by event at the recording, its name now
+# By event at the recording, its name now.
+EVENTS: dict[str, str] = {
+    "bans_not_kept": "bans_write_failed",
+    "bans_not_read": "bans_read_failed",
+    "discovery_back": "discovery_recovered",
+    "discovery_silent": "discovery_watch_lost",
+    "discovery_went_back": "discovery_version_regressed",
+    "operator_call": "operator_request",
+    "registry_changed": "endpoint_list_changed",
+    "reload_refused": "reload_rejected",
+}
 # By field at the recording, its name now.
-FIELDS: dict[str, str] = {"bad_lines": "invalid_lines", "open": "open_lines"}
+FIELDS: dict[str, str] = {
+    "bad_lines": "invalid_lines",
+    "calls": "requests",
+    "list_failed": "endpoint_list_polls_failed",
+    "open": "open_lines",
+    "open_calls": "open_requests",
+    "spoilt": "malformed_responses",
+}
 VALUES: dict[tuple[str, str], str] = {}  # by field and word at the recording, the word now
 
 
