--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -139,7 +139,7 @@
         loop = asyncio.get_running_loop()
         for connection in leaving:
             connection.closes_after_response = True
-        end = loop.time() + self.gateway.stop_time
+        end = loop.time() + self.gateway.shutdown_time
         while leaving:
             before = loop.time() - QUIET
             for connection in list(leaving):
@@ -147,7 +147,7 @@
                     close_if_quiet(connection)
                 if connection.stream.closed():
                     leaving.discard(connection)
-            if leaving and self.gateway.resumes and loop.time() >= end:
+            if leaving and self.gateway.clients_resume_streams and loop.time() >= end:
                 open_requests = [one.open_request for one in leaving if one.open_request is not None]
                 self.core.hand_off(open_requests)
                 end = float("inf")
--- a/lockspoke/cli/config.py
+++ b/lockspoke/cli/config.py
@@ -54,7 +54,7 @@
             names = ", ".join(f"[{section.name}]" for section in sections) or "no section"
             if around is not None:
                 for section in sections:
-                    section.make(section.settings, SubsystemContext(around, {}, path.parent))
+                    section.create(section.settings, SubsystemContext(around, {}, path.parent))
             click.echo(f"{path}: {names}")
         except ConfigError as error:
             faults.append(str(error))
--- a/lockspoke/lifecycle/clock.py
+++ b/lockspoke/lifecycle/clock.py
@@ -6,7 +6,7 @@
 import time
 from collections.abc import Callable
 
-from .event_loop import PolledLoop
+from .event_loop import ArrivalTrackingLoop
 
 
 class EventLoopClock:
@@ -23,7 +23,11 @@
     def earliest_arrival(self) -> int:
         """The earliest moment at which what is taken up now can have come."""
         loop = asyncio.get_running_loop()
-        return self._base + loop.polled.taken_up_since if isinstance(loop, PolledLoop) else self.now()
+        return (
+            self._base + loop.arrivals.earliest_arrival
+            if isinstance(loop, ArrivalTrackingLoop)
+            else self.now()
+        )
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
         """Call back after so many nanoseconds."""
--- a/lockspoke/lifecycle/config.py
+++ b/lockspoke/lifecycle/config.py
@@ -31,18 +31,18 @@
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int] | None  # none where an inventory feeds the replica set
-    named: str  # the discovery that the file itself names
+    discovery_in_file: str  # the discovery that the file itself names
     seed: int
     sockets: int
     memory_mb: int
-    known: ReplicaListUpdate | None
+    initial_list: ReplicaListUpdate | None
     settings: BalancerSettings
     classes: dict[str, int]  # by name, their place in the settings
     tenants: dict[str, int]  # by name, their place in the settings
     deadlines: tuple[int, ...]  # by class
     zones: tuple[str, ...]
-    load_names: tuple[str, ...]
-    resumes: bool  # clients ask for the rest of a stream that ends early
+    load_report_fields: tuple[str, ...]
+    clients_resume_streams: bool  # clients ask for the rest of a stream that ends early
     connect_timeout: int
     keepalive: int
     operator: tuple[str, int] | None = None  # where operators call; none: they can't
@@ -53,13 +53,13 @@
         return max(1, min(48, (self.memory_mb - OWN_MEMORY_MB) // 3)) * MEBIBYTE
 
     @property
-    def stop_time(self) -> float:
+    def shutdown_time(self) -> float:
         """Seconds that the platform surely leaves between SIGTERM and SIGKILL."""
         return min(max(self.deadlines, default=3_000 * MILLISECOND) / 1e9, 3.0) + 0.7
 
-    def connections(self, others: int = 0) -> int:
+    def max_connections_per_side(self, reserved_descriptors: int = 0) -> int:
         """The connections that each side, clients and replicas, may take of the descriptors."""
-        return max(8, (self.sockets - OWN_SOCKETS - others) // 2)
+        return max(8, (self.sockets - OWN_SOCKETS - reserved_descriptors) // 2)
 
 
 def _dig(raw: Any, path: str, default: Any) -> Any:
@@ -123,7 +123,7 @@
     names = _names(settings, "profiles")
     known = raw.get("known")
     named = str(raw.get("discovery") or "")
-    if before is not None and named in ("", before.named):
+    if before is not None and named in ("", before.discovery_in_file):
         discovery = before.discovery
     else:
         told = named if before is not None else environment.get("NODE_DISCOVERY") or named
@@ -133,12 +133,12 @@
         name=environment.get("NODE_NAME") or str(raw.get("name", "")),
         listen=decode_address(environment.get("NODE_LISTEN") or str(raw.get("listen", "")), 0),
         discovery=discovery,
-        named=named or (before.named if before is not None else ""),
+        discovery_in_file=named or (before.discovery_in_file if before is not None else ""),
         seed=_seed(raw.get("seed", "0")),
         # The system's own limit may be lower: past it, accepting would fail and be tried for ever.
         sockets=min(_whole(raw, "limits.sockets", 1024), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
         memory_mb=_whole(raw, "limits.memory_mb", 192),
-        known=None if known is None else read_endpoint_list(known).complete(),
+        initial_list=None if known is None else read_endpoint_list(known).complete(),
         settings=decode_settings(json.dumps(settings).encode()),
         classes={name: index for index, name in enumerate(names)},
         tenants={name: index for index, name in enumerate(_names(settings, "tenants"))},
@@ -146,8 +146,8 @@
             _whole(profile, "deadline", 10_000 * MILLISECOND) for profile in _dig(settings, "profiles", [])
         ),
         zones=_words(settings, "zones"),
-        load_names=_words(settings, "loadInfo.fields"),
-        resumes=_dig(settings, "familyInfo.resume", False) is True,
+        load_report_fields=_words(settings, "loadInfo.fields"),
+        clients_resume_streams=_dig(settings, "familyInfo.resume", False) is True,
         connect_timeout=_whole(settings, "limits.connectTimeout", 100 * MILLISECOND),
         keepalive=_whole(settings, "limits.keepalive", 10_000 * MILLISECOND, lowest=0),  # 0: none is kept
         operator=decode_address(operator, 0) if operator else None,
--- a/lockspoke/lifecycle/edge_file.py
+++ b/lockspoke/lifecycle/edge_file.py
@@ -28,7 +28,7 @@
 
     name: str
     settings: Any
-    make: SubsystemFactory
+    create: SubsystemFactory
 
 
 def read_edge(path: Path) -> list[Section]:
--- a/lockspoke/lifecycle/event_loop.py
+++ b/lockspoke/lifecycle/event_loop.py
@@ -7,7 +7,7 @@
 import time
 
 
-class PolledSelector(selectors.DefaultSelector):
+class ArrivalTrackingSelector(selectors.DefaultSelector):
     """Notes when it was last asked what is ready.
 
     What is found ready at once has come since it was last asked; what it had to wait for has come just now.
@@ -16,23 +16,23 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._asked_at = self._ready_since = time.monotonic_ns()
-        self.taken_up_since = self._asked_at  # the earliest at which what tasks take up now can have come
+        self._polled_at = self._ready_since = time.monotonic_ns()
+        self.earliest_arrival = self._polled_at  # the earliest at which what tasks take up now can have come
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         """What is ready, as the standard library's."""
-        asked_before, self._asked_at = self._asked_at, time.monotonic_ns()
+        asked_before, self._polled_at = self._polled_at, time.monotonic_ns()
         ready = super().select(0)
         if not ready and timeout != 0:
             asked_before, ready = time.monotonic_ns(), super().select(timeout)
-            self._asked_at = time.monotonic_ns()
-        self.taken_up_since, self._ready_since = self._ready_since, asked_before
+            self._polled_at = time.monotonic_ns()
+        self.earliest_arrival, self._ready_since = self._ready_since, asked_before
         return ready
 
 
-class PolledLoop(asyncio.SelectorEventLoop):
+class ArrivalTrackingLoop(asyncio.SelectorEventLoop):
     """The standard library's loop on such a selector."""
 
     def __init__(self) -> None:
-        self.polled = PolledSelector()
-        super().__init__(self.polled)
+        self.arrivals = ArrivalTrackingSelector()
+        super().__init__(self.arrivals)
--- a/lockspoke/lifecycle/graceful_shutdown.py
+++ b/lockspoke/lifecycle/graceful_shutdown.py
@@ -42,7 +42,7 @@
         self.config = config  # a reload may come in the middle of a stop
         self.enter = enter
         self.began = asyncio.get_running_loop().time()
-        self.kill = self.began + config().stop_time  # the platform's, at the earliest
+        self.kill = self.began + config().shutdown_time  # the platform's, at the earliest
         self._over = False
 
     async def run(self) -> None:
@@ -50,7 +50,7 @@
         self.enter(ProgramPhase.DRAINING)
         self.clients.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
         ending = [asyncio.ensure_future(part.drain()) for part in self.parts]
-        if not self.config().resumes:
+        if not self.config().clients_resume_streams:
             # No stream may be cut then, and none is sure to end in time: its replica may be slow, or hang.
             asyncio.get_running_loop().call_at(self.began + LAST_CALLS, self._turn_away)
         await self._accept_while_clients_come()
@@ -63,7 +63,7 @@
     async def _accept_while_clients_come(self) -> None:
         loop, listener = asyncio.get_running_loop(), self.clients.listener
         last = min(self.began + LONGEST_ACCEPTING, self.kill - HAND_OVER)
-        if not self.config().resumes:
+        if not self.config().clients_resume_streams:
             last = min(last, self.began + LAST_CONNECTIONS)
         while loop.time() < last:
             await asyncio.sleep(POLL)
@@ -80,7 +80,8 @@
                 # What a kill finds open is lost; given away in time, clients ask for the rest elsewhere. Not
                 # sooner, though nothing may be open by then: a request can still come on what is connected.
                 self.core.hand_off(
-                    include_streams=self.config().resumes, immediately=now >= self.kill - AT_ONCE
+                    include_streams=self.config().clients_resume_streams,
+                    immediately=now >= self.kill - AT_ONCE,
                 )
             await asyncio.sleep(FINE_POLL)
 
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -29,7 +29,7 @@
 from .bans_file import read_bans, write_bans
 from .clock import EventLoopClock
 from .config import ConfigError, GatewayConfig, read_config
-from .event_loop import PolledLoop
+from .event_loop import ArrivalTrackingLoop
 from .graceful_shutdown import QUIET, GracefulShutdown
 from .logging_setup import start_logging
 from .phases import ProgramPhase
@@ -56,7 +56,7 @@
 
     def initial_list(self) -> ReplicaListUpdate | None:
         """The list that the configuration holds."""
-        return self._config.known
+        return self._config.initial_list
 
     def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
         """Discovery may have moved; a whole list is got by asking it anew."""
@@ -87,9 +87,9 @@
         self.out_of_service = False  # by an operator's word: it answers what comes and asks for no more
         self._others = sum(part.descriptors for part in self.parts)
         self._others += MOST if self.operators is not None else 0
-        most = config.connections(self._others)
+        most = config.max_connections_per_side(self._others)
         self.transport = ReplicaTransport(
-            config.load_names,
+            config.load_report_fields,
             config.connect_timeout,
             config.keepalive,
             most,
@@ -203,8 +203,8 @@
             return
         moved = config.discovery != self.config.discovery
         self.config = config
-        most = config.connections(self._others)
-        self.transport.reconfigure(config.load_names, config.connect_timeout, config.keepalive, most)
+        most = config.max_connections_per_side(self._others)
+        self.transport.reconfigure(config.load_report_fields, config.connect_timeout, config.keepalive, most)
         self.clients.reconfigure(config.classes, most - 1, config.max_buffered_bytes, config.tenants)
         anew = self.core.reconfigure(config.settings, config.zones)
         self.watch.gateway_reconfigured(config, anew)
@@ -236,7 +236,7 @@
             if time.monotonic() - told >= TOTALS:
                 told = time.monotonic()
                 self._tell_totals()
-                give_back()
+                return_free_memory()
             await asyncio.sleep(SWEEP if self.phase is not ProgramPhase.STARTING else 0.02)
 
     def _tell_totals(self) -> None:
@@ -250,7 +250,7 @@
         )
 
 
-def give_back() -> None:
+def return_free_memory() -> None:
     """Give memory that nothing uses back to the system.
 
     Without it the heap grows all day round what is kept: what comes free lies between what does not.
@@ -278,7 +278,7 @@
     try:
         config = read_config(os.environ)
         structlog.contextvars.bind_contextvars(gateway=config.name)
-        with asyncio.Runner(loop_factory=PolledLoop) as runner:
+        with asyncio.Runner(loop_factory=ArrivalTrackingLoop) as runner:
             runner.run(_run(config, options.edge, options.batch))
     except ConfigError as error:
         print(f"lockspoke: {error}", file=sys.stderr)
@@ -301,5 +301,5 @@
 
     folder = (edge or batch or Path()).parent
     around = SubsystemContext(config, os.environ, folder)
-    parts = [section.make(section.settings, around) for section in sections()]
+    parts = [section.create(section.settings, around) for section in sections()]
     await Program(config, parts, sections).run()
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -11,7 +11,7 @@
 
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import ListedReplica
-from lockspoke.lifecycle.program import give_back
+from lockspoke.lifecycle.program import return_free_memory
 from lockspoke.wire.discovery.messages import decode_endpoint_list
 from tests.peers import Gateway, Peer
 
@@ -41,7 +41,7 @@
     gateway.core._sweep()
     gateway.transport.run_periodic_checks()
     gateway.front.run_periodic_checks()
-    give_back()
+    return_free_memory()
 
 
 @pytest.mark.parametrize("work", [all_begin_anew, all_go, sweeps])
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from lockspoke.lifecycle.event_loop import PolledLoop
+from lockspoke.lifecycle.event_loop import ArrivalTrackingLoop
 from tests.peers import Gateway, Line, Peer
 from tests.standins import EVENTS, HEAD, call_bytes, chunk, until
 
@@ -23,7 +23,7 @@
         async with Gateway(peer, **settings) as gateway:
             await test(gateway, peer)
 
-    with asyncio.Runner(loop_factory=PolledLoop) as runner:
+    with asyncio.Runner(loop_factory=ArrivalTrackingLoop) as runner:
         runner.run(whole())
 
 
