--- a/lockspoke/__main__.py
+++ b/lockspoke/__main__.py
@@ -1,27 +1,34 @@
-"""`python -m lockspoke` is the gateway; with a command before anything else it is one of the tools."""
+"""The command `lockspoke`: runs the gateway, or one of the tools if the first argument names one."""
 
+import signal
 import sys
 
 TOOLS = ("address", "inventory", "config", "completion")
+EXIT_WRONG_USAGE = 2
 
 
 def main() -> int:
-    """Run the gateway, or the tool that the first argument names."""
+    """Run the gateway or a tool; returns the exit code."""
     if sys.argv[1:2] and sys.argv[1] in TOOLS:
-        # Imported only here: the gateway lives in little memory and needs nothing of it.
-        try:
-            from .cli.main import run
-        except ModuleNotFoundError as error:
-            print(f"lockspoke: {error.name} is not installed; pip install 'lockspoke[cli]'", file=sys.stderr)
-            return 2
-        return run(sys.argv[1:])
-    import signal
-
-    # A new configuration may be told while the program still starts: unblocked once it can be taken up.
+        return _run_tool(sys.argv[1:])
+    return _run_gateway()
+
+
+def _run_tool(arguments: list[str]) -> int:
+    try:
+        from .cli.main import run  # noqa: PLC0415 - a gateway has to run without the tools' libraries
+    except ModuleNotFoundError as error:
+        print(f"lockspoke: {error.name} is not installed; pip install 'lockspoke[cli]'", file=sys.stderr)
+        return EXIT_WRONG_USAGE
+    return run(arguments)
+
+
+def _run_gateway() -> int:
+    # A reload may be requested while the program is still loading; it is unblocked once it can be handled.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    from .lifecycle.program import main as gateway
+    from .lifecycle.command_line import main as run_gateway  # noqa: PLC0415 - only after SIGHUP is blocked
 
-    return gateway()
+    return run_gateway()
 
 
 if __name__ == "__main__":
--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -190,7 +190,7 @@
         try:
             member.prepare(_settings(edge))()
         except (ValueError, click.UsageError) as error:
-            log.error("reload_refused", reason=getattr(error, "message", str(error)))
+            log.error("reload_rejected", reason=getattr(error, "message", str(error)))
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
--- a/lockspoke/cli/config.py
+++ b/lockspoke/cli/config.py
@@ -6,7 +6,8 @@
 
 import click
 
-from lockspoke.lifecycle.config import ConfigError, GatewayConfig, read_config
+from lockspoke.lifecycle.config import ConfigError, GatewayConfig
+from lockspoke.lifecycle.config_file import read_config
 from lockspoke.lifecycle.edge_file import read_batch_file, read_edge
 from lockspoke.lifecycle.subsystems import SubsystemContext
 
--- a/lockspoke/lifecycle/__init__.py
+++ b/lockspoke/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""Start and stop: configuration, logging, signals and the program's phases."""
+"""The process around a gateway: command line, configuration, logging, signals, start, reload and shutdown."""
--- a/lockspoke/lifecycle/bans_file.py
+++ b/lockspoke/lifecycle/bans_file.py
@@ -1,6 +1,7 @@
-"""Operators' bans, handed from one version of the program to the next in a file that is whole or not there.
+"""Keeps operators' bans of replicas in a file, so that they outlive an upgrade of the program.
 
-The folder lasts over an upgrade only, so nothing is kept for the weeks: the file holds what is in force now.
+The folder lasts only as long as an upgrade takes, so the file has just the bans in force now. It is replaced
+atomically and has a checksum: a reader finds it complete or not at all.
 """
 
 from __future__ import annotations
@@ -8,43 +9,55 @@
 import json
 import os
 import zlib
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from pathlib import Path
 
 import structlog
 
 VERSION = 1
+DEFAULT_FOLDER = "/tmp"  # noqa: S108 - the platform's folder for what lasts over an upgrade
 
 log = structlog.get_logger()
 
 
+def bans_path(environment: Mapping[str, str], gateway: str) -> Path:
+    """The file of a gateway's bans."""
+    return Path(environment.get("TMPDIR") or DEFAULT_FOLDER, f"{gateway}.bans.json")
+
+
 def write_bans(path: Path, uids: Iterable[str]) -> None:
-    """Put the bans in the place of those before; a folder that takes nothing is told in the log, no more."""
+    """Replace the file by one with these replicas; a failure is only logged."""
     body = json.dumps({"version": VERSION, "uids": sorted(uids)})
-    beside = path.with_name(f".{path.name}.{os.getpid()}")
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        beside.write_text(f"{zlib.crc32(body.encode()):08x} {body}\n")
-        beside.replace(path)
+        temporary.write_text(f"{_checksum(body)} {body}\n")
+        temporary.replace(path)
     except OSError as error:
-        log.error("bans_not_kept", file=str(path), reason=str(error))
+        log.error("bans_write_failed", file=str(path), reason=str(error))
 
 
 def read_bans(path: Path) -> list[str]:
-    """The bans in force; none where there is no file, or one that is not whole, which the log tells."""
+    """The replicas that are banned; none if there is no file or, which is logged, if it can't be used."""
     try:
         text = path.read_text()
     except FileNotFoundError:
         return []
     except (OSError, ValueError) as error:
-        log.error("bans_not_read", file=str(path), reason=str(error))
-        return []
-    checksum, _, body = text.partition(" ")
-    body = body.removesuffix("\n") if body.endswith("\n") else ""
-    if not body or f"{zlib.crc32(body.encode()):08x}" != checksum:
-        log.error("bans_not_read", file=str(path), reason="it is cut or changed; delete it")
-        return []
-    found = json.loads(body)
-    if found.get("version") != VERSION:
-        log.error("bans_not_read", file=str(path), reason=f"version {found.get('version')}, want {VERSION}")
-        return []
-    return [str(uid) for uid in found["uids"]]
+        return _unreadable(path, str(error))
+    checksum, _, line = text.partition(" ")
+    body = line.removesuffix("\n")
+    if not body or body == line or _checksum(body) != checksum:
+        return _unreadable(path, "it is cut or changed; delete it")
+    record = json.loads(body)
+    if record.get("version") != VERSION:
+        return _unreadable(path, f"version {record.get('version')}, want {VERSION}")
+    return [str(uid) for uid in record["uids"]]
+
+
+def _checksum(body: str) -> str:
+    return f"{zlib.crc32(body.encode()):08x}"
+
+
+def _unreadable(path: Path, reason: str) -> list[str]:
+    log.error("bans_read_failed", file=str(path), reason=reason)
+    return []
--- a/lockspoke/lifecycle/clock.py
+++ b/lockspoke/lifecycle/clock.py
@@ -1,4 +1,4 @@
-"""The clock that the core runs by, and its timers."""
+"""The core's clock: the system's time and the event loop's timers."""
 
 from __future__ import annotations
 
@@ -10,25 +10,23 @@
 
 
 class EventLoopClock:
-    """The system's clock and the event loop's timers."""
+    """Monotonic time, in nanoseconds since the Unix epoch, and timers of the running event loop."""
 
     def __init__(self) -> None:
-        # One time base: steady, yet comparable with the Unix times at which replicas started.
-        self._base = time.time_ns() - time.monotonic_ns()
+        # A monotonic clock that can be compared with the Unix times at which replicas started.
+        self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Nanoseconds since the Unix epoch, never going back."""
-        return self._base + time.monotonic_ns()
+        """Nanoseconds since the Unix epoch, never decreasing."""
+        return self._offset + time.monotonic_ns()
 
     def earliest_arrival(self) -> int:
-        """The earliest moment at which what is taken up now can have come."""
+        """The earliest time at which input that tasks read now can have arrived, as `now` gives it."""
         loop = asyncio.get_running_loop()
-        return (
-            self._base + loop.arrivals.earliest_arrival
-            if isinstance(loop, ArrivalTrackingLoop)
-            else self.now()
-        )
+        if isinstance(loop, ArrivalTrackingLoop):
+            return self._offset + loop.arrivals.earliest_arrival
+        return self.now()
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call back after so many nanoseconds."""
+        """Call a function after a delay in nanoseconds."""
         return asyncio.get_running_loop().call_later(max(0, delay) / 1e9, callback)
--- a/lockspoke/lifecycle/config.py
+++ b/lockspoke/lifecycle/config.py
@@ -1,154 +1,76 @@
-"""What the gateway is told at its start: the environment and the file that it names."""
+"""One gateway's configuration and the limits that follow from it."""
 
 from __future__ import annotations
 
-import json
-import resource
-from collections.abc import Mapping
 from dataclasses import dataclass
-from pathlib import Path
-from typing import Any
 
 from lockspoke.balancing.settings import BalancerSettings
 from lockspoke.core.replica_set import ReplicaListUpdate
-from lockspoke.simulator.protocol import decode_settings
 from lockspoke.units import MEBIBYTE, MILLISECOND
-from lockspoke.wire.discovery.messages import decode_address, read_endpoint_list
 
-OWN_MEMORY_MB = 26  # what the program takes with its connections open and no request held
-LARGEST = 2**63  # no number of the settings is larger
-OWN_SOCKETS = 64  # descriptors for discovery, listeners, files, logs and what the interpreter needs
+BASE_MEMORY_MB = 26  # what the program uses with its connections open and no request buffered
+MAX_BUFFER_MB = 48  # for requests, however much memory there is
+BASE_DESCRIPTORS = 64  # for discovery, listeners, files, logs and the interpreter
+MIN_CONNECTIONS_PER_SIDE = 8
+DEADLINE_WITHOUT_CLASSES = 3_000 * MILLISECOND
+MAX_DEADLINE_AT_SHUTDOWN = 3.0  # seconds
+SHUTDOWN_MARGIN = 0.7  # seconds from SIGTERM until no client sends requests any more
 
 
 class ConfigError(ValueError):
-    """A configuration that cannot be started with; the text names the key."""
+    """A configuration that can't be used; the text names the key and what is wrong."""
+
+
+class InvalidValueError(ConfigError):
+    """A key whose value can't be used."""
+
+    def __init__(self, key: str, value: object, wanted: str) -> None:
+        super().__init__(f"{key} is {value!r}, want {wanted}")
+        self.key = key
+        self.value = value
+        self.wanted = wanted
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """One gateway's configuration."""
+    """One gateway's configuration. Durations are in nanoseconds unless a field says otherwise."""
 
     name: str
     listen: tuple[str, int]
-    discovery: tuple[str, int] | None  # none where an inventory feeds the replica set
-    discovery_in_file: str  # the discovery that the file itself names
+    discovery: tuple[str, int] | None  # None where an inventory feeds the replica set
+    discovery_in_file: str  # the address in the file; the environment may name another at the start
     seed: int
-    sockets: int
+    sockets: int  # file descriptors that the process may use
     memory_mb: int
     initial_list: ReplicaListUpdate | None
     settings: BalancerSettings
-    classes: dict[str, int]  # by name, their place in the settings
-    tenants: dict[str, int]  # by name, their place in the settings
-    deadlines: tuple[int, ...]  # by class
+    classes: dict[str, int]  # by name, the index of a request class in the settings
+    tenants: dict[str, int]  # by name, the index of a tenant in the settings
+    deadlines: tuple[int, ...]  # by request class
     zones: tuple[str, ...]
     load_report_fields: tuple[str, ...]
-    clients_resume_streams: bool  # clients ask for the rest of a stream that ends early
+    clients_resume_streams: bool  # clients request the rest of a stream that ends early
     connect_timeout: int
-    keepalive: int
-    operator: tuple[str, int] | None = None  # where operators call; none: they can't
+    keepalive: int  # 0: connections to replicas are not reused
+    operator: tuple[str, int] | None = None  # where operators' requests are served; None: nowhere
 
     @property
     def max_buffered_bytes(self) -> int:
-        """The bytes of requests that may be held, as a part of what the interpreter leaves of the memory."""
-        return max(1, min(48, (self.memory_mb - OWN_MEMORY_MB) // 3)) * MEBIBYTE
+        """The bytes of requests that may be buffered: a third of the memory that the program leaves free."""
+        free_mb = self.memory_mb - BASE_MEMORY_MB
+        return max(1, min(MAX_BUFFER_MB, free_mb // 3)) * MEBIBYTE
 
     @property
     def shutdown_time(self) -> float:
-        """Seconds that the platform surely leaves between SIGTERM and SIGKILL."""
-        return min(max(self.deadlines, default=3_000 * MILLISECOND) / 1e9, 3.0) + 0.7
+        """Seconds that the platform leaves at least between SIGTERM and SIGKILL."""
+        longest_deadline = max(self.deadlines, default=DEADLINE_WITHOUT_CLASSES) / 1e9
+        return min(longest_deadline, MAX_DEADLINE_AT_SHUTDOWN) + SHUTDOWN_MARGIN
 
     def max_connections_per_side(self, reserved_descriptors: int = 0) -> int:
-        """The connections that each side, clients and replicas, may take of the descriptors."""
-        return max(8, (self.sockets - OWN_SOCKETS - reserved_descriptors) // 2)
-
-
-def _dig(raw: Any, path: str, default: Any) -> Any:
-    for step in path.split("."):
-        raw = raw.get(step) if isinstance(raw, dict) else None
-    return default if raw is None else raw
-
-
-def _words(raw: Any, path: str) -> tuple[str, ...]:
-    value = _dig(raw, path, [])
-    if not isinstance(value, list) or not all(isinstance(word, str) for word in value):
-        raise ConfigError(f"{path} is {value!r}, want a list of names")
-    return tuple(value)
-
-
-def _names(settings: Any, path: str) -> list[str]:
-    """The names of the objects of a list, in its order."""
-    return [str(one.get("name", "")) if isinstance(one, dict) else "" for one in _dig(settings, path, [])]
-
-
-def _whole(raw: Any, path: str, default: int, lowest: int = 1) -> int:
-    value = _dig(raw, path, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not lowest <= value <= LARGEST:
-        raise ConfigError(f"{path} is {value!r}, want a number from {lowest} to {LARGEST:g}")
-    return int(value)
-
-
-def _seed(value: Any) -> int:
-    try:
-        return int(value, 16) if isinstance(value, str) else int(value)
-    except (TypeError, ValueError):
-        raise ConfigError(f"seed is {value!r}, want a hexadecimal number") from None
-
-
-def read_config(environment: Mapping[str, str], before: GatewayConfig | None = None) -> GatewayConfig:
-    """Read the file that NODE_CONFIG names; the other variables go before what it says.
-
-    Read again, with the configuration that holds so far, a discovery that the file now names goes before
-    the variable: a process's environment cannot follow a change.
-    """
-    path = environment.get("NODE_CONFIG")
-    if not path:
-        raise ConfigError("NODE_CONFIG is not set")
-    try:
-        raw = json.loads(Path(path).read_bytes())
-    except (OSError, ValueError) as error:
-        raise ConfigError(f"{path}: {error}") from None
-    if not isinstance(raw, dict):
-        raise ConfigError(f"{path}: want an object")
-    try:
-        return _config(raw, environment, before)
-    except (ValueError, TypeError, AttributeError, OverflowError) as error:
-        # Whatever is wrong with a file, it is told in one line: a reload must never end a running program.
-        raise ConfigError(f"{path}: {error}") from None
-
-
-def _config(
-    raw: dict[str, Any], environment: Mapping[str, str], before: GatewayConfig | None
-) -> GatewayConfig:
-    settings = _dig(raw, "settings", {})
-    names = _names(settings, "profiles")
-    known = raw.get("known")
-    named = str(raw.get("discovery") or "")
-    if before is not None and named in ("", before.discovery_in_file):
-        discovery = before.discovery
-    else:
-        told = named if before is not None else environment.get("NODE_DISCOVERY") or named
-        discovery = decode_address(told) if told else None
-    operator = environment.get("NODE_OPERATOR") or str(raw.get("operator") or "")
-    return GatewayConfig(
-        name=environment.get("NODE_NAME") or str(raw.get("name", "")),
-        listen=decode_address(environment.get("NODE_LISTEN") or str(raw.get("listen", "")), 0),
-        discovery=discovery,
-        discovery_in_file=named or (before.discovery_in_file if before is not None else ""),
-        seed=_seed(raw.get("seed", "0")),
-        # The system's own limit may be lower: past it, accepting would fail and be tried for ever.
-        sockets=min(_whole(raw, "limits.sockets", 1024), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
-        memory_mb=_whole(raw, "limits.memory_mb", 192),
-        initial_list=None if known is None else read_endpoint_list(known).complete(),
-        settings=decode_settings(json.dumps(settings).encode()),
-        classes={name: index for index, name in enumerate(names)},
-        tenants={name: index for index, name in enumerate(_names(settings, "tenants"))},
-        deadlines=tuple(
-            _whole(profile, "deadline", 10_000 * MILLISECOND) for profile in _dig(settings, "profiles", [])
-        ),
-        zones=_words(settings, "zones"),
-        load_report_fields=_words(settings, "loadInfo.fields"),
-        clients_resume_streams=_dig(settings, "familyInfo.resume", False) is True,
-        connect_timeout=_whole(settings, "limits.connectTimeout", 100 * MILLISECOND),
-        keepalive=_whole(settings, "limits.keepalive", 10_000 * MILLISECOND, lowest=0),  # 0: none is kept
-        operator=decode_address(operator, 0) if operator else None,
-    )
+        """The connections that clients, and likewise replicas, may have.
+
+        Args:
+            reserved_descriptors: file descriptors that other connections may use.
+        """
+        free = self.sockets - BASE_DESCRIPTORS - reserved_descriptors
+        return max(MIN_CONNECTIONS_PER_SIDE, free // 2)
--- /dev/null
+++ b/lockspoke/lifecycle/config_file.py
@@ -0,0 +1,143 @@
+"""Reads a gateway's configuration: environment variables and the JSON file that NODE_CONFIG names."""
+
+from __future__ import annotations
+
+import json
+import resource
+from collections.abc import Mapping
+from pathlib import Path
+from typing import Any
+
+from lockspoke.simulator.protocol import decode_settings
+from lockspoke.units import MILLISECOND
+from lockspoke.wire.discovery.messages import decode_address, read_endpoint_list
+
+from .config import ConfigError, GatewayConfig, InvalidValueError
+
+MAX_NUMBER = 2**63
+DEFAULT_SOCKETS = 1024
+DEFAULT_MEMORY_MB = 192
+DEFAULT_DEADLINE = 10_000 * MILLISECOND
+DEFAULT_CONNECT_TIMEOUT = 100 * MILLISECOND
+DEFAULT_KEEPALIVE = 10_000 * MILLISECOND
+
+Json = Any  # a value of a JSON file, of whatever shape the file gives it
+
+
+def read_config(environment: Mapping[str, str], before: GatewayConfig | None = None) -> GatewayConfig:
+    """Read the file that NODE_CONFIG names; other variables take precedence over its keys.
+
+    Args:
+        environment: the process's environment variables.
+        before: at a reload, the configuration in force. A discovery address that is new in the file then
+            takes precedence over the variable, since a process's environment can't follow a change.
+
+    Raises:
+        ConfigError: the file can't be read, or a key is wrong.
+    """
+    path = environment.get("NODE_CONFIG")
+    if not path:
+        raise ConfigError("NODE_CONFIG is not set")
+    try:
+        raw = json.loads(Path(path).read_bytes())
+    except (OSError, ValueError) as error:
+        raise ConfigError(f"{path}: {error}") from None
+    if not isinstance(raw, dict):
+        raise ConfigError(f"{path}: want an object")
+    try:
+        return _gateway_config(raw, environment, before)
+    except (ValueError, TypeError, AttributeError, OverflowError) as error:
+        # Values of a wrong shape can raise any of these; a reload must never end a running program.
+        raise ConfigError(f"{path}: {error}") from None
+
+
+def _gateway_config(
+    raw: dict[str, Json], environment: Mapping[str, str], before: GatewayConfig | None
+) -> GatewayConfig:
+    settings = _value_at(raw, "settings", {})
+    class_names = _names_of(settings, "profiles")
+    known = raw.get("known")
+    discovery_in_file = str(raw.get("discovery") or "")
+    discovery = _discovery_address(discovery_in_file, environment, before)
+    operator = environment.get("NODE_OPERATOR") or str(raw.get("operator") or "")
+    return GatewayConfig(
+        name=environment.get("NODE_NAME") or str(raw.get("name", "")),
+        listen=decode_address(environment.get("NODE_LISTEN") or str(raw.get("listen", "")), 0),
+        discovery=discovery,
+        discovery_in_file=discovery_in_file or (before.discovery_in_file if before is not None else ""),
+        seed=_seed(raw.get("seed", "0")),
+        sockets=_max_sockets(raw),
+        memory_mb=_integer_at(raw, "limits.memory_mb", DEFAULT_MEMORY_MB),
+        initial_list=None if known is None else read_endpoint_list(known).complete(),
+        settings=decode_settings(json.dumps(settings).encode()),
+        classes=_indexes(class_names),
+        tenants=_indexes(_names_of(settings, "tenants")),
+        deadlines=_deadlines(settings),
+        zones=_strings_at(settings, "zones"),
+        load_report_fields=_strings_at(settings, "loadInfo.fields"),
+        clients_resume_streams=_value_at(settings, "familyInfo.resume", False) is True,
+        connect_timeout=_integer_at(settings, "limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT),
+        keepalive=_integer_at(settings, "limits.keepalive", DEFAULT_KEEPALIVE, lowest=0),
+        operator=decode_address(operator, 0) if operator else None,
+    )
+
+
+def _discovery_address(
+    in_file: str, environment: Mapping[str, str], before: GatewayConfig | None
+) -> tuple[str, int] | None:
+    if before is None:
+        text = environment.get("NODE_DISCOVERY") or in_file
+    elif in_file in ("", before.discovery_in_file):
+        return before.discovery
+    else:
+        text = in_file
+    return decode_address(text) if text else None
+
+
+def _max_sockets(raw: Json) -> int:
+    # The system's own limit may be lower: beyond it, accepting would fail and be retried for ever.
+    system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    return min(_integer_at(raw, "limits.sockets", DEFAULT_SOCKETS), system_limit)
+
+
+def _deadlines(settings: Json) -> tuple[int, ...]:
+    profiles = _value_at(settings, "profiles", [])
+    return tuple(_integer_at(profile, "deadline", DEFAULT_DEADLINE) for profile in profiles)
+
+
+def _seed(value: Json) -> int:
+    try:
+        return int(value, 16) if isinstance(value, str) else int(value)
+    except (TypeError, ValueError):
+        raise InvalidValueError("seed", value, "a hexadecimal number") from None
+
+
+def _value_at(raw: Json, path: str, default: Json) -> Json:
+    """The value at a path of keys joined by dots; the default where a key is missing or null."""
+    for key in path.split("."):
+        raw = raw.get(key) if isinstance(raw, dict) else None
+    return default if raw is None else raw
+
+
+def _strings_at(raw: Json, path: str) -> tuple[str, ...]:
+    value = _value_at(raw, path, [])
+    if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
+        raise InvalidValueError(path, value, "a list of names")
+    return tuple(value)
+
+
+def _integer_at(raw: Json, path: str, default: int, lowest: int = 1) -> int:
+    value = _value_at(raw, path, default)
+    if isinstance(value, bool) or not isinstance(value, int | float) or not lowest <= value <= MAX_NUMBER:
+        raise InvalidValueError(path, value, f"a number from {lowest} to {MAX_NUMBER:g}")
+    return int(value)
+
+
+def _names_of(settings: Json, path: str) -> list[str]:
+    """The names of the objects in a list, in its order."""
+    items = _value_at(settings, path, [])
+    return [str(item.get("name", "")) if isinstance(item, dict) else "" for item in items]
+
+
+def _indexes(names: list[str]) -> dict[str, int]:
+    return {name: index for index, name in enumerate(names)}
--- a/lockspoke/lifecycle/event_loop.py
+++ b/lockspoke/lifecycle/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop that tells since when what its tasks take up now can have lain unread."""
+"""An event loop that knows since when the input that its tasks read now can have been waiting."""
 
 from __future__ import annotations
 
@@ -8,30 +8,31 @@
 
 
 class ArrivalTrackingSelector(selectors.DefaultSelector):
-    """Notes when it was last asked what is ready.
+    """Notes when it polled.
 
-    What is found ready at once has come since it was last asked; what it had to wait for has come just now.
-    The loop reads what is ready, and the tasks that wait for it run in the next turn.
+    Input that is ready at once has arrived since the previous poll; input that it had to wait for has arrived
+    just now. The loop reads what is ready, and the tasks that wait for it run in its next iteration.
+    All times are of the monotonic clock, in nanoseconds.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self._polled_at = self._ready_since = time.monotonic_ns()
-        self.earliest_arrival = self._polled_at  # the earliest at which what tasks take up now can have come
+        self.earliest_arrival = self._polled_at  # of the input that tasks read now
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """What is ready, as the standard library's."""
-        asked_before, self._polled_at = self._polled_at, time.monotonic_ns()
+        """Wait for input as the standard library's selector does."""
+        previous_poll, self._polled_at = self._polled_at, time.monotonic_ns()
         ready = super().select(0)
         if not ready and timeout != 0:
-            asked_before, ready = time.monotonic_ns(), super().select(timeout)
+            previous_poll, ready = time.monotonic_ns(), super().select(timeout)
             self._polled_at = time.monotonic_ns()
-        self.earliest_arrival, self._ready_since = self._ready_since, asked_before
+        self.earliest_arrival, self._ready_since = self._ready_since, previous_poll
         return ready
 
 
 class ArrivalTrackingLoop(asyncio.SelectorEventLoop):
-    """The standard library's loop on such a selector."""
+    """The standard library's event loop with a selector that notes when it polled."""
 
     def __init__(self) -> None:
         self.arrivals = ArrivalTrackingSelector()
--- a/lockspoke/lifecycle/graceful_shutdown.py
+++ b/lockspoke/lifecycle/graceful_shutdown.py
@@ -1,92 +1,94 @@
-"""How a gateway stops: it answers what it has taken and hands over what a kill would cut."""
+"""Graceful shutdown: open requests finish; what would be open at the kill is handed off to other gateways."""
 
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable, Sequence
 
-from lockspoke.core.core import Core
-from lockspoke.wire.clients.front import AdmissionMode, ClientFront
+from lockspoke.wire.clients.front import AdmissionMode
 
-from .config import GatewayConfig
+from .composition import Gateway
 from .phases import ProgramPhase
-from .subsystems import Subsystem
 
-HAND_OVER = 0.3  # seconds before the platform may kill: what is still open goes to other gateways
-AT_ONCE = 0.15  # seconds before it may: until then streams are let go on of which more has come already
-KEEP_ACCEPTING = 0.7  # seconds after SIGTERM: clients hear late that this gateway stops
-QUIET = 0.3  # seconds without a new connection, or of an idle one, before it is closed
-LONGEST_ACCEPTING = 2.0
-# Where no stream may be cut, in seconds after SIGTERM: new connections come for 0.4 s at most, and what came
-# later than 0.7 s is lost if the kill finds it unanswered.
-LAST_CONNECTIONS = 0.45
-LAST_CALLS = 0.65
-POLL = 0.05  # seconds between two looks at new connections
-FINE_POLL = 0.02  # the same once none is accepted: the time to hand over has to be met
+# All times are in seconds.
+
+# Before the platform may kill the process: what is still open is handed off to other gateways from then on.
+HANDOFF_BEFORE_KILL = 0.3
+# Before the kill: from then on also streams are handed off of which unread data has arrived.
+IMMEDIATE_HANDOFF_BEFORE_KILL = 0.15
+# After SIGTERM. Clients learn with a delay that this gateway stops, so it goes on accepting connections.
+MIN_ACCEPT_TIME = 0.7
+MAX_ACCEPT_TIME = 2.0
+# Accepting ends after so long without a new connection; connections idle for as long are closed.
+IDLE_TIME = 0.3
+# After SIGTERM, where clients don't resume streams, so that none may be cut off. New connections come for
+# 0.4 s at most, and a request that arrived later than 0.7 s is lost if the kill finds it unanswered.
+MAX_ACCEPT_TIME_WITHOUT_RESUME = 0.45
+REJECT_TIME_WITHOUT_RESUME = 0.65
+ACCEPT_POLL_INTERVAL = 0.05  # between two checks for new connections
+FINISH_POLL_INTERVAL = 0.02  # between two checks for open requests: the time of the hand-off must be met
 
 
 class GracefulShutdown:
-    """One stop, from SIGTERM to the last answer."""
+    """One shutdown, from SIGTERM to the last response."""
 
-    def __init__(
-        self,
-        core: Core,
-        clients: ClientFront,
-        parts: Sequence[Subsystem],
-        config: Callable[[], GatewayConfig],
-        enter: Callable[[ProgramPhase], None],
-    ) -> None:
-        self.core = core
-        self.clients = clients
-        self.parts = parts
-        self.config = config  # a reload may come in the middle of a stop
-        self.enter = enter
-        self.began = asyncio.get_running_loop().time()
-        self.kill = self.began + config().shutdown_time  # the platform's, at the earliest
-        self._over = False
+    def __init__(self, gateway: Gateway) -> None:
+        self._gateway = gateway
+        self._started_at = asyncio.get_running_loop().time()
+        self._kill_at = self._started_at + gateway.config.shutdown_time  # at the earliest
+        self._finished = False
 
     async def run(self) -> None:
-        """Answer all that was taken, and all that comes while clients still come here."""
-        self.enter(ProgramPhase.DRAINING)
-        self.clients.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
-        ending = [asyncio.ensure_future(part.drain()) for part in self.parts]
-        if not self.config().clients_resume_streams:
-            # No stream may be cut then, and none is sure to end in time: its replica may be slow, or hang.
-            asyncio.get_running_loop().call_at(self.began + LAST_CALLS, self._turn_away)
-        await self._accept_while_clients_come()
-        self.clients.listener.stop()
-        await self._answer_what_is_open()
-        for part in ending:
-            await part
-        self._over = True
+        """Serve what is open and what still arrives; returns when all connections are closed."""
+        gateway = self._gateway
+        gateway.state.enter(ProgramPhase.DRAINING)
+        gateway.clients.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
+        drains = [asyncio.ensure_future(subsystem.drain()) for subsystem in gateway.subsystems]
+        if not self._clients_resume_streams:
+            # No stream may be cut off then, and none is sure to end in time: its replica may be slow or hang.
+            asyncio.get_running_loop().call_at(
+                self._started_at + REJECT_TIME_WITHOUT_RESUME, self._reject_new_requests
+            )
+        await self._accept_late_connections()
+        gateway.clients.listener.stop()
+        await self._finish_open_requests()
+        for drain in drains:
+            await drain
+        self._finished = True
+
+    @property
+    def _clients_resume_streams(self) -> bool:
+        # Read at each use: a reload may change it during the shutdown.
+        return self._gateway.config.clients_resume_streams
 
-    async def _accept_while_clients_come(self) -> None:
-        loop, listener = asyncio.get_running_loop(), self.clients.listener
-        last = min(self.began + LONGEST_ACCEPTING, self.kill - HAND_OVER)
-        if not self.config().clients_resume_streams:
-            last = min(last, self.began + LAST_CONNECTIONS)
-        while loop.time() < last:
-            await asyncio.sleep(POLL)
-            listener.close_idle(QUIET)
-            quiet = loop.time() - listener.last_accept >= QUIET
-            if quiet and loop.time() - self.began >= KEEP_ACCEPTING:
+    async def _accept_late_connections(self) -> None:
+        loop, listener = asyncio.get_running_loop(), self._gateway.clients.listener
+        end = min(self._started_at + MAX_ACCEPT_TIME, self._kill_at - HANDOFF_BEFORE_KILL)
+        if not self._clients_resume_streams:
+            end = min(end, self._started_at + MAX_ACCEPT_TIME_WITHOUT_RESUME)
+        while loop.time() < end:
+            await asyncio.sleep(ACCEPT_POLL_INTERVAL)
+            listener.close_idle(IDLE_TIME)
+            is_quiet = loop.time() - listener.last_accept >= IDLE_TIME
+            if is_quiet and loop.time() - self._started_at >= MIN_ACCEPT_TIME:
                 return
 
-    async def _answer_what_is_open(self) -> None:
-        loop, listener = asyncio.get_running_loop(), self.clients.listener
-        while listener.connections or self.core.requests:
-            listener.close_idle(QUIET)
-            if (now := loop.time()) >= self.kill - HAND_OVER:
-                # What a kill finds open is lost; given away in time, clients ask for the rest elsewhere. Not
-                # sooner, though nothing may be open by then: a request can still come on what is connected.
-                self.core.hand_off(
-                    include_streams=self.config().clients_resume_streams,
-                    immediately=now >= self.kill - AT_ONCE,
+    async def _finish_open_requests(self) -> None:
+        gateway, loop = self._gateway, asyncio.get_running_loop()
+        listener = gateway.clients.listener
+        while listener.connections or gateway.core.requests:
+            listener.close_idle(IDLE_TIME)
+            now = loop.time()
+            if now >= self._kill_at - HANDOFF_BEFORE_KILL:
+                # A request that is open at the kill is lost; handed off in time, clients get the rest from
+                # another gateway. Requests can still arrive on open connections, so this is repeated.
+                gateway.core.hand_off(
+                    include_streams=self._clients_resume_streams,
+                    immediately=now >= self._kill_at - IMMEDIATE_HANDOFF_BEFORE_KILL,
                 )
-            await asyncio.sleep(FINE_POLL)
+            await asyncio.sleep(FINISH_POLL_INTERVAL)
 
-    def _turn_away(self) -> None:
-        """Take no more requests: connections that clients still have here lead on to other gateways."""
-        if not self._over:
-            self.enter(ProgramPhase.REJECTING)
-            self.clients.admission_mode = AdmissionMode.REJECT
+    def _reject_new_requests(self) -> None:
+        """Reject requests on connections that clients still have, so that they use other gateways."""
+        if not self._finished:
+            self._gateway.state.enter(ProgramPhase.REJECTING)
+            self._gateway.clients.admission_mode = AdmissionMode.REJECT
--- a/lockspoke/lifecycle/logging_setup.py
+++ b/lockspoke/lifecycle/logging_setup.py
@@ -1,4 +1,4 @@
-"""Log lines: one JSON object each on standard error, for events and never for single requests."""
+"""Logging: one JSON object a line on standard error, for events and never for single requests."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 import structlog
 
 
-class _Passed(logging.Handler):
-    """Brings what libraries log, such as exceptions in callbacks, into the same form."""
+class _LibraryLogHandler(logging.Handler):
+    """Writes what libraries log, such as exceptions in callbacks, in the program's own form."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Pass a record on."""
+        """Write one record."""
         structlog.get_logger().error(
             "library_error", source=record.name, text=record.getMessage(), exc_info=record.exc_info
         )
 
 
 def start_logging() -> None:
-    """Set structlog up for the whole program."""
-    # Below that, Tornado tells of every connection that a peer cut: it would be a line a request.
-    logging.basicConfig(level=logging.ERROR, handlers=[_Passed()])
+    """Set up structlog and the standard library's logging for the whole process."""
+    # Below ERROR, Tornado logs each connection that a peer closes: that would be a line a request.
+    logging.basicConfig(level=logging.ERROR, handlers=[_LibraryLogHandler()])
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
--- /dev/null
+++ b/lockspoke/lifecycle/operator_commands.py
@@ -0,0 +1,57 @@
+"""What the requests on the operators' port do."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import structlog
+
+from lockspoke.core.core import Core
+from lockspoke.wire.clients.front import AdmissionMode, ClientFront
+from lockspoke.wire.http.http1 import HttpError
+from lockspoke.wire.operators.api import Ask, OperatorCall
+
+from .bans_file import write_bans
+from .phases import ProgramState
+
+log = structlog.get_logger()
+
+
+class OperatorCommands:
+    """Carries out operators' requests on one gateway."""
+
+    def __init__(self, state: ProgramState, core: Core, clients: ClientFront, bans_file: Path) -> None:
+        self._state = state
+        self._core = core
+        self._clients = clients
+        self._bans_file = bans_file
+
+    def execute(self, request: OperatorCall) -> str:
+        """Carry out a request; returns the response's text. Raises HttpError if it can't be done."""
+        match request.ask:
+            case Ask.READY:
+                return self._check_ready()
+            case Ask.OFFLINE | Ask.ONLINE:
+                self._set_banned(request.uid, request.ask is Ask.OFFLINE)
+            case Ask.OUT_OF_SERVICE | Ask.IN_SERVICE:
+                self._set_out_of_service(request.ask is Ask.OUT_OF_SERVICE)
+        log.info("operator_request", command=request.ask.name.lower(), replica=request.uid)
+        return "done"
+
+    def _check_ready(self) -> str:
+        if not self._state.is_ready:
+            raise HttpError(503, f"not ready: {self._state.phase.value}")
+        return "ready"
+
+    def _set_banned(self, uid: str, banned: bool) -> None:
+        if not self._core.set_banned(uid, banned):
+            raise HttpError(404, f"no list has named {uid[:200]}")
+        write_bans(self._bans_file, self._core.replica_set.banned)
+
+    def _set_out_of_service(self, out_of_service: bool) -> None:
+        if self._state.is_stopping:
+            raise HttpError(409, "the gateway is stopping")
+        self._state.out_of_service = out_of_service
+        self._clients.admission_mode = (
+            AdmissionMode.ACCEPT_AND_CLOSE if out_of_service else AdmissionMode.ACCEPT
+        )
--- /dev/null
+++ b/lockspoke/lifecycle/periodic_checks.py
@@ -0,0 +1,70 @@
+"""What the program does regularly: readiness, time limits of connections, totals and memory."""
+
+from __future__ import annotations
+
+import asyncio
+import time
+
+import structlog
+
+from .composition import Gateway
+from .graceful_shutdown import IDLE_TIME
+from .memory import return_free_memory
+from .phases import ProgramPhase
+
+# Seconds between two checks. Misbehaving clients must get a response within 3 s.
+CHECK_INTERVAL = 0.25
+STARTING_CHECK_INTERVAL = 0.02  # the same while the program starts
+TOTALS_INTERVAL = 10.0  # seconds between two log lines of totals
+
+log = structlog.get_logger()
+
+
+class PeriodicChecks:
+    """The periodic checks of one gateway."""
+
+    def __init__(self, gateway: Gateway) -> None:
+        self._gateway = gateway
+
+    async def run(self) -> None:
+        """Check until cancelled."""
+        state = self._gateway.state
+        totals_logged_at = time.monotonic()
+        while True:
+            self._check_readiness()
+            self._check_connections()
+            if time.monotonic() - totals_logged_at >= TOTALS_INTERVAL:
+                totals_logged_at = time.monotonic()
+                log_totals(self._gateway)
+                return_free_memory()
+            starting = state.phase is ProgramPhase.STARTING
+            await asyncio.sleep(STARTING_CHECK_INTERVAL if starting else CHECK_INTERVAL)
+
+    def _check_readiness(self) -> None:
+        gateway = self._gateway
+        starting = gateway.state.phase is ProgramPhase.STARTING
+        if starting and gateway.replica_set.ready_count and gateway.list_is_current:
+            gateway.state.enter(ProgramPhase.READY)
+
+    def _check_connections(self) -> None:
+        gateway = self._gateway
+        gateway.transport.run_periodic_checks()
+        gateway.clients.run_periodic_checks()
+        if gateway.state.out_of_service:
+            gateway.clients.listener.close_idle(IDLE_TIME)
+        if gateway.operators is not None:
+            gateway.operators.run_periodic_checks()
+        for subsystem in gateway.subsystems:
+            subsystem.run_periodic_checks()
+
+
+def log_totals(gateway: Gateway) -> None:
+    """Log what is open now and the counters since the start."""
+    log.info(
+        "totals",
+        open_requests=len(gateway.core.requests),
+        clients=len(gateway.clients.listener.connections),
+        replica_connections=gateway.transport.open_connections,
+        malformed_responses=gateway.transport.malformed_responses,
+        **gateway.core.totals,
+    )
--- /dev/null
+++ b/lockspoke/lifecycle/platform_discovery.py
@@ -0,0 +1,33 @@
+"""The platform's discovery service as the source of the endpoint list."""
+
+from __future__ import annotations
+
+from lockspoke.core.replica_set import ReplicaListUpdate
+from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
+
+from .config import ConfigError, GatewayConfig
+
+
+class PlatformDiscovery(DiscoveryWatch):
+    """Watches the platform's discovery service and follows it when a reload changes its address."""
+
+    def __init__(self, config: GatewayConfig) -> None:
+        """Raises ConfigError if the configuration names no discovery service."""
+        if config.discovery is None:
+            raise ConfigError("discovery is missing")
+        super().__init__(
+            config.discovery, hold_duration_ms(config.settings.gateway_index, config.settings.gateway_count)
+        )
+        self._config = config
+
+    def initial_list(self) -> ReplicaListUpdate | None:
+        """The list in the configuration file, if it has one."""
+        return self._config.initial_list
+
+    def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
+        """Follow a change of address; a watch that starts again also fetches the complete list."""
+        moved = config.discovery != self._config.discovery
+        self._config = config
+        self.hold_ms = hold_duration_ms(config.settings.gateway_index, config.settings.gateway_count)
+        if config.discovery is not None and (moved or needs_complete_list):
+            self.move(config.discovery)
--- a/lockspoke/lifecycle/subsystems.py
+++ b/lockspoke/lifecycle/subsystems.py
@@ -1,16 +1,16 @@
-"""What plugs into the program: subsystems beside the platform's front, and sources of the list of replicas.
+"""Interfaces of what plugs into the program: subsystems and sources of the endpoint list.
 
-A subsystem is named by a section of the edge file. Its module is imported only where that section is there,
-so a program without one carries nothing of it. `PARTS` is the whole of what the program knows of them.
+Each subsystem is configured by a section of the edge file. Its module is imported only where the file has
+that section, so that a gateway without it loads none of its libraries.
 """
 
 from __future__ import annotations
 
 import importlib
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from lockspoke.core.core import Core
 from lockspoke.core.replica_set import ReplicaListUpdate
@@ -18,8 +18,10 @@
 
 from .config import GatewayConfig
 
-# By section, the module that holds its `settings_type` (a msgspec struct) and `create` (a
-# `SubsystemFactory`).
+if TYPE_CHECKING:
+    import msgspec  # loaded only where there is an edge file
+
+# The module of each section; see SubsystemModule for what it holds.
 SUBSYSTEM_MODULES = {
     "address": "lockspoke.address.subsystem",
     "batch": "lockspoke.batch.subsystem",
@@ -28,7 +30,7 @@
 
 
 class EndpointListSource(Protocol):
-    """Where the list of replicas comes from. One feeds the replica set; it is the core's discovery too."""
+    """Where the endpoint list comes from. A gateway has one; it is the core's discovery as well."""
 
     core: Core | None  # set before anything is asked of it
     first_poll_finished: (
@@ -36,76 +38,94 @@
     )
 
     def initial_list(self) -> ReplicaListUpdate | None:
-        """The list to begin with, if there is one now; raises ConfigError where none can be had at all."""
+        """The list to start with, if there is one yet. Raises ConfigError if there can't be one."""
 
     @property
     def has_unread_changes(self) -> bool:
-        """Whether changes have come that are not in force yet."""
+        """Whether changes have arrived that are not in force yet."""
 
     def watch(self, enable: bool) -> None:
-        """Tell the core of changes from now on, or end that; asked again while it does, nothing changes."""
+        """Start or stop notifying the core of changes. Starting twice is the same as once."""
 
     def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
-        """The gateway's configuration has changed; `anew`: the core wants the whole list again."""
+        """Take a changed configuration; the core may need the complete list again for it."""
 
     def close(self) -> None:
-        """End for good."""
+        """Stop for good."""
 
 
 class Subsystem(Protocol):
-    """One section of the edge file at work. The program calls its methods in the order of their names here.
+    """One section of the edge file at work. The program calls the methods in the order they have here.
 
-    A reload is all or none: `prepare` of every part is called, and only if none raises ConfigError are the
-    functions that they gave called, which may not fail.
+    A reload is all or nothing: `prepare_reload` of each subsystem is called first, and only if none raises
+    ConfigError are the functions called that they returned. Those must not fail.
     """
 
     name: str
-    descriptors: int  # that its connections may take
-    endpoint_list_source: EndpointListSource | None  # where it feeds the replica set
+    descriptors: int  # file descriptors that its connections may use
+    endpoint_list_source: EndpointListSource | None  # None unless it feeds the replica set
 
     def attach(self, core: Core, clients: ClientFront) -> None:
-        """The core that it goes through and the platform's front; raises ConfigError where it can't start."""
+        """Connect to the core and the clients' port. Raises ConfigError if it can't start."""
 
     def start(self) -> None:
-        """Begin, on the running loop."""
+        """Start working in the running event loop."""
 
     def run_periodic_checks(self) -> None:
-        """Look after what has stood for long; called some times a second."""
+        """Enforce time limits; called several times a second."""
 
+    # Each implementation takes its own settings type, which a common type of the parameter would not allow.
     def prepare_reload(self, settings: Any, gateway: GatewayConfig) -> Callable[[], None]:
-        """Check new settings of its own and of the gateway; gives what puts them in force."""
+        """Check new settings; returns what puts them in force. Raises ConfigError if they can't be."""
 
     async def drain(self) -> None:
-        """Take nothing new and finish what is open; returns when that is done."""
+        """Accept no new work and finish what is open; returns when that is done."""
 
     def stop(self) -> None:
-        """End for good, after the drain."""
+        """Stop for good, after the drain."""
 
     def status(self) -> dict[str, Any]:
-        """How it stands, as plain values."""
+        """The current state, as values that JSON can hold."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubsystemContext:
-    """What a part is made with, beside its own settings."""
+    """What a subsystem is created with, besides its own settings."""
 
     gateway: GatewayConfig
     environment: Mapping[str, str]
-    folder: Path  # paths in the edge file are taken from the working folder; this is the file's own
+    folder: Path  # that the edge file is in
 
 
 class SubsystemFactory(Protocol):
-    """The `make` of a part's module."""
+    """The function `create` of a subsystem's module."""
+
+    def __call__(self, settings: Any, context: SubsystemContext, /) -> Subsystem:
+        """Create the subsystem. Raises ConfigError, which names the key that is wrong."""
+
+
+class SubsystemModule(Protocol):
+    """What the module of a subsystem holds."""
+
+    settings_type: type[msgspec.Struct]  # the schema of its section
+    create: SubsystemFactory
 
-    def __call__(self, settings: Any, around: SubsystemContext) -> Subsystem:
-        """The part; raises ConfigError, naming the key."""
+
+@dataclass(frozen=True, slots=True)
+class Section:
+    """A section of the edge file that has been read and checked."""
+
+    name: str
+    settings: Any  # an instance of its module's settings_type
+    create: SubsystemFactory
 
 
-def subsystem_module(section: str) -> Any:
-    """The module of a part, imported now if it was not."""
-    return importlib.import_module(SUBSYSTEM_MODULES[section])
+def subsystem_module(section: str) -> SubsystemModule:
+    """Import the module of a section."""
+    return cast(SubsystemModule, importlib.import_module(SUBSYSTEM_MODULES[section]))
 
 
-def find_endpoint_list_source(parts: list[Subsystem]) -> EndpointListSource | None:
-    """The one source of the list among the parts, if any."""
-    return next((part.endpoint_list_source for part in parts if part.endpoint_list_source is not None), None)
+def find_endpoint_list_source(subsystems: Iterable[Subsystem]) -> EndpointListSource | None:
+    """The source of the endpoint list among the subsystems, if there is one."""
+    sources = (subsystem.endpoint_list_source for subsystem in subsystems)
+    return next((source for source in sources if source is not None), None)
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -168,8 +168,8 @@
     program = cluster.programs["a"]
     cluster.write("a", keys=[str(cluster.folder / "none")])
     program.reload()
-    await until(lambda: program.log("reload_refused") is not None)
-    assert "keys names" in program.log("reload_refused")["reason"]  # type: ignore[index]
+    await until(lambda: program.log("reload_rejected") is not None)
+    assert "keys names" in program.log("reload_rejected")["reason"]  # type: ignore[index]
 
 
 @with_cluster(settle=0.2)
@@ -181,7 +181,7 @@
     def refused(name: str, text: str) -> Callable[[], bool]:
         program = cluster.programs[name]
         return lambda: any(
-            text in line["reason"] for line in program.logs if line["event"] == "reload_refused"
+            text in line["reason"] for line in program.logs if line["event"] == "reload_rejected"
         )
 
     cluster.write("a", members=pair["a"])
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -10,7 +10,7 @@
 import json
 import re
 import zlib
-from collections.abc import Callable
+from collections.abc import Callable, MutableMapping
 from pathlib import Path
 from typing import Any
 from unittest import mock
@@ -28,6 +28,7 @@
 from lockspoke.inventory.source import InventorySource
 from lockspoke.lifecycle.bans_file import read_bans, write_bans
 
+from .log_names import event_now
 from .support import Tree, read_tree, write_tree
 
 BANNED = ["w-17", "lis-1/w 2", "wörker-é", "w-03"]
@@ -96,7 +97,13 @@
 def _ban_case(name: str, path: Path) -> dict[str, Any]:
     with capture_logs() as logs:
         bans = read_bans(path)
-    return {"case": name, "bans": bans, "log": logs}
+    return {"case": name, "bans": bans, "log": [_as_recorded(line) for line in logs]}
+
+
+def _as_recorded(line: MutableMapping[str, Any]) -> dict[str, Any]:
+    """A log line with its event's name at the recording."""
+    recorded = {event_now(event): event for event in ("bans_not_kept", "bans_not_read")}
+    return {**line, "event": recorded[line["event"]]}
 
 
 # Address record and trace
--- a/tests/golden/log_names.py
+++ b/tests/golden/log_names.py
@@ -9,8 +9,25 @@
 
 from typing import Any
 
-EVENTS: dict[str, str] = {}  # by event at the recording, its name now
-FIELDS: dict[str, str] = {}  # by field at the recording, its name now
+# By event at the recording, its name now.
+EVENTS: dict[str, str] = {
+    "bans_not_kept": "bans_write_failed",
+    "bans_not_read": "bans_read_failed",
+    "operator_call": "operator_request",
+    "reload_refused": "reload_rejected",
+}
+# By field at the recording, its name now.
+FIELDS: dict[str, str] = {
+    "open_calls": "open_requests",
+    "spoilt": "malformed_responses",
+}
+# By event and field at the recording, the field's name now, where other events keep the field's name.
+FIELDS_OF_EVENTS: dict[tuple[str, str], str] = {
+    ("listening", "workers"): "replicas",
+    ("operator_call", "asked"): "command",
+    ("operator_call", "worker"): "replica",
+    ("totals", "workers"): "replica_connections",
+}
 VALUES: dict[tuple[str, str], str] = {}  # by field and word at the recording, the word now
 
 
@@ -31,6 +48,10 @@
 
 def line_now(line: dict[str, Any]) -> dict[str, Any]:
     """A log line of the recording, with its names as they are now."""
-    renamed = {field_now(field): value_now(field, value) for field, value in line.items()}
+    event = line["event"]
+    renamed = {
+        FIELDS_OF_EVENTS.get((event, field), field_now(field)): value_now(field, value)
+        for field, value in line.items()
+    }
     assert len(renamed) == len(line), "two fields have one name now"
-    return renamed | {"event": event_now(line["event"])}
+    return renamed | {"event": event_now(event)}
--- a/tests/golden/message_cases.py
+++ b/tests/golden/message_cases.py
@@ -14,7 +14,8 @@
 from click.testing import CliRunner
 
 from lockspoke.cli.main import cli
-from lockspoke.lifecycle.config import ConfigError, read_config
+from lockspoke.lifecycle.config import ConfigError
+from lockspoke.lifecycle.config_file import read_config
 from lockspoke.simulator.protocol import SettingsError, decode_settings
 
 from .support import write_tree
--- a/tests/golden/test_stored_batches.py
+++ b/tests/golden/test_stored_batches.py
@@ -10,7 +10,8 @@
 
 from lockspoke.batch.store import BatchStore
 from lockspoke.batch.subsystem import BatchSettings, create
-from lockspoke.lifecycle.config import ConfigError, GatewayConfig, read_config
+from lockspoke.lifecycle.config import ConfigError, GatewayConfig
+from lockspoke.lifecycle.config_file import read_config
 from lockspoke.lifecycle.subsystems import SubsystemContext
 
 from . import batch_scenario
--- a/tests/inventory/test_cli.py
+++ b/tests/inventory/test_cli.py
@@ -166,7 +166,8 @@
 
 
 def test_the_gateway_alone_loads_none_of_it() -> None:
-    probe = "import sys, lockspoke.lifecycle.program; print(sorted({m.split('.')[0] for m in sys.modules}))"
+    packages = "sorted({name.split('.')[0] for name in sys.modules})"
+    probe = f"import sys, lockspoke.lifecycle.command_line; print({packages})"
     loaded = subprocess.run(
         [sys.executable, "-c", probe], cwd=ROOT, capture_output=True, text=True, timeout=60
     ).stdout
--- a/tests/inventory/test_source.py
+++ b/tests/inventory/test_source.py
@@ -329,8 +329,8 @@
             good = Path(options[1]).read_text()
             Path(options[1]).write_text(good + "pole = 3\n")
             program.process.send_signal(signal.SIGHUP)
-            await until(lambda: program.log("reload_refused") is not None)
-            assert "inventory.pole is unknown; did you mean poll?" in program.log("reload_refused")["reason"]  # type: ignore[index]
+            await until(lambda: program.log("reload_rejected") is not None)
+            assert "inventory.pole is unknown; did you mean poll?" in program.log("reload_rejected")["reason"]  # type: ignore[index]
             Path(options[1]).write_text(good + "select = '!w1'\n")
             program.process.send_signal(signal.SIGHUP)
             await until(decided(program, "remove", "w1"))
@@ -421,7 +421,7 @@
         place(path, rows(one) + "\n".join(hosts) + "\n")
         options = edge(folder, select="w0,h*")
         async with Program(options=options) as program:
-            assert program.log("listening")["workers"] == 9_901  # type: ignore[index]
+            assert program.log("listening")["replicas"] == 9_901  # type: ignore[index]
             read = program.log("inventory_read")
             assert read is not None and read["problems"] == 100
             # A removal is taken at once, beside all that is wrong.
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -11,7 +11,7 @@
 
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import ListedReplica
-from lockspoke.lifecycle.program import return_free_memory
+from lockspoke.lifecycle.memory import return_free_memory
 from lockspoke.wire.discovery.messages import decode_endpoint_list
 from tests.peers import Gateway, Peer
 
--- a/tests/lifecycle/test_program.py
+++ b/tests/lifecycle/test_program.py
@@ -104,7 +104,7 @@
     """Each shape of answer, and what the totals say it was taken for."""
     shapes = {
         "error": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",  # not said to be declined
-        "full": b"HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
+        "overloaded": b"HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
         "reset": b"HTTP/1.1 200 OK\r\n",
         "timeout": b"",
     }
@@ -117,7 +117,7 @@
 
         async with FakeWorker(script) as worker, Program(worker) as program, Client(program.port) as client:
             status = (await client.ask(call_bytes(1, deadline=400)))[0]
-            assert status == (503 if outcome == "full" else 502)
+            assert status == (503 if outcome == "overloaded" else 502)
             await program.terminate()
             assert program.log("totals")[f"outcome_{outcome}"] >= 1  # type: ignore[index]
 
@@ -144,7 +144,9 @@
                     assert (status, body, whole) == (200, b"".join([*EVENTS, TAIL]), True), text
             await program.terminate()
             totals = program.log("totals")
-            assert totals is not None and totals["outcome_error"] == totals["spoilt"] == len(bad.seen), text
+            assert totals is not None and totals["outcome_error"] == totals["malformed_responses"] == len(
+                bad.seen
+            ), text
 
 
 @run
@@ -317,7 +319,7 @@
             for bad in ("{", '{"settings": {"profiles": 5}}', '{"limits": {"sockets": "x"}}'):
                 program.raw.clear()
                 program.reload(bad)
-                await until(lambda: "reload_refused" in "".join(program.raw))
+                await until(lambda: "reload_rejected" in "".join(program.raw))
                 assert len(program.raw) == 1  # one line, whatever is wrong
             address = f"127.0.0.1:{second.port}"
             moved = {"discovery": address, "limits": {"memory_mb": 64, "sockets": 300}}
--- a/tests/wire/operators/test_front.py
+++ b/tests/wire/operators/test_front.py
@@ -154,4 +154,4 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     write_bans(tmp_path / "missing" / "n1.bans.json", ["s-1"])
-    assert "bans_not_kept" in capsys.readouterr().out
+    assert "bans_write_failed" in capsys.readouterr().out
