--- /dev/null
+++ b/tests/lifecycle/test_endpoint_list.py
@@ -0,0 +1,83 @@
+"""The endpoint list from discovery, as the program in a process of its own uses it."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from typing import Any
+
+from tests.standins import Client, FakeDiscovery, FakeWorker, Program, call_bytes, target, until
+
+from .support import UP, run
+
+
+@run
+async def test_discovery_is_watched_without_a_pause_and_survives_malformed_answers() -> None:
+    async with FakeWorker() as old, FakeWorker() as new, FakeDiscovery() as discovery:
+        discovery.targets = [{"uid": 5}]
+        discovery.raw = b'{"rev": 2, "all": true, "targets": [{"uid": 5}]}'
+        async with Program(old, discovery=discovery) as program, Client(program.port) as client:
+            await until(lambda: program.log("discovery_failing") is not None)
+            assert (await client.ask(call_bytes(1)))[0] == 200  # the old list holds
+            assert len(old.seen) == 1
+            discovery.change(new)
+            await until(lambda: program.log("registry_changed") is not None)
+            await until(lambda: f"from={discovery.rev}&" in discovery.seen[-1].head.query)
+            assert (await client.ask(call_bytes(2)))[0] == 200
+            assert len(new.seen) == 1 and len(old.seen) == 1
+
+
+@run
+async def test_lists_that_cannot_be_believed_leave_the_workers_in_force() -> None:
+    """An empty list, or one that names a worker twice, would have ended all service at once."""
+    for twice in (False, True):
+        async with FakeWorker() as worker, FakeDiscovery() as discovery:
+            discovery.change(worker)
+            listed = [target(worker)] * 2 if twice else []
+            discovery.raw = json.dumps({"rev": 9, "all": True, "targets": listed}).encode()
+            async with Program(worker, discovery=discovery) as program, Client(program.port) as client:
+                await until(lambda now=program: now.log("discovery_failing") is not None)
+                assert (await client.ask(call_bytes(1)))[0] == 200
+                await until(lambda now=program: now.log("discovery_back") is not None)
+                assert (await client.ask(call_bytes(2)))[0] == 200
+
+
+@run
+async def test_a_drain_that_a_list_contradicts_and_an_empty_list_said_twice_are_obeyed() -> None:
+    """What is told holds: the rule on drains knows no list that is written and does not count."""
+    for twice in (False, True):
+        async with FakeWorker() as worker, FakeDiscovery() as discovery:
+            discovery.rev = 9
+            discovery.targets = [target(worker), target(worker, "draining")] if twice else []
+            async with Program(worker, discovery=discovery) as program, Client(program.port) as client:
+                await until(lambda now=program: now.log("registry_changed") is not None)
+                assert (await client.ask(call_bytes(1, deadline=300)))[0] != 200
+            assert not worker.seen
+
+
+@run
+async def test_where_lists_are_pushed_a_program_is_ready_once_discovery_has_answered() -> None:
+    """What discovery has counts as told from the first moment, and the configured list may be older."""
+
+    class Held(FakeDiscovery):
+        def __init__(self) -> None:
+            super().__init__()
+            self.answers = asyncio.Event()
+
+        async def answer(self, request: Any, writer: asyncio.StreamWriter) -> None:
+            await self.answers.wait()
+            await super().answer(request, writer)
+
+    async with FakeWorker() as gone, FakeWorker() as worker, Held() as discovery:
+        discovery.change(worker)
+        pushed = Program(gone, discovery=discovery)
+        pushed.settings["discovery"] = "automatic"
+        async with pushed as program:
+            await until(lambda: bool(discovery.seen))
+            async with Client(program.port) as client:
+                assert (await client.ask(UP))[0] == 503
+                discovery.answers.set()
+                await until(lambda: program.log("phase", now="ready") is not None)
+                assert (await client.ask(UP))[0] == 200
+                assert (await client.ask(call_bytes(1)))[0] == 200
+        assert not gone.seen and len(worker.seen) == 1
--- /dev/null
+++ b/tests/lifecycle/test_requests.py
@@ -0,0 +1,204 @@
+"""Requests and responses through the program in a process of its own."""
+
+from __future__ import annotations
+
+import asyncio
+
+from lockspoke.wire.http.http1 import BODY_LIMIT, HEAD_LIMIT
+from tests.standins import (
+    EVENTS,
+    HEAD,
+    TAIL,
+    Client,
+    FakeDiscovery,
+    FakeWorker,
+    Program,
+    call_bytes,
+    chunk,
+    until,
+)
+
+from .support import run, says
+
+
+@run
+async def test_an_answer_passes_unchanged_and_so_does_the_request() -> None:
+    async with FakeWorker() as worker, Program(worker) as program, Client(program.port) as client:
+        assert (await client.ask(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 200
+        number = 0
+        while len(worker.writers) == len(worker.seen):  # until a connection to the worker is used again
+            number += 1
+            status, _, body, whole = await client.ask(call_bytes(number, body=b'{"a": [1]}'))
+            assert (status, body, whole) == (200, b"".join([*EVENTS, TAIL]), True)
+        request = worker.seen[0]
+        assert (request.head.method, request.head.target) == ("POST", "/v1/chat/completions?a=b")
+        assert request.body == b'{"a": [1]}' and request.head.headers.get("req-id") == f"{1:016x}"
+        assert 0 < int(request.head.headers.get("req-deadline-ms")) <= 4000
+        assert await program.terminate() == 0
+
+
+@run
+async def test_events_pass_as_they_come_and_a_broken_stream_ends_without_the_last_chunk() -> None:
+    go = asyncio.Event()
+
+    async def script(writer: asyncio.StreamWriter) -> None:
+        writer.write(HEAD + chunk(EVENTS[0]))
+        await go.wait()
+        writer.write(chunk(EVENTS[1]))
+        await writer.drain()
+        writer.close()
+
+    async with FakeWorker(script) as worker, Program(worker) as program, Client(program.port) as client:
+        client.writer.write(call_bytes(1))
+        async with asyncio.timeout(30):
+            assert EVENTS[0] in await client.reader.readuntil(EVENTS[0])
+        go.set()
+        rest = await asyncio.wait_for(client.reader.read(), 30)
+        assert EVENTS[1] in rest and b"0\r\n\r\n" not in rest
+
+
+@run
+async def test_what_a_worker_turns_away_goes_elsewhere_or_ends_as_an_overload_reply() -> None:
+    full = says(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+    async with FakeWorker(full) as one, FakeWorker(full) as two, Program(one, two) as program:
+        async with Client(program.port) as client:
+            status, fields, _, whole = await client.ask(call_bytes(1, deadline=1000))
+        # The module's advice on when to come back, in seconds; the answer itself is not held for it.
+        assert float(fields["retry-after"]) > 0
+        assert (status, whole) == (503, True) and len(one.seen) + len(two.seen) == 3
+
+
+@run
+async def test_outcomes_follow_the_table() -> None:
+    """Each shape of answer, and what the totals say it was taken for."""
+    shapes = {
+        "error": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",  # not said to be declined
+        "overloaded": b"HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
+        "reset": b"HTTP/1.1 200 OK\r\n",
+        "timeout": b"",
+    }
+    for outcome, text in shapes.items():
+
+        async def script(writer: asyncio.StreamWriter, text: bytes = text) -> None:
+            writer.write(text)
+            if text and b"\r\n\r\n" not in text:
+                writer.close()
+
+        async with FakeWorker(script) as worker, Program(worker) as program, Client(program.port) as client:
+            status = (await client.ask(call_bytes(1, deadline=400)))[0]
+            assert status == (503 if outcome == "overloaded" else 502)
+            await program.terminate()
+            assert program.log("totals")[f"outcome_{outcome}"] >= 1  # type: ignore[index]
+
+
+SPOILT = [
+    b"\xef\x81\x87noise",
+    b"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n",
+    b"HTTP/1.1 200 OK\r\nX-Pad: p\r\n",  # a head that does not end, on a connection that stays open
+    HEAD + b"5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
+    HEAD + b"4\r\n" + EVENTS[0],
+    HEAD + b"b2d05e00\r\n" + EVENTS[0],
+]
+
+
+@run
+async def test_an_answer_spoilt_before_its_first_event_is_a_failed_attempt_and_another_follows() -> None:
+    for text in SPOILT:
+        async with FakeWorker(says(text)) as bad, FakeWorker() as good, Program(bad, good) as program:
+            async with Client(program.port) as client:
+                number = 0
+                while not bad.seen:  # whichever of the two comes first
+                    number += 1
+                    status, _, body, whole = await client.ask(call_bytes(number))
+                    assert (status, body, whole) == (200, b"".join([*EVENTS, TAIL]), True), text
+            await program.terminate()
+            totals = program.log("totals")
+            assert totals is not None and totals["outcome_error"] == totals["malformed_responses"] == len(
+                bad.seen
+            ), text
+
+
+@run
+async def test_an_answer_spoilt_later_ends_the_connection_without_the_last_chunk() -> None:
+    for later in (
+        b"-1\r\n",
+        b"4\r\n" + EVENTS[1],
+        b"b2d05e00\r\nx",
+        b"70\r\n" + EVENTS[1] + b"\r\n5d\r\ndata",
+    ):
+
+        async def script(writer: asyncio.StreamWriter, later: bytes = later) -> None:
+            writer.write(HEAD + chunk(EVENTS[0]))
+            await asyncio.sleep(0.05)  # two reads, so that the first event is passed on
+            writer.write(later)
+
+        async with FakeWorker(script) as worker, Program(worker) as program, Client(program.port) as client:
+            status, _, body, whole = await client.ask(call_bytes(1))
+            assert (status, whole) == (200, False) and body.startswith(EVENTS[0]), later
+
+
+@run
+async def test_a_second_answer_behind_the_first_is_never_the_next_calls() -> None:
+    behind = HEAD + chunk(b"data: another's\n\n") + chunk(b"")
+
+    async def script(writer: asyncio.StreamWriter) -> None:
+        writer.write(
+            HEAD + b"".join(map(chunk, [*EVENTS, b": Srv-Load: util=\xff?\n\n", TAIL])) + chunk(b"") + behind
+        )
+
+    async with FakeWorker(script) as worker, Program(worker) as program, Client(program.port) as client:
+        for number in range(1, 4):
+            status, _, body, whole = await client.ask(call_bytes(number))
+            assert (status, whole) == (200, True) and b"another" not in body and body.endswith(TAIL)
+        assert len(worker.writers) == 3
+
+
+@run
+async def test_a_worker_that_cannot_be_reached_has_not_run_anything() -> None:
+    async with FakeWorker() as worker, FakeDiscovery() as discovery:
+        discovery.change(worker)
+        program = Program(worker, discovery=discovery)
+        await worker.__aexit__()
+        async with program, Client(program.port) as client:
+            assert (await client.ask(call_bytes(1, deadline=500)))[0] == 503  # an overload reply: never ran
+            await program.terminate()
+            assert program.log("totals")["outcome_connect_failed"] >= 1  # type: ignore[index]
+
+
+@run
+async def test_a_client_that_closes_is_noticed_while_its_call_is_held() -> None:
+    async with FakeWorker(says(b"")) as worker, Program(worker) as program:
+        async with Client(program.port) as client:
+            client.writer.write(call_bytes(1, deadline=3000))
+            await until(lambda: bool(worker.seen))
+        await program.terminate()
+        assert program.log("totals")["left"] == 1  # type: ignore[index]
+
+
+BAD = {
+    b"nonsense\r\n\r\n": 400,
+    b"GET /up HTTP/1.1\r\n\r\n": 400,
+    b"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n": 404,
+    b"PUT /up HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n": 405,
+    b"GET /v1/chat/completions HTTP/1.1\r\nHost: a\r\n\r\n": 405,
+    b"GET /up HTTP/1.1\r\nX: " + b"a" * HEAD_LIMIT: 431,
+    b"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % (BODY_LIMIT + 1): 413,
+    call_bytes(1, kind="odd"): 400,
+    call_bytes(1).replace(b"Req-Deadline-Ms: 4000", b"Req-Deadline-Ms: x"): 400,
+    call_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 2\r\nContent-Length: 3"): 400,
+    call_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 2\r\nTransfer-Encoding: chunked"): 400,
+}
+
+
+@run
+async def test_bad_input_reaches_no_worker_and_harms_nobody() -> None:
+    async with FakeWorker() as worker, Program(worker) as program:
+        for raw, status in BAD.items():
+            async with Client(program.port) as client:
+                assert (await client.ask(raw))[0] == status, raw[:60]
+        assert not worker.seen
+        async with Client(program.port) as client:
+            # An answer to HEAD has no body: one would be read as the answer to what follows.
+            client.writer.write(b"HEAD /up HTTP/1.1\r\nHost: a\r\n\r\n")
+            assert b"405" in await client.reader.readuntil(b"\r\n\r\n")
+            assert (await client.ask(call_bytes(1)))[0] == 200
--- a/tests/wire/operators/test_front.py
+++ b/tests/wire/operators/test_front.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lockspoke.lifecycle.bans_file import read_bans, write_bans
-from tests.lifecycle.test_program import run
+from tests.lifecycle.support import run
 from tests.standins import Client, FakeDiscovery, FakeWorker, Program, call_bytes, until
 
 
