--- a/lockspoke/lifecycle/composition.py
+++ b/lockspoke/lifecycle/composition.py
@@ -73,8 +73,7 @@
     state = ProgramState()
     clock = EventLoopClock()
     replica_set = ReplicaSet(Identifiers(), config.zones)
-    reserved_descriptors = sum(subsystem.descriptors for subsystem in subsystems)
-    reserved_descriptors += MOST if config.operator is not None else 0
+    reserved_descriptors = _reserved_descriptors(config, subsystems)
     per_side = config.max_connections_per_side(reserved_descriptors)
     transport = ReplicaTransport(
         config.load_report_fields, config.connect_timeout, config.keepalive, per_side, clock.now
@@ -82,14 +81,7 @@
     watch: EndpointListSource = find_endpoint_list_source(subsystems) or PlatformDiscovery(config)
     core = Core(config.settings, config.seed, replica_set, clock, transport, watch)
     watch.core = core
-    clients = ClientFront(
-        core,
-        config.classes,
-        max_client_connections(per_side),
-        config.max_buffered_bytes,
-        lambda: state.wants_requests,
-        config.tenants,
-    )
+    clients = _client_front(config, core, state, per_side)
     operators = None
     if config.operator is not None:
         operators = OperatorFront(OperatorCommands(state, core, clients, bans_file).execute)
@@ -107,3 +99,20 @@
         subsystems=subsystems,
         reserved_descriptors=reserved_descriptors,
     )
+
+
+def _reserved_descriptors(config: GatewayConfig, subsystems: Sequence[Subsystem]) -> int:
+    """The file descriptors for connections other than those of clients and replicas."""
+    for_operators = MOST if config.operator is not None else 0
+    return for_operators + sum(subsystem.descriptors for subsystem in subsystems)
+
+
+def _client_front(config: GatewayConfig, core: Core, state: ProgramState, per_side: int) -> ClientFront:
+    return ClientFront(
+        core,
+        config.classes,
+        max_client_connections(per_side),
+        config.max_buffered_bytes,
+        lambda: state.wants_requests,
+        config.tenants,
+    )
