--- a/lockspoke/lifecycle/subsystems.py
+++ b/lockspoke/lifecycle/subsystems.py
@@ -33,9 +33,7 @@
     """Where the endpoint list comes from. A gateway has one; it is the core's discovery as well."""
 
     core: Core | None  # set before anything is asked of it
-    first_poll_finished: (
-        bool  # whether it has said, or failed to say, what is newer than the list to begin with
-    )
+    first_poll_finished: bool  # whether the first request for changes has ended, with or without success
 
     def initial_list(self) -> ReplicaListUpdate | None:
         """The list to start with, if there is one yet. Raises ConfigError if there can't be one."""
