--- a/lockspoke/cli/config.py
+++ b/lockspoke/cli/config.py
@@ -6,7 +6,8 @@
 
 import click
 
-from lockspoke.lifecycle.config import ConfigError, GatewayConfig, read_config
+from lockspoke.lifecycle.config import ConfigError, GatewayConfig
+from lockspoke.lifecycle.config_file import read_config
 from lockspoke.lifecycle.edge_file import read_batch_file, read_edge
 from lockspoke.lifecycle.subsystems import SubsystemContext
 
@@ -54,7 +55,7 @@
             names = ", ".join(f"[{section.name}]" for section in sections) or "no section"
             if around is not None:
                 for section in sections:
-                    section.make(section.settings, SubsystemContext(around, {}, path.parent))
+                    section.create(section.settings, SubsystemContext(around, {}, path.parent))
             click.echo(f"{path}: {names}")
         except ConfigError as error:
             faults.append(str(error))
