--- a/lockspoke/lifecycle/config_file.py
+++ b/lockspoke/lifecycle/config_file.py
@@ -68,7 +68,7 @@
         seed=_seed(raw.get("seed", "0")),
         sockets=_max_sockets(raw),
         memory_mb=_integer_at(raw, "limits.memory_mb", DEFAULT_MEMORY_MB),
-        initial_list=None if known is None else read_endpoint_list(known).complete(),
+        initial_list=None if known is None else read_endpoint_list(known).require_complete(),
         settings=decode_settings(json.dumps(settings).encode()),
         classes=_indexes(class_names),
         tenants=_indexes(_names_of(settings, "tenants")),
--- a/lockspoke/wire/discovery/connection.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -12,7 +12,9 @@
 
 from .messages import EndpointListRequest, ResponseReader
 
-GRACE = 0.4  # seconds past its wait for which a watch may stay without an answer, until it counts as silent
+WATCH_GRACE = (
+    0.4  # seconds past its wait for which a watch may stay without an answer, until it counts as silent
+)
 ANSWER_TIME = (
     1.5  # seconds for a request that may not wait, its connection included; and for an answer that comes
 )
@@ -73,7 +75,7 @@
                 self._connection = ReadAhead(await self._dial(self.endpoint))
         if request.waits:
             # From here on: discovery counts its wait from when it has the request.
-            deadline = loop.time() + request.hold_ms / 1000 + GRACE
+            deadline = loop.time() + request.hold_ms / 1000 + WATCH_GRACE
         self.awaiting = True
         host = "{}:{}".format(*self.endpoint)
         self._connection.stream.write(encode_request("GET", request.target, {"Host": host}))
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -48,7 +48,7 @@
     update: ReplicaListUpdate
     faults: tuple[str, ...] = ()  # each names an entry's field
 
-    def complete(self) -> ReplicaListUpdate:
+    def require_complete(self) -> ReplicaListUpdate:
         """The update; raises ListError if any of it could not be read."""
         if self.faults:
             raise EndpointListError(self.faults[0])
@@ -132,7 +132,7 @@
     return EndpointListResponse(update, tuple(faults))
 
 
-def out_of_use_only(update: ReplicaListUpdate) -> ReplicaListUpdate:
+def without_ready_replicas(update: ReplicaListUpdate) -> ReplicaListUpdate:
     """The part of an update that can lead to no send: drains and removals that it names."""
     entries = tuple(entry for entry in update.entries if entry.state != ReplicaState.READY)
     return replace(update, version=UNKNOWN_VERSION, complete=False, entries=entries)
--- a/lockspoke/wire/discovery/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -23,7 +23,7 @@
     EndpointListRequest,
     EndpointListResponse,
     decode_endpoint_list,
-    out_of_use_only,
+    without_ready_replicas,
 )
 
 HOLD_MS = 1500  # the shortest hold: how long a watch waits for a change
@@ -69,7 +69,7 @@
             link = DiscoveryLink(self.endpoint, self._dial)
             self._current = Follower(link, self)
 
-    def move(self, endpoint: Address) -> None:
+    def change_endpoint(self, endpoint: Address) -> None:
         """Watch at another address from now on: at once, since the old one may close any moment.
 
         What the old service has written, or is about to, counts as told, so its last answer is still taken.
@@ -120,7 +120,7 @@
             log.info("discovery_back", rev=update.version)
             self._failing = False
         core.endpoint_list_changed(update, completes_poll=follower is self._current)
-        answer.complete()
+        answer.require_complete()
 
     def end(self, follower: Follower, reason: str | None) -> None:
         """A follower has ended; with a reason, it failed: the decisions say when to ask again."""
@@ -221,7 +221,7 @@
             # An answer from before the last one, or a service begun anew: what it puts into use may be long
             # past, and what has changed since can't be told from it.
             log.info("discovery_went_back", asked=request.version, rev=update.version)
-            self._watch.take(self, replace(answer, update=out_of_use_only(update)))
+            self._watch.take(self, replace(answer, update=without_ready_replicas(update)))
             return False
         empty = update.complete and not update.entries and self._replicas.ready_count > 0
         if empty and not self._empty_before:
--- a/tests/batch/api_client.py
+++ b/tests/batch/api_client.py
@@ -38,7 +38,7 @@
     ) -> tuple[Any, dict[str, str]]:
         raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         fields = {"Host": "a"} | {name.replace("_", "-"): value for name, value in headers.items()}
-        status, got, data, complete = await self.client.ask(encode_request(method, path, fields, raw))
+        status, got, data, complete = await self.client.request(encode_request(method, path, fields, raw))
         assert (status, complete) == (expect, True), (status, data)
         return (json.loads(data) if "json" in got["content-type"] else data), got
 
--- a/tests/batch/harness.py
+++ b/tests/batch/harness.py
@@ -16,10 +16,10 @@
 from lockspoke.core.requests import Attempt
 from lockspoke.units import SECOND
 from tests.core.world import World
-from tests.standins import EVENTS, TAIL
+from tests.standins import EVENTS, STREAM_TAIL
 
 ENDPOINT = "/v1/chat/completions"
-RESPONSE = b"".join(EVENTS) + TAIL
+RESPONSE = b"".join(EVENTS) + STREAM_TAIL
 TIMEOUT = 30  # seconds that a scenario may take
 LINE: dict[str, Any] = {
     "custom_id": "a",
--- a/tests/batch/test_chat_completion.py
+++ b/tests/batch/test_chat_completion.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from lockspoke.batch.chat_completion import ChatCompletionAssembler, measure_prompt
-from tests.standins import EVENTS, TAIL
+from tests.standins import EVENTS, STREAM_TAIL
 from tests.wire.http.test_http1 import cut, fixed
 
 
@@ -21,7 +21,7 @@
 @given(st.lists(st.integers(0)))
 def test_a_response_is_assembled_wherever_the_stream_is_split(cuts: list[int]) -> None:
     assembler = ChatCompletionAssembler("m", 7)
-    for part in cut(b": note\n\n" + b"".join(EVENTS) + TAIL, cuts):
+    for part in cut(b": note\n\n" + b"".join(EVENTS) + STREAM_TAIL, cuts):
         assembler.feed(part)
     body = assembler.body()
     assert body is not None and body["choices"] == [
@@ -36,10 +36,10 @@
         b"",
         EVENTS[0],  # no end
         b"data: [DONE]\n\n",  # nothing in it
-        b"data: {oops\n\n" + b"".join(EVENTS) + TAIL,
-        b'data: {"error": {"message": "x"}}\n\n' + TAIL,
-        b"data: []\n\n" + TAIL,
-        b"x" * 2_000_000 + b"\n" + TAIL,
+        b"data: {oops\n\n" + b"".join(EVENTS) + STREAM_TAIL,
+        b'data: {"error": {"message": "x"}}\n\n' + STREAM_TAIL,
+        b"data: []\n\n" + STREAM_TAIL,
+        b"x" * 2_000_000 + b"\n" + STREAM_TAIL,
     ],
 )
 def test_a_stream_without_a_complete_response_gives_none(stream: bytes) -> None:
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -11,7 +11,18 @@
 
 from lockspoke.lifecycle.config import ConfigError
 from lockspoke.lifecycle.edge_file import read_batch_file
-from tests.standins import EVENTS, HEAD, ROOT, TAIL, Client, FakeWorker, Program, call_bytes, chunk, until
+from tests.standins import (
+    EVENTS,
+    STREAM_HEAD,
+    ROOT,
+    STREAM_TAIL,
+    Client,
+    FakeReplica,
+    Program,
+    request_bytes,
+    chunk,
+    until,
+)
 
 from .api_client import batch_config, connect, input_file
 
@@ -22,7 +33,7 @@
     options = ("--batch", batch_config(tmp_path))
 
     async def scenario() -> None:
-        async with FakeWorker(pause=0.002) as one, FakeWorker(pause=0.002) as two:
+        async with FakeReplica(pause=0.002) as one, FakeReplica(pause=0.002) as two:
             async with Program(one, two, options=options) as program:
                 api = await connect(program)
                 batch_id = await api.create_batch(input_file(LINES), Idempotency_Key="k1")
@@ -59,14 +70,14 @@
         await asyncio.sleep(number / rate)
         async with Client(port) as client:
             started_at = time.monotonic()
-            status, _, body, complete = await client.ask(call_bytes(number))
+            status, _, body, complete = await client.request(request_bytes(number))
             durations.append(time.monotonic() - started_at)
-            return status == 200 and complete and body.endswith(TAIL) and durations[-1] <= 1.0
+            return status == 200 and complete and body.endswith(STREAM_TAIL) and durations[-1] <= 1.0
 
     return sum(await asyncio.gather(*(request(n) for n in range(count)))), durations
 
 
-class BusyReplica(FakeWorker):
+class BusyReplica(FakeReplica):
     """A replica with a few slots and a short queue, which sheds what exceeds them."""
 
     def __init__(self, slots: int = 4, queue: int = 8, pause: float = 0.05) -> None:
@@ -83,8 +94,8 @@
             async with self.slots:
                 for event in EVENTS:  # together they take the pause
                     await asyncio.sleep(self.pause / 2)
-                    writer.write((HEAD if event is EVENTS[0] else b"") + chunk(event))
-                writer.write(chunk(TAIL) + chunk(b""))
+                    writer.write((STREAM_HEAD if event is EVENTS[0] else b"") + chunk(event))
+                writer.write(chunk(STREAM_TAIL) + chunk(b""))
                 await writer.drain()
         finally:
             self.capacity += 1
@@ -127,16 +138,16 @@
     )
 
     async def scenario() -> None:
-        async with FakeWorker() as one, FakeWorker() as two:
+        async with FakeReplica() as one, FakeReplica() as two:
             inventory.write_text(f"name,endpoint,zone\nw1,127.0.0.1:{one.port},lis-1\n")
             async with Program(options=options) as program, Client(program.port) as client:
-                assert (await client.ask(call_bytes(1)))[0] == 200 and len(one.seen) == 1
+                assert (await client.request(request_bytes(1)))[0] == 200 and len(one.seen) == 1
                 inventory.write_text("name,endpoint\nw1,127.0.0.1:x\nw2,nowhere\n")
                 await until(lambda: program.log("inventory_problem", line=3) is not None)
-                assert (await client.ask(call_bytes(2)))[0] == 200 and len(one.seen) == 2
+                assert (await client.request(request_bytes(2)))[0] == 200 and len(one.seen) == 2
                 inventory.write_text(f"name,endpoint\nw2,127.0.0.1:{two.port}\n")
                 await until(lambda: program.log("registry_changed") is not None)
-                assert (await client.ask(call_bytes(3)))[0] == 200 and len(two.seen) == 1
+                assert (await client.request(request_bytes(3)))[0] == 200 and len(two.seen) == 1
 
     asyncio.run(scenario())
 
@@ -146,7 +157,7 @@
     options = ("--batch", batch_config(tmp_path, token_env="TEST_BATCH_TOKEN"))
 
     async def scenario() -> None:
-        async with FakeWorker() as replica, Program(replica, options=options) as program:
+        async with FakeReplica() as replica, Program(replica, options=options) as program:
             api = await connect(program)
             await api.request("GET", "/v1/files", expect=401)
             await api.request("GET", "/v1/files", Authorization="Bearer secret")
@@ -174,8 +185,8 @@
 
 def test_without_the_option_no_batch_front_listens() -> None:
     async def scenario() -> None:
-        async with FakeWorker() as replica, Program(replica) as program, Client(program.port) as client:
-            assert (await client.ask(b"GET /v1/batches HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 404
+        async with FakeReplica() as replica, Program(replica) as program, Client(program.port) as client:
+            assert (await client.request(b"GET /v1/batches HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 404
             assert program.log("batch_listening") is None
 
     asyncio.run(scenario())
--- a/tests/batch/test_public_api.py
+++ b/tests/batch/test_public_api.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.standins import FakeWorker, Program
+from tests.standins import FakeReplica, Program
 
 from .api_client import Api, batch_config, connect, input_file
 from .harness import ENDPOINT
@@ -27,7 +27,7 @@
     options = ("--batch", batch_config(tmp_path, max_file_mb=1))
 
     async def scenario() -> None:
-        async with FakeWorker() as replica, Program(replica, options=options) as program:
+        async with FakeReplica() as replica, Program(replica, options=options) as program:
             api = await connect(program)
             file = await create_file_twice(api)
             batch = await create_batch_twice(api, file)
--- a/tests/lifecycle/support.py
+++ b/tests/lifecycle/support.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
-from tests.standins import EVENTS, HEAD, chunk
+from tests.standins import EVENTS, STREAM_HEAD, chunk
 
 UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -33,7 +33,7 @@
 
 async def stream_endlessly(writer: asyncio.StreamWriter) -> None:
     """Stream events until the gateway closes the connection."""
-    writer.write(HEAD)
+    writer.write(STREAM_HEAD)
     with contextlib.suppress(ConnectionError):
         while not writer.is_closing():
             writer.write(chunk(EVENTS[0]))
--- a/tests/lifecycle/test_connections.py
+++ b/tests/lifecycle/test_connections.py
@@ -9,15 +9,15 @@
 from lockspoke.wire.http.http1 import Request
 from tests.standins import (
     EVENTS,
-    HEAD,
+    STREAM_HEAD,
     ROOT,
     SECOND,
-    TAIL,
+    STREAM_TAIL,
     Client,
     FakeDiscovery,
-    FakeWorker,
+    FakeReplica,
     Program,
-    call_bytes,
+    request_bytes,
     chunk,
     until,
 )
@@ -27,11 +27,11 @@
 
 @run
 async def test_hundreds_of_silent_connections_do_not_crowd_out_active_ones() -> None:
-    async with FakeWorker() as replica, Program(replica, sockets=120) as program:
+    async with FakeReplica() as replica, Program(replica, sockets=120) as program:
         silent = [socket.create_connection(("127.0.0.1", program.port)) for _ in range(300)]
         for number in range(1, 6):
             async with Client(program.port) as client:
-                assert (await client.ask(call_bytes(number)))[0] == 200
+                assert (await client.request(request_bytes(number)))[0] == 200
         for one in silent:
             one.settimeout(6.0)  # it is closed within 3 s of connecting; the rest is for a busy machine
             with contextlib.suppress(ConnectionError):
@@ -59,7 +59,7 @@
 
 @run
 async def test_idle_clients_that_use_all_descriptors_block_neither_the_watch_nor_requests() -> None:
-    async with FakeWorker() as old, FakeWorker() as new, UnavailableDiscovery() as discovery:
+    async with FakeReplica() as old, FakeReplica() as new, UnavailableDiscovery() as discovery:
         discovery.change(old)
         async with Program(old, discovery=discovery, sockets=120) as program:
             await until(lambda: program.log("registry_changed") is not None)
@@ -70,7 +70,7 @@
             discovery.change(new)
             await until(lambda: program.log("discovery_back") is not None)
             async with Client(program.port) as client:
-                assert (await client.ask(call_bytes(1)))[0] == 200
+                assert (await client.request(request_bytes(1)))[0] == 200
             assert (len(old.seen), len(new.seen)) == (0, 1)
             for one in idle:
                 one.close()
@@ -82,16 +82,16 @@
 
     async def script(writer: asyncio.StreamWriter) -> None:
         nonlocal sent
-        writer.write(HEAD)
+        writer.write(STREAM_HEAD)
         with contextlib.suppress(ConnectionError, asyncio.CancelledError):
             for _ in range(4000):
                 writer.write(chunk(b"data: " + b"x" * 16000 + b"\n\n"))
                 await asyncio.wait_for(writer.drain(), 1.0)
                 sent += 1
 
-    async with FakeWorker(script) as replica, Program(replica) as program:
+    async with FakeReplica(script) as replica, Program(replica) as program:
         lazy = socket.create_connection(("127.0.0.1", program.port))
-        lazy.sendall(call_bytes(1))
+        lazy.sendall(request_bytes(1))
         await until(lambda: sent > 0)
         before = -1
         while before != sent:  # until all buffers are full
@@ -110,18 +110,18 @@
     go = asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + chunk(EVENTS[0]))
+        writer.write(STREAM_HEAD + chunk(EVENTS[0]))
         await go.wait()
-        writer.write(chunk(TAIL) + chunk(b""))
+        writer.write(chunk(STREAM_TAIL) + chunk(b""))
 
     async with contextlib.AsyncExitStack() as stack:
-        replica = await stack.enter_async_context(FakeWorker(script))
+        replica = await stack.enter_async_context(FakeReplica(script))
         program = await stack.enter_async_context(Program(replica, sockets=70))  # room for 8 clients
         idle = [await stack.enter_async_context(Client(program.port)) for _ in range(7)]
-        assert [(await one.ask(UP))[0] for one in idle] == [200] * 7
+        assert [(await one.request(UP))[0] for one in idle] == [200] * 7
         await asyncio.sleep(0.3)  # a connection that was just opened does not count as idle
         asking = [await stack.enter_async_context(Client(program.port)) for _ in range(10)]
-        answers = [asyncio.ensure_future(one.ask(call_bytes(n))) for n, one in enumerate(asking)]
+        answers = [asyncio.ensure_future(one.request(request_bytes(n))) for n, one in enumerate(asking)]
         await until(lambda: len(replica.seen) == 8)
         assert program.log("clients_at_limit") is not None
         go.set()  # the others have waited in the kernel's backlog
@@ -130,21 +130,21 @@
 
 @run
 async def test_idle_connections_to_replicas_are_closed_before_the_replica_closes_them() -> None:
-    async with FakeWorker() as replica, Program(replica, keepalive=SECOND) as program:
+    async with FakeReplica() as replica, Program(replica, keepalive=SECOND) as program:
         async with Client(program.port) as client:
-            assert (await client.ask(call_bytes(1)))[0] == 200
+            assert (await client.request(request_bytes(1)))[0] == 200
             await until(lambda: replica.closed == 1)
-            assert (await client.ask(call_bytes(2)))[0] == 200
+            assert (await client.request(request_bytes(2)))[0] == 200
         assert len(replica.writers) == 2
 
 
 @run
 async def test_without_keepalive_each_request_has_its_own_connection() -> None:
     """0 is a valid setting: connections are not reused."""
-    async with FakeWorker() as replica, Program(replica, keepalive=0) as program:
+    async with FakeReplica() as replica, Program(replica, keepalive=0) as program:
         async with Client(program.port) as client:
             for number in range(1, 4):
-                assert (await client.ask(call_bytes(number)))[0] == 200
+                assert (await client.request(request_bytes(number)))[0] == 200
                 await until(lambda seen=number: replica.closed == seen)  # type: ignore[misc]  # mypy infers no lambda with a default
         assert len(replica.writers) == 3
 
@@ -157,15 +157,15 @@
         if writer in answered:  # it has timed out, and resets only at the next request
             return writer.transport.abort()
         answered.add(writer)
-        writer.write(HEAD + chunk(TAIL) + chunk(b""))
+        writer.write(STREAM_HEAD + chunk(STREAM_TAIL) + chunk(b""))
         return None
 
-    async with FakeWorker(script) as replica, Program(replica) as program, Client(program.port) as client:
+    async with FakeReplica(script) as replica, Program(replica) as program, Client(program.port) as client:
         number = status = 0
         while len(replica.seen) == len(replica.writers):
             number += 1
-            status = (await client.ask(call_bytes(number)))[0]
+            status = (await client.request(request_bytes(number)))[0]
         assert status == 502  # it may have run, so it is not retried
         for number in range(100, 103):
-            assert (await client.ask(call_bytes(number)))[0] == 200
+            assert (await client.request(request_bytes(number)))[0] == 200
             await until(lambda: replica.closed == len(replica.writers))  # idle for a quarter of a second
--- a/tests/lifecycle/test_endpoint_list.py
+++ b/tests/lifecycle/test_endpoint_list.py
@@ -6,24 +6,24 @@
 import json
 from typing import Any
 
-from tests.standins import Client, FakeDiscovery, FakeWorker, Program, call_bytes, target, until
+from tests.standins import Client, FakeDiscovery, FakeReplica, Program, request_bytes, target, until
 
 from .support import UP, run
 
 
 @run
 async def test_discovery_is_watched_without_a_pause_and_malformed_responses_change_nothing() -> None:
-    async with FakeWorker() as old, FakeWorker() as new, FakeDiscovery() as discovery:
+    async with FakeReplica() as old, FakeReplica() as new, FakeDiscovery() as discovery:
         discovery.targets = [{"uid": 5}]
         discovery.raw = b'{"rev": 2, "all": true, "targets": [{"uid": 5}]}'
         async with Program(old, discovery=discovery) as program, Client(program.port) as client:
             await until(lambda: program.log("discovery_failing") is not None)
-            assert (await client.ask(call_bytes(1)))[0] == 200  # the old list holds
+            assert (await client.request(request_bytes(1)))[0] == 200  # the old list holds
             assert len(old.seen) == 1
             discovery.change(new)
             await until(lambda: program.log("registry_changed") is not None)
             await until(lambda: f"from={discovery.rev}&" in discovery.seen[-1].head.query)
-            assert (await client.ask(call_bytes(2)))[0] == 200
+            assert (await client.request(request_bytes(2)))[0] == 200
             assert len(new.seen) == 1 and len(old.seen) == 1
 
 
@@ -31,27 +31,27 @@
 async def test_implausible_lists_leave_the_replicas_in_use() -> None:
     """An empty list, or one that names a replica twice, would end all service at once."""
     for twice in (False, True):
-        async with FakeWorker() as replica, FakeDiscovery() as discovery:
+        async with FakeReplica() as replica, FakeDiscovery() as discovery:
             discovery.change(replica)
             entries = [target(replica)] * 2 if twice else []
             discovery.raw = json.dumps({"rev": 9, "all": True, "targets": entries}).encode()
             async with Program(replica, discovery=discovery) as program, Client(program.port) as client:
                 await until(lambda now=program: now.log("discovery_failing") is not None)  # type: ignore[misc]  # mypy infers no lambda with a default
-                assert (await client.ask(call_bytes(1)))[0] == 200
+                assert (await client.request(request_bytes(1)))[0] == 200
                 await until(lambda now=program: now.log("discovery_back") is not None)  # type: ignore[misc]  # mypy infers no lambda with a default
-                assert (await client.ask(call_bytes(2)))[0] == 200
+                assert (await client.request(request_bytes(2)))[0] == 200
 
 
 @run
 async def test_a_contradictory_drain_and_a_confirmed_empty_list_are_obeyed() -> None:
     """The rule on drains applies to each published list, plausible or not."""
     for twice in (False, True):
-        async with FakeWorker() as replica, FakeDiscovery() as discovery:
+        async with FakeReplica() as replica, FakeDiscovery() as discovery:
             discovery.rev = 9
             discovery.targets = [target(replica), target(replica, "draining")] if twice else []
             async with Program(replica, discovery=discovery) as program, Client(program.port) as client:
                 await until(lambda now=program: now.log("registry_changed") is not None)  # type: ignore[misc]  # mypy infers no lambda with a default
-                assert (await client.ask(call_bytes(1, deadline=300)))[0] != 200
+                assert (await client.request(request_bytes(1, deadline=300)))[0] != 200
             assert not replica.seen
 
 
@@ -68,16 +68,16 @@
             await self.answers.wait()
             await super().answer(request, writer)
 
-    async with FakeWorker() as gone, FakeWorker() as replica, DelayedDiscovery() as discovery:
+    async with FakeReplica() as gone, FakeReplica() as replica, DelayedDiscovery() as discovery:
         discovery.change(replica)
         pushed = Program(gone, discovery=discovery)
         pushed.settings["discovery"] = "automatic"
         async with pushed as program:
             await until(lambda: bool(discovery.seen))
             async with Client(program.port) as client:
-                assert (await client.ask(UP))[0] == 503
+                assert (await client.request(UP))[0] == 503
                 discovery.answers.set()
                 await until(lambda: program.log("phase", now="ready") is not None)
-                assert (await client.ask(UP))[0] == 200
-                assert (await client.ask(call_bytes(1)))[0] == 200
+                assert (await client.request(UP))[0] == 200
+                assert (await client.request(request_bytes(1)))[0] == 200
         assert not gone.seen and len(replica.seen) == 1
--- a/tests/lifecycle/test_graceful_shutdown.py
+++ b/tests/lifecycle/test_graceful_shutdown.py
@@ -5,7 +5,18 @@
 import asyncio
 import contextlib
 
-from tests.standins import EVENTS, HEAD, PATIENCE, TAIL, Client, FakeWorker, Program, call_bytes, chunk, until
+from tests.standins import (
+    EVENTS,
+    STREAM_HEAD,
+    WAIT_TIMEOUT,
+    STREAM_TAIL,
+    Client,
+    FakeReplica,
+    Program,
+    request_bytes,
+    chunk,
+    until,
+)
 
 from .support import run, stream_endlessly
 
@@ -15,22 +26,22 @@
     go = asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + chunk(EVENTS[0]))
+        writer.write(STREAM_HEAD + chunk(EVENTS[0]))
         await go.wait()
-        writer.write(chunk(TAIL) + chunk(b""))
+        writer.write(chunk(STREAM_TAIL) + chunk(b""))
 
-    async with FakeWorker(script) as replica, Program(replica) as program, Client(program.port) as client:
-        open_request = asyncio.ensure_future(client.ask(call_bytes(1)))
+    async with FakeReplica(script) as replica, Program(replica) as program, Client(program.port) as client:
+        open_request = asyncio.ensure_future(client.request(request_bytes(1)))
         await until(lambda: len(replica.seen) == 1)
         program.process.terminate()
         await until(lambda: program.log("phase", now="draining") is not None)
         async with Client(program.port) as late:  # a client that doesn't know of the shutdown yet
-            late_request = asyncio.ensure_future(late.ask(call_bytes(2)))
+            late_request = asyncio.ensure_future(late.request(request_bytes(2)))
             await until(lambda: len(replica.seen) == 2)
             go.set()
             for response in (open_request, late_request):
                 status, fields, body, complete = await response
-                assert (status, body, complete) == (200, EVENTS[0] + TAIL, True)
+                assert (status, body, complete) == (200, EVENTS[0] + STREAM_TAIL, True)
             assert fields["connection"] == "close"
         assert await program.process.wait() == 0
 
@@ -38,10 +49,10 @@
 @run
 async def test_sigterm_hands_off_streams_that_would_be_open_at_the_kill() -> None:
     """Where clients resume streams; a stream without an end would be lost with the program."""
-    async with FakeWorker(stream_endlessly) as replica:
+    async with FakeReplica(stream_endlessly) as replica:
         program = Program(replica, familyInfo={"resume": True})
         async with program, Client(program.port) as client:
-            response = asyncio.ensure_future(client.ask(call_bytes(1)))
+            response = asyncio.ensure_future(client.request(request_bytes(1)))
             await until(lambda: len(replica.seen) == 1)
             assert await program.terminate() == 0
             status, _, body, complete = await response
@@ -61,35 +72,35 @@
         writer.close()
         return False
 
-    async with FakeWorker(stream_endlessly) as replica:
+    async with FakeReplica(stream_endlessly) as replica:
         program = Program(replica, familyInfo={"resume": True})
         async with program, Client(program.port) as client:
-            request = call_bytes(1)
+            request = request_bytes(1)
             client.writer.write(request[:20])
             program.process.terminate()
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(WAIT_TIMEOUT):
                 while not await refused(program.port):
                     await asyncio.sleep(0.4)
             assert not replica.seen and program.process.returncode is None
-            status, _, body, complete = await client.ask(request[20:])
+            status, _, body, complete = await client.request(request[20:])
             assert (status, complete) == (200, False) and body.startswith(EVENTS[0])
-            assert await asyncio.wait_for(program.process.wait(), PATIENCE) == 0
+            assert await asyncio.wait_for(program.process.wait(), WAIT_TIMEOUT) == 0
 
 
 @run
 async def test_sigterm_rejects_requests_that_arrive_too_late_to_finish() -> None:
     """Where clients don't resume streams: one accepted 0.7 s after SIGTERM is lost if the kill cuts it."""
     async with contextlib.AsyncExitStack() as stack:
-        replica = await stack.enter_async_context(FakeWorker(stream_endlessly))
+        replica = await stack.enter_async_context(FakeReplica(stream_endlessly))
         program = await stack.enter_async_context(Program(replica))
         early, late = [await stack.enter_async_context(Client(program.port)) for _ in range(2)]
-        early.writer.write(call_bytes(1))
+        early.writer.write(request_bytes(1))
         await until(lambda: len(replica.seen) == 1)
-        request = call_bytes(2)
+        request = request_bytes(2)
         late.writer.write(request[:20])
         program.process.terminate()
         await until(lambda: program.log("phase", now="turning_away") is not None)
-        status, fields, _, complete = await late.ask(request[20:])
+        status, fields, _, complete = await late.request(request[20:])
         assert (status, complete, fields["connection"]) == (503, True, "close")
         assert float(fields["retry-after"]) > 0 and len(replica.seen) == 1
         assert await early.reader.readuntil(EVENTS[0]), "a request accepted in time continues"
--- a/tests/lifecycle/test_periodic_checks.py
+++ b/tests/lifecycle/test_periodic_checks.py
@@ -13,7 +13,7 @@
 from lockspoke.core.replica_set import ListedReplica
 from lockspoke.lifecycle.memory import return_free_memory
 from lockspoke.wire.discovery.messages import decode_endpoint_list
-from tests.peers import Gateway, Peer
+from tests.peers import Gateway, ScriptedServer
 
 REPLICA_COUNT = 1024
 MAX_CPU_TIME = 0.3  # seconds of CPU: a busy machine must not decide the test
@@ -29,12 +29,14 @@
 
 
 def all_replicas_restart(gateway: Gateway) -> None:
-    gateway.core.endpoint_list_changed(decode_endpoint_list(endpoint_list_body(10**12)).complete())
+    gateway.core.endpoint_list_changed(decode_endpoint_list(endpoint_list_body(10**12)).require_complete())
 
 
 def all_replicas_are_removed(gateway: Gateway) -> None:
-    gateway.core.endpoint_list_changed(decode_endpoint_list(endpoint_list_body(0)).complete())
-    gateway.tell(*(ListedReplica(f"s-{n}", ReplicaState.REMOVED, None) for n in range(REPLICA_COUNT)))
+    gateway.core.endpoint_list_changed(decode_endpoint_list(endpoint_list_body(0)).require_complete())
+    gateway.update_replicas(
+        *(ListedReplica(f"s-{n}", ReplicaState.REMOVED, None) for n in range(REPLICA_COUNT))
+    )
 
 
 def periodic_checks(gateway: Gateway) -> None:
@@ -49,8 +51,8 @@
     work: Callable[[Gateway], None],
 ) -> None:
     async def cpu_time() -> float:
-        async with Gateway(Peer()) as gateway:
-            gateway.core.endpoint_list_changed(decode_endpoint_list(endpoint_list_body(0)).complete())
+        async with Gateway(ScriptedServer()) as gateway:
+            gateway.core.endpoint_list_changed(decode_endpoint_list(endpoint_list_body(0)).require_complete())
             started = time.process_time()
             work(gateway)
             return time.process_time() - started
--- a/tests/lifecycle/test_program.py
+++ b/tests/lifecycle/test_program.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.standins import ROOT, Client, FakeWorker, Program
+from tests.standins import ROOT, Client, FakeReplica, Program
 
 from .support import UP, run
 
@@ -26,12 +26,12 @@
     async def ready(start: Awaitable[Program]) -> float:
         program = await start
         async with Client(program.port) as client:
-            while (await client.ask(UP))[0] != 200:
+            while (await client.request(UP))[0] != 200:
                 await asyncio.sleep(0.01)
         return loop.time()
 
     async with contextlib.AsyncExitStack() as stack:
-        replica = await stack.enter_async_context(FakeWorker())
+        replica = await stack.enter_async_context(FakeReplica())
         started_at = loop.time()
         os.sched_setaffinity(0, sorted(cores)[:2])  # inherited by the programs
         try:
--- a/tests/lifecycle/test_reload.py
+++ b/tests/lifecycle/test_reload.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from tests.standins import PATIENCE, Client, FakeDiscovery, FakeWorker, Program, call_bytes, until
+from tests.standins import WAIT_TIMEOUT, Client, FakeDiscovery, FakeReplica, Program, request_bytes, until
 
 from .support import run
 
@@ -18,16 +18,21 @@
 @run
 async def test_sighup_changes_to_another_discovery_and_an_invalid_file_changes_nothing() -> None:
     """The address in the file takes precedence over the one in the environment, which is older."""
-    async with FakeWorker() as old, FakeWorker() as new, FakeDiscovery() as first, FakeDiscovery() as second:
+    async with (
+        FakeReplica() as old,
+        FakeReplica() as new,
+        FakeDiscovery() as first,
+        FakeDiscovery() as second,
+    ):
         first.change(old)
         second.change(new)
         async with Program(old, discovery=first) as program, Client(program.port) as client:
-            assert (await client.ask(call_bytes(1)))[0] == 200
+            assert (await client.request(request_bytes(1)))[0] == 200
             for bad in ("{", '{"settings": {"profiles": 5}}', '{"limits": {"sockets": "x"}}'):
-                program.raw.clear()
+                program.raw_logs.clear()
                 program.reload(bad)
-                await until(lambda: "reload_rejected" in "".join(program.raw))
-                assert len(program.raw) == 1  # one line for any fault
+                await until(lambda: "reload_rejected" in "".join(program.raw_logs))
+                assert len(program.raw_logs) == 1  # one line for any fault
             address = f"127.0.0.1:{second.port}"
             moved: dict[str, Any] = {"discovery": address, "limits": {"memory_mb": 64, "sockets": 300}}
             program.reload(**moved)
@@ -35,7 +40,7 @@
             await until(lambda: program.log("reloaded", discovery_moved=True) is not None)
             await until(lambda: any("from=" in request.head.query for request in second.seen))
             assert "from=" not in second.seen[0].head.query  # each service has its own versions
-            assert (await client.ask(call_bytes(2)))[0] == 200  # the connection survived the reload
+            assert (await client.request(request_bytes(2)))[0] == 200  # the connection survived the reload
             assert (len(old.seen), len(new.seen)) == (1, 1)
             program.reload(discovery=f"127.0.0.1:{first.port}")
             assert await program.terminate() == 0
@@ -52,7 +57,7 @@
 
 async def open_writer(fifo: Path) -> Any:
     """Open the other end of a pipe; returns once the program reads from it."""
-    return await asyncio.wait_for(asyncio.to_thread(fifo.open, "w"), PATIENCE)
+    return await asyncio.wait_for(asyncio.to_thread(fifo.open, "w"), WAIT_TIMEOUT)
 
 
 @run
@@ -78,7 +83,7 @@
 @run
 async def test_sighup_between_reading_the_file_and_the_event_loop_is_not_lost() -> None:
     """Else the program would use the old file: after a move of discovery it would miss each drain."""
-    async with FakeWorker() as replica, FakeDiscovery() as moved:
+    async with FakeReplica() as replica, FakeDiscovery() as moved:
         moved.change(replica)
         program = Program(replica)
         program.fifo = True
--- a/tests/lifecycle/test_requests.py
+++ b/tests/lifecycle/test_requests.py
@@ -7,13 +7,13 @@
 from lockspoke.wire.http.http1 import BODY_LIMIT, HEAD_LIMIT
 from tests.standins import (
     EVENTS,
-    HEAD,
-    TAIL,
+    STREAM_HEAD,
+    STREAM_TAIL,
     Client,
     FakeDiscovery,
-    FakeWorker,
+    FakeReplica,
     Program,
-    call_bytes,
+    request_bytes,
     chunk,
     until,
 )
@@ -23,13 +23,13 @@
 
 @run
 async def test_request_and_response_pass_unchanged() -> None:
-    async with FakeWorker() as replica, Program(replica) as program, Client(program.port) as client:
-        assert (await client.ask(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 200
+    async with FakeReplica() as replica, Program(replica) as program, Client(program.port) as client:
+        assert (await client.request(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 200
         number = 0
         while len(replica.writers) == len(replica.seen):  # until a connection to the replica is reused
             number += 1
-            status, _, body, complete = await client.ask(call_bytes(number, body=b'{"a": [1]}'))
-            assert (status, body, complete) == (200, b"".join([*EVENTS, TAIL]), True)
+            status, _, body, complete = await client.request(request_bytes(number, body=b'{"a": [1]}'))
+            assert (status, body, complete) == (200, b"".join([*EVENTS, STREAM_TAIL]), True)
         request = replica.seen[0]
         assert (request.head.method, request.head.target) == ("POST", "/v1/chat/completions?a=b")
         assert request.body == b'{"a": [1]}' and request.head.headers.get("req-id") == f"{1:016x}"
@@ -42,14 +42,14 @@
     go = asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + chunk(EVENTS[0]))
+        writer.write(STREAM_HEAD + chunk(EVENTS[0]))
         await go.wait()
         writer.write(chunk(EVENTS[1]))
         await writer.drain()
         writer.close()
 
-    async with FakeWorker(script) as replica, Program(replica) as program, Client(program.port) as client:
-        client.writer.write(call_bytes(1))
+    async with FakeReplica(script) as replica, Program(replica) as program, Client(program.port) as client:
+        client.writer.write(request_bytes(1))
         async with asyncio.timeout(30):
             assert EVENTS[0] in await client.reader.readuntil(EVENTS[0])
         go.set()
@@ -62,9 +62,9 @@
     None
 ):
     full = responds_with(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-    async with FakeWorker(full) as one, FakeWorker(full) as two, Program(one, two) as program:
+    async with FakeReplica(full) as one, FakeReplica(full) as two, Program(one, two) as program:
         async with Client(program.port) as client:
-            status, fields, _, complete = await client.ask(call_bytes(1, deadline=1000))
+            status, fields, _, complete = await client.request(request_bytes(1, deadline=1000))
         # The balancer's advice on when to retry, in seconds; the response itself is not delayed by it.
         assert float(fields["retry-after"]) > 0
         assert (status, complete) == (503, True) and len(one.seen) + len(two.seen) == 3
@@ -86,8 +86,12 @@
             if text and b"\r\n\r\n" not in text:
                 writer.close()
 
-        async with FakeWorker(script) as replica, Program(replica) as program, Client(program.port) as client:
-            status = (await client.ask(call_bytes(1, deadline=400)))[0]
+        async with (
+            FakeReplica(script) as replica,
+            Program(replica) as program,
+            Client(program.port) as client,
+        ):
+            status = (await client.request(request_bytes(1, deadline=400)))[0]
             assert status == (503 if outcome == "overloaded" else 502)
             await program.terminate()
             assert program.log("totals")[f"outcome_{outcome}"] >= 1  # type: ignore[index]
@@ -97,9 +101,9 @@
     b"\xef\x81\x87noise",
     b"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n",
     b"HTTP/1.1 200 OK\r\nX-Pad: p\r\n",  # an incomplete head, on a connection that stays open
-    HEAD + b"5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
-    HEAD + b"4\r\n" + EVENTS[0],
-    HEAD + b"b2d05e00\r\n" + EVENTS[0],
+    STREAM_HEAD + b"5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
+    STREAM_HEAD + b"4\r\n" + EVENTS[0],
+    STREAM_HEAD + b"b2d05e00\r\n" + EVENTS[0],
 ]
 
 
@@ -107,16 +111,16 @@
 async def test_a_response_malformed_before_its_first_event_is_a_failed_attempt_and_is_retried() -> None:
     for text in MALFORMED:
         async with (
-            FakeWorker(responds_with(text)) as bad,
-            FakeWorker() as good,
+            FakeReplica(responds_with(text)) as bad,
+            FakeReplica() as good,
             Program(bad, good) as program,
         ):
             async with Client(program.port) as client:
                 number = 0
                 while not bad.seen:  # the first request may go to either replica
                     number += 1
-                    status, _, body, complete = await client.ask(call_bytes(number))
-                    assert (status, body, complete) == (200, b"".join([*EVENTS, TAIL]), True), text
+                    status, _, body, complete = await client.request(request_bytes(number))
+                    assert (status, body, complete) == (200, b"".join([*EVENTS, STREAM_TAIL]), True), text
             await program.terminate()
             totals = program.log("totals")
             assert totals is not None and totals["outcome_error"] == totals["malformed_responses"] == len(
@@ -134,39 +138,46 @@
     ):
 
         async def script(writer: asyncio.StreamWriter, later: bytes = later) -> None:
-            writer.write(HEAD + chunk(EVENTS[0]))
+            writer.write(STREAM_HEAD + chunk(EVENTS[0]))
             await asyncio.sleep(0.05)  # two reads, so that the first event is forwarded
             writer.write(later)
 
-        async with FakeWorker(script) as replica, Program(replica) as program, Client(program.port) as client:
-            status, _, body, complete = await client.ask(call_bytes(1))
+        async with (
+            FakeReplica(script) as replica,
+            Program(replica) as program,
+            Client(program.port) as client,
+        ):
+            status, _, body, complete = await client.request(request_bytes(1))
             assert (status, complete) == (200, False) and body.startswith(EVENTS[0]), later
 
 
 @run
 async def test_bytes_after_a_response_are_never_taken_for_the_next_response() -> None:
-    behind = HEAD + chunk(b"data: another's\n\n") + chunk(b"")
+    behind = STREAM_HEAD + chunk(b"data: another's\n\n") + chunk(b"")
 
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(
-            HEAD + b"".join(map(chunk, [*EVENTS, b": Srv-Load: util=\xff?\n\n", TAIL])) + chunk(b"") + behind
+            STREAM_HEAD
+            + b"".join(map(chunk, [*EVENTS, b": Srv-Load: util=\xff?\n\n", STREAM_TAIL]))
+            + chunk(b"")
+            + behind
         )
 
-    async with FakeWorker(script) as replica, Program(replica) as program, Client(program.port) as client:
+    async with FakeReplica(script) as replica, Program(replica) as program, Client(program.port) as client:
         for number in range(1, 4):
-            status, _, body, complete = await client.ask(call_bytes(number))
-            assert (status, complete) == (200, True) and b"another" not in body and body.endswith(TAIL)
+            status, _, body, complete = await client.request(request_bytes(number))
+            assert (status, complete) == (200, True) and b"another" not in body and body.endswith(STREAM_TAIL)
         assert len(replica.writers) == 3
 
 
 @run
 async def test_a_replica_that_cannot_be_reached_has_not_run_the_request() -> None:
-    async with FakeWorker() as replica, FakeDiscovery() as discovery:
+    async with FakeReplica() as replica, FakeDiscovery() as discovery:
         discovery.change(replica)
         program = Program(replica, discovery=discovery)
         await replica.__aexit__()
         async with program, Client(program.port) as client:
-            assert (await client.ask(call_bytes(1, deadline=500)))[
+            assert (await client.request(request_bytes(1, deadline=500)))[
                 0
             ] == 503  # an overload response: the request never ran
             await program.terminate()
@@ -175,9 +186,9 @@
 
 @run
 async def test_a_disconnect_of_the_client_is_noticed_while_its_request_waits() -> None:
-    async with FakeWorker(responds_with(b"")) as replica, Program(replica) as program:
+    async with FakeReplica(responds_with(b"")) as replica, Program(replica) as program:
         async with Client(program.port) as client:
-            client.writer.write(call_bytes(1, deadline=3000))
+            client.writer.write(request_bytes(1, deadline=3000))
             await until(lambda: bool(replica.seen))
         await program.terminate()
         assert program.log("totals")["client_disconnected"] == 1  # type: ignore[index]
@@ -191,22 +202,22 @@
     b"GET /v1/chat/completions HTTP/1.1\r\nHost: a\r\n\r\n": 405,
     b"GET /up HTTP/1.1\r\nX: " + b"a" * HEAD_LIMIT: 431,
     b"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % (BODY_LIMIT + 1): 413,
-    call_bytes(1, kind="odd"): 400,
-    call_bytes(1).replace(b"Req-Deadline-Ms: 4000", b"Req-Deadline-Ms: x"): 400,
-    call_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 2\r\nContent-Length: 3"): 400,
-    call_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 2\r\nTransfer-Encoding: chunked"): 400,
+    request_bytes(1, kind="odd"): 400,
+    request_bytes(1).replace(b"Req-Deadline-Ms: 4000", b"Req-Deadline-Ms: x"): 400,
+    request_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 2\r\nContent-Length: 3"): 400,
+    request_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 2\r\nTransfer-Encoding: chunked"): 400,
 }
 
 
 @run
 async def test_invalid_requests_reach_no_replica_and_affect_no_other_request() -> None:
-    async with FakeWorker() as replica, Program(replica) as program:
+    async with FakeReplica() as replica, Program(replica) as program:
         for raw, status in INVALID_REQUESTS.items():
             async with Client(program.port) as client:
-                assert (await client.ask(raw))[0] == status, raw[:60]
+                assert (await client.request(raw))[0] == status, raw[:60]
         assert not replica.seen
         async with Client(program.port) as client:
             # A response to HEAD has no body: one would be read as the next response.
             client.writer.write(b"HEAD /up HTTP/1.1\r\nHost: a\r\n\r\n")
             assert b"405" in await client.reader.readuntil(b"\r\n\r\n")
-            assert (await client.ask(call_bytes(1)))[0] == 200
+            assert (await client.request(request_bytes(1)))[0] == 200
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_play.py
@@ -24,14 +24,14 @@
 from lockspoke.core.identifiers import Identifiers
 from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate, ReplicaSet
 from lockspoke.core.requests import ClientRequest
-from lockspoke.wire.discovery.connection import GRACE as WATCH_GRACE
+from lockspoke.wire.discovery.connection import WATCH_GRACE as WATCH_GRACE
 from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
 from lockspoke.wire.http.http1 import Request, RequestAssembler
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from lockspoke.wire.tcp.dialing import Address
 from tests.balancing.helpers import settings
-from tests.clocked import ClockedLoop, ControlledClock, Network, Reach
-from tests.standins import EVENTS, HEAD, TAIL, chunk
+from tests.clocked import ClockedLoop, ControlledClock, Network, Reachability
+from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk
 
 SECOND = 1_000_000_000
 GRACE = 0.25  # seconds after a change is told
@@ -227,9 +227,9 @@
 
     def begin(self, outage: Outage) -> None:
         self.outage = outage
-        reach = {Outage.REFUSES: Reach.REFUSES, Outage.NEVER_COMES_UP: Reach.NEVER_COMES_UP}
+        reach = {Outage.REFUSES: Reachability.REFUSES, Outage.NEVER_COMES_UP: Reachability.NEVER_COMES_UP}
         for home in HOMES:
-            self.network.reach[home] = reach.get(outage, Reach.UP)
+            self.network.reachability[home] = reach.get(outage, Reachability.UP)
         if outage in (Outage.NEVER_COMES_UP, Outage.SILENT):
             self.muted += self.connections.open
             self.connections.mute()
@@ -238,7 +238,7 @@
 
     def end(self) -> None:
         self.outage = None
-        self.network.reach.clear()
+        self.network.reachability.clear()
 
     def befall(self, fault: Fault) -> None:
         if fault is Fault.MUTE:
@@ -344,7 +344,7 @@
                 if luck < 0.1:
                     sock.send(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
                 elif luck > 0.03:
-                    sock.send(HEAD + b"".join(map(chunk, [*EVENTS, TAIL])) + chunk(b""))
+                    sock.send(STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b""))
 
 
 class Answer:
@@ -378,7 +378,7 @@
         self.replicas = Replicas(self.random, network)
         index = self.random.randrange(gateways)
         self.watch = DiscoveryWatch(HOMES[0], hold_duration_ms(index, gateways), network.dial)
-        self.discovery.on_move = partial(self.watch.move, HOMES[1])
+        self.discovery.on_move = partial(self.watch.change_endpoint, HOMES[1])
         workers = ReplicaTransport((), SECOND, 10 * SECOND, 64, timers.now, network.dial)
         told = settings(
             classes=(RequestClass(),),
@@ -418,7 +418,7 @@
         for at, uid, state in day.changes:
             events.append((at, partial(discovery.change, uid, state)))
         for at in day.moves:
-            events.append((at, partial(self.watch.move, HOMES[1])))
+            events.append((at, partial(self.watch.change_endpoint, HOMES[1])))
         for at, span in day.holds:
             events.append((at, partial(self.loop.pass_time, span)))
         for begin, end, uid in day.bans:
