--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -166,7 +166,7 @@
             async def ping(into: list[float], end: Any) -> None:
                 while not end():
                     began = time.monotonic()
-                    await client.ask(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+                    await client.request(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
                     into.append(time.monotonic() - began)
                     await asyncio.sleep(0.001)
 
--- a/tests/address/cluster.py
+++ b/tests/address/cluster.py
@@ -15,7 +15,7 @@
 
 from lockspoke.address.control import ask
 from tests.address.relay import Relay, free_port
-from tests.standins import Client, FakeWorker, Program, call_bytes, until
+from tests.standins import Client, FakeReplica, Program, request_bytes, until
 
 HEALTH = {"well_after": 0.2}
 
@@ -50,7 +50,7 @@
         self.key = self.folder / "key"
         self.key.touch(0o600)
         self.key.write_text(secrets.token_hex(32))
-        self.worker = await self.stack.enter_async_context(FakeWorker())
+        self.worker = await self.stack.enter_async_context(FakeReplica())
         self.relay.start()
         try:
             await asyncio.gather(*(self.start(name) for name in self.names))
@@ -154,7 +154,7 @@
             self.number += 1
             try:
                 async with asyncio.timeout(limit), Client(self.service[1]) as client:
-                    status, _, _, whole = await client.ask(call_bytes(self.number))
+                    status, _, _, whole = await client.request(request_bytes(self.number))
                     if status == 200 and whole:
                         return time.monotonic()
             except (OSError, TimeoutError):
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -22,7 +22,7 @@
 from lockspoke.lifecycle.edge_file import read_edge
 from tests.address.cluster import Cluster, endpoint, overlaps
 from tests.address.relay import free_port
-from tests.standins import EVENTS, HEAD, PATIENCE, TAIL, Client, call_bytes, chunk, until
+from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, WAIT_TIMEOUT, Client, chunk, request_bytes, until
 
 Play = Callable[[Cluster], Awaitable[None]]
 
@@ -101,30 +101,30 @@
     release = asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + chunk(EVENTS[0]))
+        writer.write(STREAM_HEAD + chunk(EVENTS[0]))
         await writer.drain()
         await release.wait()
-        writer.write(chunk(EVENTS[1]) + chunk(TAIL) + chunk(b""))
+        writer.write(chunk(EVENTS[1]) + chunk(STREAM_TAIL) + chunk(b""))
 
     cluster.worker.script = script
     holder = cluster.holder or ""
     heir = next(name for name in cluster.names if name != holder)
     async with Client(cluster.service[1]) as client, Client(cluster.service[1]) as idle:
-        asked = asyncio.ensure_future(client.ask(call_bytes(1, deadline=12000, kind="bulk")))
+        asked = asyncio.ensure_future(client.request(request_bytes(1, deadline=12000, kind="bulk")))
         await until(lambda: len(cluster.worker.seen) == 1)
         ask(cluster.folder / f"{holder}.sock", {"do": "move", "to": heir})
         assert await cluster.moved(holder) == heir
         assert await asyncio.wait_for(idle.reader.read(), 10) == b""  # so that its client goes to the new one
         release.set()
         status, _, body, whole = await asked
-        assert (status, whole, body) == (200, True, b"".join([*EVENTS, TAIL]))
+        assert (status, whole, body) == (200, True, b"".join([*EVENTS, STREAM_TAIL]))
         assert await asyncio.wait_for(client.reader.read(), 10) == b""
 
 
 @with_cluster(gateway={"familyInfo": {"resume": True}})
 async def test_what_stays_open_for_too_long_after_a_move_is_handed_over(cluster: Cluster) -> None:
     async def script(writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + chunk(EVENTS[0]))
+        writer.write(STREAM_HEAD + chunk(EVENTS[0]))
         with contextlib.suppress(ConnectionError):
             while True:  # it goes on and on
                 await asyncio.sleep(0.2)
@@ -136,7 +136,7 @@
     holder = cluster.holder or ""
     heir = next(name for name in cluster.names if name != holder)
     async with Client(cluster.service[1]) as client:
-        asked = asyncio.ensure_future(client.ask(call_bytes(1, deadline=12000, kind="bulk")))
+        asked = asyncio.ensure_future(client.request(request_bytes(1, deadline=12000, kind="bulk")))
         await until(lambda: len(cluster.worker.seen) == 1)
         ask(cluster.folder / f"{holder}.sock", {"do": "move", "to": heir})
         status, _, body, whole = await asked
@@ -256,23 +256,23 @@
             holder = cluster.holder or ""
             program = cluster.programs[holder]
             async with Client(ports[holder][1]) as kept:
-                assert (await kept.ask(call_bytes(1)))[0] == 200
+                assert (await kept.request(request_bytes(1)))[0] == 200
                 program.process.send_signal(signal.SIGSTOP)
                 new = await cluster.moved(holder)
                 # While it is paused, one comes to its backlog and one asks on a connection of before.
                 late = await asyncio.open_connection(*ports[holder])
-                late[1].write(call_bytes(2))
-                kept.writer.write(call_bytes(3))
+                late[1].write(request_bytes(2))
+                kept.writer.write(request_bytes(3))
                 seen = len(cluster.worker.seen)
                 program.process.send_signal(signal.SIGCONT)
                 with contextlib.suppress(ConnectionResetError):
                     assert await asyncio.wait_for(late[0].read(), 10) == b""  # closed unread
                 late[1].close()
-                status, headers, _, _ = await kept.answer()
+                status, headers, _, _ = await kept.read_response()
                 assert status in (0, 503) and (status == 0 or "retry-after" in headers)
                 assert len(cluster.worker.seen) == seen
             async with Client(ports[new][1]) as client:
-                assert (await client.ask(call_bytes(4)))[0] == 200
+                assert (await client.request(request_bytes(4)))[0] == 200
             await until(lambda: f"{new} claim" in route.read_text())
             lines = [line.split() for line in route.read_text().splitlines()]
             claims = [(int(token), name) for name, word, token in lines if word == "claim"]
@@ -293,7 +293,7 @@
     beside = record.with_name(f".address.json.{program.process.pid}")
     beside.symlink_to("/dev/full")
     other = next(name for name in cluster.names if name != holder)
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         # One that starts mostly brings a higher term, which the record has to have: not each time, on a busy
         # machine (two runs side by side waited for it in vain).
         while program.log("address_record_failing") is None:
--- a/tests/batch/test_api.py
+++ b/tests/batch/test_api.py
@@ -19,7 +19,7 @@
     window_seconds,
 )
 from lockspoke.batch.form import FormReader
-from tests.standins import EVENTS, TAIL
+from tests.standins import EVENTS, STREAM_TAIL
 from tests.wire.http.test_http1 import cut, fixed
 
 LINE: dict[str, Any] = {
@@ -67,7 +67,7 @@
 @given(st.lists(st.integers(0)))
 def test_an_answer_is_assembled_however_it_is_cut(cuts: list[int]) -> None:
     collector = AnswerCollector("m", 7)
-    for part in cut(b": note\n\n" + b"".join(EVENTS) + TAIL, cuts):
+    for part in cut(b": note\n\n" + b"".join(EVENTS) + STREAM_TAIL, cuts):
         collector.feed(part)
     body = collector.body()
     assert body is not None and body["choices"] == [
@@ -82,10 +82,10 @@
         b"",
         EVENTS[0],  # no end
         b"data: [DONE]\n\n",  # nothing in it
-        b"data: {oops\n\n" + b"".join(EVENTS) + TAIL,
-        b'data: {"error": {"message": "x"}}\n\n' + TAIL,
-        b"data: []\n\n" + TAIL,
-        b"x" * 2_000_000 + b"\n" + TAIL,
+        b"data: {oops\n\n" + b"".join(EVENTS) + STREAM_TAIL,
+        b'data: {"error": {"message": "x"}}\n\n' + STREAM_TAIL,
+        b"data: []\n\n" + STREAM_TAIL,
+        b"x" * 2_000_000 + b"\n" + STREAM_TAIL,
     ],
 )
 def test_a_stream_without_a_whole_answer_gives_none(stream: bytes) -> None:
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -13,7 +13,18 @@
 from lockspoke.lifecycle.config import ConfigError
 from lockspoke.lifecycle.edge_file import read_batch_file
 from lockspoke.wire.http.http1 import encode_request
-from tests.standins import EVENTS, HEAD, ROOT, TAIL, Client, FakeWorker, Program, call_bytes, chunk, until
+from tests.standins import (
+    EVENTS,
+    ROOT,
+    STREAM_HEAD,
+    STREAM_TAIL,
+    Client,
+    FakeReplica,
+    Program,
+    chunk,
+    request_bytes,
+    until,
+)
 
 LINES = 2000
 URL = "/v1/chat/completions"
@@ -42,7 +53,7 @@
     ) -> tuple[Any, dict[str, str]]:
         raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         fields = {"Host": "a"} | {name.replace("_", "-"): value for name, value in headers.items()}
-        status, got, data, whole = await self.client.ask(encode_request(method, path, fields, raw))
+        status, got, data, whole = await self.client.request(encode_request(method, path, fields, raw))
         assert (status, whole) == (expect, True), (status, data)
         return (json.loads(data) if "json" in got["content-type"] else data), got
 
@@ -98,7 +109,7 @@
     options = ("--batch", batch_config(tmp_path))
 
     async def play() -> None:
-        async with FakeWorker(pause=0.002) as one, FakeWorker(pause=0.002) as two:
+        async with FakeReplica(pause=0.002) as one, FakeReplica(pause=0.002) as two:
             async with Program(one, two, options=options) as program:
                 api = await started(program)
                 batch_id = await api.batch(jsonl(LINES), Idempotency_Key="k1")
@@ -134,14 +145,14 @@
         await asyncio.sleep(number / rate)
         async with Client(port) as client:
             began = time.monotonic()
-            status, _, body, whole = await client.ask(call_bytes(number))
+            status, _, body, whole = await client.request(request_bytes(number))
             took.append(time.monotonic() - began)
-            return status == 200 and whole and body.endswith(TAIL) and took[-1] <= 1.0
+            return status == 200 and whole and body.endswith(STREAM_TAIL) and took[-1] <= 1.0
 
     return sum(await asyncio.gather(*(one(n) for n in range(count)))), took
 
 
-class BusyWorker(FakeWorker):
+class BusyWorker(FakeReplica):
     """A worker with a few slots and a short queue, which turns away what is past them."""
 
     def __init__(self, slots: int = 4, queue: int = 8, pause: float = 0.05) -> None:
@@ -158,8 +169,8 @@
             async with self.slots:
                 for event in EVENTS:  # takes as long as its pause, half for each event
                     await asyncio.sleep(self.pause / 2)
-                    writer.write((HEAD if event is EVENTS[0] else b"") + chunk(event))
-                writer.write(chunk(TAIL) + chunk(b""))
+                    writer.write((STREAM_HEAD if event is EVENTS[0] else b"") + chunk(event))
+                writer.write(chunk(STREAM_TAIL) + chunk(b""))
                 await writer.drain()
         finally:
             self.room += 1
@@ -197,7 +208,7 @@
     options = ("--batch", batch_config(tmp_path, max_file_mb=1))
 
     async def play() -> None:
-        async with FakeWorker() as worker, Program(worker, options=options) as program:
+        async with FakeReplica() as worker, Program(worker, options=options) as program:
             api = await started(program)
             # Creation that is sent again gives what it gave the first time.
             file = await api.form("/v1/files", "file", jsonl(2), Idempotency_Key="f")
@@ -286,16 +297,16 @@
     )
 
     async def play() -> None:
-        async with FakeWorker() as one, FakeWorker() as two:
+        async with FakeReplica() as one, FakeReplica() as two:
             inventory.write_text(f"name,endpoint,zone\nw1,127.0.0.1:{one.port},lis-1\n")
             async with Program(options=options) as program, Client(program.port) as client:
-                assert (await client.ask(call_bytes(1)))[0] == 200 and len(one.seen) == 1
+                assert (await client.request(request_bytes(1)))[0] == 200 and len(one.seen) == 1
                 inventory.write_text("name,endpoint\nw1,127.0.0.1:x\nw2,nowhere\n")
                 await until(lambda: program.log("inventory_problem", line=3) is not None)
-                assert (await client.ask(call_bytes(2)))[0] == 200 and len(one.seen) == 2
+                assert (await client.request(request_bytes(2)))[0] == 200 and len(one.seen) == 2
                 inventory.write_text(f"name,endpoint\nw2,127.0.0.1:{two.port}\n")
                 await until(lambda: program.log("registry_changed") is not None)
-                assert (await client.ask(call_bytes(3)))[0] == 200 and len(two.seen) == 1
+                assert (await client.request(request_bytes(3)))[0] == 200 and len(two.seen) == 1
 
     asyncio.run(play())
 
@@ -305,7 +316,7 @@
     options = ("--batch", batch_config(tmp_path, token_env="TEST_BATCH_TOKEN"))
 
     async def play() -> None:
-        async with FakeWorker() as worker, Program(worker, options=options) as program:
+        async with FakeReplica() as worker, Program(worker, options=options) as program:
             api = await started(program)
             await api.ask("GET", "/v1/files", expect=401)
             await api.ask("GET", "/v1/files", Authorization="Bearer secret")
@@ -333,8 +344,8 @@
 
 def test_without_the_option_nothing_listens_for_batches() -> None:
     async def play() -> None:
-        async with FakeWorker() as worker, Program(worker) as program, Client(program.port) as client:
-            assert (await client.ask(b"GET /v1/batches HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 404
+        async with FakeReplica() as worker, Program(worker) as program, Client(program.port) as client:
+            assert (await client.request(b"GET /v1/batches HTTP/1.1\r\nHost: a\r\n\r\n"))[0] == 404
             assert program.log("batch_listening") is None
 
     asyncio.run(play())
--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -21,10 +21,10 @@
 from lockspoke.units import SECOND
 from tests.batch.test_api import LINE
 from tests.core.test_core import World
-from tests.standins import EVENTS, TAIL, until
+from tests.standins import EVENTS, STREAM_TAIL, until
 from tests.wire.http.test_http1 import fixed
 
-ANSWER = b"".join(EVENTS) + TAIL
+ANSWER = b"".join(EVENTS) + STREAM_TAIL
 
 
 def journal_at(path: Path) -> Journal:
--- a/tests/clocked.py
+++ b/tests/clocked.py
@@ -17,7 +17,7 @@
 
 from lockspoke.wire.tcp.dialing import Address
 
-Taken = Callable[[socket.socket], None]
+AcceptHandler = Callable[[socket.socket], None]
 
 
 class _JumpingSelector(selectors.DefaultSelector):
@@ -67,7 +67,7 @@
         return self.loop.call_later(max(0, delay) / 1e9, callback)
 
 
-class Reach(Enum):
+class Reachability(Enum):
     """What a connection to an address meets."""
 
     UP = "up"
@@ -75,7 +75,7 @@
     NEVER_COMES_UP = "never comes up"
 
 
-class NotedStream(IOStream):
+class ObservedStream(IOStream):
     """A stream that says when something is written to it."""
 
     written: Callable[[bytes], None]
@@ -89,20 +89,20 @@
     """Addresses, what is reached there, and every write of the gateway."""
 
     def __init__(self) -> None:
-        self.services: dict[Address, Taken] = {}
-        self.reach: dict[Address, Reach] = {}
+        self.services: dict[Address, AcceptHandler] = {}
+        self.reachability: dict[Address, Reachability] = {}
         self.on_write: Callable[[Address, bytes], None] = lambda endpoint, data: None
 
     async def dial(self, endpoint: Address) -> IOStream:
         """As `lockspoke.wire.dialing.dial` does."""
-        reach = self.reach.get(endpoint, Reach.UP)
-        if reach is Reach.NEVER_COMES_UP:
+        reach = self.reachability.get(endpoint, Reachability.UP)
+        if reach is Reachability.NEVER_COMES_UP:
             await asyncio.get_running_loop().create_future()
-        if reach is Reach.REFUSES or endpoint not in self.services:
+        if reach is Reachability.REFUSES or endpoint not in self.services:
             raise ConnectionRefusedError(endpoint)
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
-        stream = NotedStream(ours)
+        stream = ObservedStream(ours)
         stream.written = lambda data: self.on_write(endpoint, data)
         self.services[endpoint](theirs)
         return stream
--- a/tests/inventory/test_source.py
+++ b/tests/inventory/test_source.py
@@ -15,9 +15,19 @@
 import pytest
 
 from lockspoke.cli.main import run as lockspoke
-from tests.standins import EVENTS, HEAD, TAIL, Client, FakeWorker, Program, call_bytes, chunk, until
-
-WHOLE = b"".join([*EVENTS, TAIL])
+from tests.standins import (
+    EVENTS,
+    STREAM_HEAD,
+    STREAM_TAIL,
+    Client,
+    FakeReplica,
+    Program,
+    chunk,
+    request_bytes,
+    until,
+)
+
+WHOLE = b"".join([*EVENTS, STREAM_TAIL])
 GRACE = 0.25  # seconds after which nothing new may come to a worker that has been taken out
 
 
@@ -35,7 +45,7 @@
     return "--edge", str(path)
 
 
-def rows(*workers: FakeWorker, **states: str) -> str:
+def rows(*workers: FakeReplica, **states: str) -> str:
     lines = [
         f"w{at},127.0.0.1,{worker.port},{states.get(f'w{at}', 'up')}" for at, worker in enumerate(workers)
     ]
@@ -50,7 +60,7 @@
     return time.monotonic()
 
 
-class Timed(FakeWorker):
+class Timed(FakeReplica):
     """Notes when each request came."""
 
     def __init__(self, *arguments: Any) -> None:
@@ -90,7 +100,7 @@
             # `wait_for` loses one that comes together with the answer.
             while whole and not self.ending:
                 self.number += 1
-                status, _, body, whole = await client.ask(call_bytes(self.number))
+                status, _, body, whole = await client.request(request_bytes(self.number))
                 self.statuses.append((status, body, whole))
 
     async def end(self) -> None:
@@ -138,29 +148,29 @@
     path, go = folder / "workers.csv", asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
-        writer.write(HEAD + chunk(EVENTS[0]))
+        writer.write(STREAM_HEAD + chunk(EVENTS[0]))
         await go.wait()
-        writer.write(chunk(EVENTS[1]) + chunk(TAIL) + chunk(b""))
+        writer.write(chunk(EVENTS[1]) + chunk(STREAM_TAIL) + chunk(b""))
 
-    async with FakeWorker(script) as slow, Timed() as other:
+    async with FakeReplica(script) as slow, Timed() as other:
         place(path, rows(slow))
         async with Program(options=edge(folder, **{"guard.removed_least": 5})) as program:
             async with Client(program.port) as first, Client(program.port) as second:
-                first.writer.write(call_bytes(1))
+                first.writer.write(request_bytes(1))
                 await until(lambda: bool(slow.seen))
                 place(path, rows(slow, other, w0="draining"))
                 await until(decided(program, "drain", "w0"))
-                assert (await second.ask(call_bytes(2)))[0] == 200 and len(other.seen) == 1
+                assert (await second.request(request_bytes(2)))[0] == 200 and len(other.seen) == 1
                 place(path, rows(slow, other).replace(rows(slow).splitlines()[1] + "\n", ""))
                 await until(decided(program, "remove", "w0"))
                 # Put back within 100 ms at its address, with its stream still open.
                 place(path, rows(slow, other, w0="draining"))
                 await until(decided(program, "add", "w0"))
                 for number in range(3, 9):
-                    assert (await second.ask(call_bytes(number)))[0] == 200
+                    assert (await second.request(request_bytes(number)))[0] == 200
                 assert len(slow.seen) == 1 and len(other.seen) == 7
                 go.set()
-                status, _, body, whole = await asyncio.wait_for(first.answer(), 30)
+                status, _, body, whole = await asyncio.wait_for(first.read_response(), 30)
                 assert (status, body, whole) == (200, WHOLE, True)
             assert await program.terminate() == 0
 
@@ -231,7 +241,7 @@
         number = 0
         while not one.seen:
             number += 1
-            assert (await client.ask(call_bytes(number)))[0] == 200
+            assert (await client.request(request_bytes(number)))[0] == 200
         place(
             path,
             good.replace(str(one.port), "x")
@@ -253,7 +263,7 @@
             before = len(one.seen), len(two.seen)
             for _ in range(40):
                 number += 1
-                assert (await client.ask(call_bytes(number)))[0] == 200
+                assert (await client.request(request_bytes(number)))[0] == 200
             got = len(one.seen) - before[0], len(two.seen) - before[1]
             assert got == ((40, 0) if left is one else (0, 40)), (drained, got)
             place(path, swapped)
@@ -274,7 +284,7 @@
         async with Program(options=options) as program, Client(program.port) as client:
             assert program.log("inventory_kept_used", workers=2) is not None
             assert program.log("inventory_problem", code="INV104", line=2) is not None
-            assert (await client.ask(call_bytes(1)))[0] == 200
+            assert (await client.request(request_bytes(1)))[0] == 200
             await until(lambda: (keep / "inventory.status.json").exists())
             assert lockspoke(["inventory", "status", "--keep", str(keep)]) == 1  # both are held
             program.process.kill()
@@ -284,7 +294,7 @@
         place(path, rows(one, two))
         async with Program(options=options) as program, Client(program.port) as client:
             assert "checksum" in program.log("inventory_kept_unusable")["reason"]  # type: ignore[index]
-            assert (await client.ask(call_bytes(1)))[0] == 200
+            assert (await client.request(request_bytes(1)))[0] == 200
 
 
 def test_with_neither_a_good_file_nor_a_kept_list_it_says_why_and_ends(tmp_path: Path) -> None:
@@ -296,7 +306,7 @@
             await program.__aenter__()
         assert program.process.returncode == 2
         await program.reading
-        assert any("workers.csv:2:4: INV305" in line for line in program.raw)
+        assert any("workers.csv:2:4: INV305" in line for line in program.raw_logs)
 
     asyncio.run(play())
 
@@ -404,10 +414,10 @@
         place(path, text + "w1,no-such-host.invalid,5000,up\n")
         options = edge(folder, lookups=True, lookup_every=1.0, keep=str(keep))
         async with Program(options=options) as program, Client(program.port) as client:
-            assert (await client.ask(call_bytes(1)))[0] == 200 and len(one.seen) == 1
+            assert (await client.request(request_bytes(1)))[0] == 200 and len(one.seen) == 1
             await until(decided(program, "keep_out", "w1"))
             await until(lambda: program.log("inventory_not_kept") is not None)
-            assert (await client.ask(call_bytes(2)))[0] == 200  # serving goes on
+            assert (await client.request(request_bytes(2)))[0] == 200  # serving goes on
 
 
 @with_folder
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -13,7 +13,7 @@
 from lockspoke.core.replica_set import ListedReplica
 from lockspoke.lifecycle.program import give_back
 from lockspoke.wire.discovery.messages import decode_endpoint_list
-from tests.peers import Gateway, Peer
+from tests.peers import Gateway, ScriptedServer
 
 WORKERS = 1024
 LONGEST = 0.3  # seconds of CPU: a busy machine must not decide the test
@@ -34,7 +34,7 @@
 
 def all_go(gateway: Gateway) -> None:
     gateway.core.endpoint_list_changed(decode_endpoint_list(listed(0)).complete())
-    gateway.tell(*(ListedReplica(f"s-{n}", ReplicaState.REMOVED, None) for n in range(WORKERS)))
+    gateway.update_replicas(*(ListedReplica(f"s-{n}", ReplicaState.REMOVED, None) for n in range(WORKERS)))
 
 
 def sweeps(gateway: Gateway) -> None:
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("work", [all_begin_anew, all_go, sweeps])
 def test_housekeeping_is_done_within_the_time_an_event_may_be_held(work: Callable[[Gateway], None]) -> None:
     async def whole() -> float:
-        async with Gateway(Peer()) as gateway:
+        async with Gateway(ScriptedServer()) as gateway:
             gateway.core.endpoint_list_changed(decode_endpoint_list(listed(0)).complete())
             began = time.process_time()
             work(gateway)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -22,13 +22,13 @@
 from lockspoke.wire.clients.front import ClientFront
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from tests.balancing.helpers import settings
-from tests.standins import PATIENCE
+from tests.standins import WAIT_TIMEOUT
 
 MS = 1_000_000
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
 
-class Line:
+class RawConnection:
     """One connection, in the test's hands."""
 
     def __init__(self, sock: socket.socket) -> None:
@@ -45,89 +45,93 @@
         self.sock.close()
 
     def reset(self) -> None:
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.sock.close()
 
-    async def more(self) -> bytes:
+    async def read_some(self) -> bytes:
         """The next bytes; none at the end."""
-        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), PATIENCE)
+        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), WAIT_TIMEOUT)
 
-    async def read(self, mark: bytes) -> bytes:
+    async def read_until(self, mark: bytes) -> bytes:
         """All that comes, up to a mark."""
         got = b""
         while mark not in got:
-            data = await self.more()
+            data = await self.read_some()
             assert data, got
             got += data
         return got
 
-    async def rest(self) -> bytes:
+    async def read_to_end(self) -> bytes:
         """All that comes, up to an end that is in order."""
         got = b""
-        while data := await self.more():
+        while data := await self.read_some():
             got += data
         return got
 
 
-class Peer:
+class ScriptedServer:
     """A port where the test is the worker, or discovery; full, connections to it don't come up for now."""
 
-    def __init__(self, full: bool = False) -> None:
-        self.sock = socket.create_server(("127.0.0.1", 0), backlog=0 if full else 16)
+    def __init__(self, backlog_full: bool = False) -> None:
+        self.sock = socket.create_server(("127.0.0.1", 0), backlog=0 if backlog_full else 16)
         self.sock.setblocking(False)
         self.endpoint: tuple[str, int] = self.sock.getsockname()
-        self.plugs = [self._plug() for _ in range(full)]
+        self.backlog_fillers = [self._fill_backlog() for _ in range(backlog_full)]
 
-    def _plug(self) -> socket.socket:
+    def _fill_backlog(self) -> socket.socket:
         """A backlog of none holds one: what comes after it is asked to come again, a second later."""
         plug = socket.create_connection(self.endpoint)
         plug.setblocking(False)
         return plug
 
-    async def let_in(self) -> Line:
+    async def free_backlog_and_accept(self) -> RawConnection:
         """Take the connection that fills the backlog, so that the next comes up."""
-        for plug in self.plugs:
+        for plug in self.backlog_fillers:
             plug.close()
             (await self.accept()).close()
         return await self.accept()
 
-    async def accept(self) -> Line:
-        taken = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.sock), PATIENCE)
-        return Line(taken[0])
+    async def accept(self) -> RawConnection:
+        taken = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.sock), WAIT_TIMEOUT)
+        return RawConnection(taken[0])
 
 
 class Gateway:
     """The parts that carry calls, joined as the program joins them."""
 
     def __init__(
-        self, *workers: Peer, connect: int = 20_000, discovery: Discovery | None = None, **changes: Any
+        self,
+        *replicas: ScriptedServer,
+        connect_timeout_ms: int = 20_000,
+        discovery: Discovery | None = None,
+        **changes: Any,
     ) -> None:
-        timers = EventLoopClock()
+        clock = EventLoopClock()
         self.replica_set = ReplicaSet(Identifiers(), ["z"])
-        self.transport = ReplicaTransport((), connect * MS, 60_000 * MS, 64, timers.now)
-        told: BalancerSettings = settings(**{"classes": (RequestClass(),)} | changes)
-        self.core = Core(told, 7, self.replica_set, timers, self.transport, discovery or self)
+        self.transport = ReplicaTransport((), connect_timeout_ms * MS, 60_000 * MS, 64, clock.now)
+        balancer_settings: BalancerSettings = settings(**{"classes": (RequestClass(),)} | changes)
+        self.core = Core(balancer_settings, 7, self.replica_set, clock, self.transport, discovery or self)
         self.front = ClientFront(self.core, {"docs": 0}, 64, 48_000_000, lambda: True)
-        self.rev = 0
+        self.list_version = 0
         self.has_unread_changes = False  # what it tells is in force at once
-        self.tell(
+        self.update_replicas(
             *(
                 ListedReplica(f"w{at}", ReplicaState.READY, one.endpoint, "z")
-                for at, one in enumerate(workers)
+                for at, one in enumerate(replicas)
             )
         )
 
-    def tell(self, *entries: ListedReplica) -> None:
+    def update_replicas(self, *entries: ListedReplica) -> None:
         """What discovery has to say; the whole list at first."""
-        self.rev += 1
-        self.core.endpoint_list_changed(ReplicaListUpdate(self.rev, self.rev == 1, entries))
+        self.list_version += 1
+        self.core.endpoint_list_changed(ReplicaListUpdate(self.list_version, self.list_version == 1, entries))
 
-    def tell_of(self, *workers: Peer) -> None:
+    def add_replicas(self, *replicas: ScriptedServer) -> None:
         """Discovery has found more replicas."""
-        self.tell(
+        self.update_replicas(
             *(
                 ListedReplica(f"more{at}", ReplicaState.READY, one.endpoint, "z")
-                for at, one in enumerate(workers)
+                for at, one in enumerate(replicas)
             )
         )
 
@@ -145,11 +149,11 @@
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.sleep(0)
 
-    async def client(self, **options: int) -> Line:
+    async def connect_client(self, **options: int) -> RawConnection:
         """A client's connection; its receive buffer may be small."""
         sock = socket.socket()
         for name, value in options.items():
             sock.setsockopt(socket.SOL_SOCKET, getattr(socket, name), value)
         sock.setblocking(False)
         await asyncio.get_running_loop().sock_connect(sock, self.endpoint)
-        return Line(sock)
+        return RawConnection(sock)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -22,7 +22,7 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = float(
+WAIT_TIMEOUT = float(
     os.environ.get("PATIENCE", "30")
 )  # seconds a condition may take on a busy machine before a test fails
 SECOND = 1_000_000_000
@@ -52,12 +52,12 @@
     b'data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":null}]}\n\n' % word
     for word in (b"one ", b"two")
 ]
-TAIL = (
+STREAM_TAIL = (
     b'data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}\n\n'
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2,"total_tokens":11}}\n\n'
     b"data: [DONE]\n\n"
 )
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(data: bytes) -> bytes:
@@ -66,7 +66,7 @@
 
 async def until(condition: Callable[[], bool]) -> None:
     """Wait for a condition; one that never comes true fails the test."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.005)
 
@@ -110,7 +110,7 @@
 Script = Callable[[asyncio.StreamWriter], Awaitable[None]]
 
 
-class FakeWorker(Server):
+class FakeReplica(Server):
     """Streams the same answer to everyone, or does what its script says."""
 
     def __init__(self, script: Script | None = None, pause: float = 0.0) -> None:
@@ -122,7 +122,7 @@
         if self.script is not None:
             return await self.script(writer)
         await asyncio.sleep(self.pause)
-        writer.write(HEAD + b"".join(map(chunk, [*EVENTS, TAIL])) + chunk(b""))
+        writer.write(STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b""))
         await writer.drain()
         return None
 
@@ -137,8 +137,8 @@
         self.changed = asyncio.Event()
         self.raw: bytes | None = None  # sent in place of the list, once
 
-    def change(self, *workers: FakeWorker, state: str = "up") -> None:
-        self.targets = [target(worker, state) for worker in workers]
+    def change(self, *replicas: FakeReplica, state: str = "up") -> None:
+        self.targets = [target(worker, state) for worker in replicas]
         self.rev += 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -156,9 +156,9 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-def target(worker: FakeWorker, state: str = "up") -> dict[str, Any]:
-    endpoint = f"127.0.0.1:{worker.port}"
-    return {"uid": f"s-{worker.port}", "endpoint": endpoint, "az": "lis-1", "state": state, "boot_ms": 0}
+def target(replica: FakeReplica, state: str = "up") -> dict[str, Any]:
+    endpoint = f"127.0.0.1:{replica.port}"
+    return {"uid": f"s-{replica.port}", "endpoint": endpoint, "az": "lis-1", "state": state, "boot_ms": 0}
 
 
 class Program:
@@ -166,7 +166,7 @@
 
     def __init__(
         self,
-        *workers: FakeWorker,
+        *replicas: FakeReplica,
         discovery: FakeDiscovery | None = None,
         options: Any = (),
         sockets: int = 1024,
@@ -180,12 +180,12 @@
         self.operator = operator
         self.env = env or {}
         self.keepalive = keepalive
-        self.known = {"rev": 1, "all": True, "targets": [target(worker) for worker in workers]}
+        self.known = {"rev": 1, "all": True, "targets": [target(worker) for worker in replicas]}
         self.discovery = discovery.port if discovery is not None else 1
         self.options = options
         self.fifo = False  # the configuration is a pipe: the test writes it as the program reads
         self.logs: list[dict[str, Any]] = []
-        self.raw: list[str] = []
+        self.raw_logs: list[str] = []
 
     async def __aenter__(self) -> Program:
         self.folder = tempfile.TemporaryDirectory()
@@ -218,7 +218,7 @@
         )
         self.reading = asyncio.ensure_future(self._read_logs())
         await until(lambda: self.log("listening") is not None or self.process.returncode is not None)
-        assert self.process.returncode is None, self.raw
+        assert self.process.returncode is None, self.raw_logs
         self.port = self.log("listening")["port"]  # type: ignore[index]
         return self
 
@@ -232,7 +232,7 @@
     async def _read_logs(self) -> None:
         assert self.process.stderr is not None
         async for line in self.process.stderr:
-            self.raw.append(line.decode())
+            self.raw_logs.append(line.decode())
             if line.startswith(b"{"):
                 self.logs.append(json.loads(line))
 
@@ -251,7 +251,7 @@
 
     async def terminate(self) -> int:
         self.process.terminate()
-        return await asyncio.wait_for(self.process.wait(), PATIENCE)
+        return await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT)
 
 
 class Client:
@@ -267,12 +267,12 @@
     async def __aexit__(self, *_: object) -> None:
         self.writer.close()
 
-    async def ask(self, raw: bytes) -> tuple[int, dict[str, str], bytes, bool]:
+    async def request(self, raw: bytes) -> tuple[int, dict[str, str], bytes, bool]:
         """Status, fields, body, and whether the answer is whole."""
         self.writer.write(raw)
-        return await asyncio.wait_for(self.answer(), PATIENCE)
+        return await asyncio.wait_for(self.read_response(), WAIT_TIMEOUT)
 
-    async def answer(self) -> tuple[int, dict[str, str], bytes, bool]:
+    async def read_response(self) -> tuple[int, dict[str, str], bytes, bool]:
         parser, head, body = ResponseParser(), None, b""
         while True:
             try:
@@ -290,7 +290,7 @@
                 return (head.status if head else 0), dict(head.headers.fields) if head else {}, body, False
 
 
-def call_bytes(
+def request_bytes(
     number: int, deadline: int = 4000, kind: str = "docs", body: bytes = b"{}", **more: str
 ) -> bytes:
     headers = {"Host": "origin.svc", "Req-Id": f"{number:016x}", "Req-Kind": kind}
--- a/tests/wire/clients/test_front.py
+++ b/tests/wire/clients/test_front.py
@@ -14,7 +14,7 @@
 from lockspoke.wire.clients import front as clients
 from lockspoke.wire.clients.front import ClientConnection, ClientFront
 from tests.core.test_core import World
-from tests.standins import EVENTS, call_bytes, until
+from tests.standins import EVENTS, request_bytes, until
 
 BODY = b"x" * 5000
 
@@ -69,7 +69,7 @@
     """Else the bound on held bytes would be used up by and by, and every call turned away."""
 
     async def served(pair: Pair) -> None:
-        pair.send(call_bytes(1, body=BODY))
+        pair.send(request_bytes(1, body=BODY))
         await until(lambda: bool(pair.world.started))
         assert pair.front.buffered_bytes == len(BODY)
         pair.world.started[0].stream_received(EVENTS[0])
@@ -78,13 +78,13 @@
         await pair.leave()
 
     async def left(pair: Pair) -> None:
-        pair.send(call_bytes(1, body=BODY))
+        pair.send(request_bytes(1, body=BODY))
         await until(lambda: bool(pair.world.started))
         await pair.leave()
         assert pair.front.buffered_bytes == 0 and pair.world.core.totals["left"] == 1
 
     async def half(pair: Pair) -> None:
-        pair.send(call_bytes(1, body=BODY)[:-10])
+        pair.send(request_bytes(1, body=BODY)[:-10])
         await until(lambda: pair.front.buffered_bytes == len(BODY) - 10)
         await pair.leave()
         assert pair.front.buffered_bytes == 0 and not pair.world.started
@@ -96,7 +96,7 @@
 def test_past_the_bound_on_held_bytes_a_call_is_turned_away() -> None:
     async def test(pair: Pair) -> None:
         pair.front.max_buffered_bytes = 1000
-        pair.send(call_bytes(1, body=BODY))
+        pair.send(request_bytes(1, body=BODY))
         answer = await pair.read(b"held\n")
         assert answer.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1.000" in answer
         await pair.leave()
@@ -121,7 +121,7 @@
 
 def test_requests_sent_ahead_are_answered_in_order_and_only_so_many() -> None:
     async def test(pair: Pair) -> None:
-        pair.send(call_bytes(1) + b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
+        pair.send(request_bytes(1) + b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         await until(lambda: bool(pair.world.started) and bool(pair.connection.waiting))
         pair.world.started[0].stream_received(EVENTS[0])
         pair.world.started[0].end(Outcome.OK)
@@ -135,7 +135,7 @@
     """Requests by the hundred, or noise, used to end the connection with a call still out: it was lost."""
 
     async def ahead(pair: Pair) -> None:
-        pair.send(b"".join(call_bytes(number) for number in range(1, 200)))
+        pair.send(b"".join(request_bytes(number) for number in range(1, 200)))
         for number in range(clients.WAITING):
             await until(lambda number=number: len(pair.world.started) == number + 1)  # type: ignore[misc]
             pair.world.started[number].stream_received(EVENTS[0])
@@ -146,7 +146,7 @@
         await pair.leave()
 
     async def noise(pair: Pair) -> None:
-        pair.send(call_bytes(1) + b"\x00\r\n\r\n")
+        pair.send(request_bytes(1) + b"\x00\r\n\r\n")
         for _ in range(20):
             pair.send(b"noise\r\n\r\n")
             await asyncio.sleep(0)
@@ -163,15 +163,15 @@
 
 def test_the_id_of_an_open_call_is_refused_and_free_again_after_its_answer() -> None:
     async def test(pair: Pair) -> None:
-        pair.send(call_bytes(1))
+        pair.send(request_bytes(1))
         await until(lambda: bool(pair.world.started))
         first, other = pair.client, Pair()
         other.join(pair.front)
-        other.send(call_bytes(1))
+        other.send(request_bytes(1))
         assert b"HTTP/1.1 409 " in await other.read(b"in use\n")
         pair.world.started[0].stream_received(EVENTS[0])
         pair.world.started[0].end(Outcome.OK)
-        other.send(call_bytes(1))
+        other.send(request_bytes(1))
         await until(lambda: len(pair.world.started) == 2)
         assert pair.client is first
         await other.leave()
@@ -200,7 +200,7 @@
     """60 MB read and dropped took the CPU of everybody else."""
 
     async def test(pair: Pair) -> None:
-        pair.send(call_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 60000000"))
+        pair.send(request_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 60000000"))
         assert b"HTTP/1.1 413 " in await pair.read(b"too large\n")
         sent, loop = 0, asyncio.get_running_loop()
         with contextlib.suppress(TimeoutError, OSError):
@@ -217,7 +217,7 @@
 
 def test_an_http_1_0_client_gets_its_stream_without_chunks() -> None:
     async def test(pair: Pair) -> None:
-        pair.send(call_bytes(1).replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Host: origin.svc\r\n", b""))
+        pair.send(request_bytes(1).replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Host: origin.svc\r\n", b""))
         await until(lambda: bool(pair.world.started))
         assert pair.world.started[0].request.headers["host"] == "origin.svc"
         pair.world.started[0].stream_received(EVENTS[0])
@@ -235,14 +235,14 @@
     async def script(pair: Pair) -> None:
         ours = True
         pair.connection.lease_is_valid = lambda: ours
-        pair.send(call_bytes(1))
+        pair.send(request_bytes(1))
         await until(lambda: pair.world.core.totals["calls"] == 1)
         call = pair.connection.open_request
         assert call is not None
         call.response.reject(0)
         await pair.read(b"overloaded")
         ours = False
-        pair.send(call_bytes(2))
+        pair.send(request_bytes(2))
         answer = await pair.read(b"the address has moved")
         assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After: 0.050" in answer
         assert b"Connection: close" in answer
@@ -259,7 +259,7 @@
         pair.front.reconfigure({"docs": 0}, 8, 48_000_000, {"north": 0, "south": 1})
         owners = ("south", "north", "nobody")
         for at, owner in enumerate(owners):
-            pair.send(call_bytes(at + 1, **{"Req-Owner": owner}))
+            pair.send(request_bytes(at + 1, **{"Req-Owner": owner}))
             await until(lambda at=at: len(pair.world.started) > at)  # type: ignore[misc]
             told = pair.world.core.balancer.requests[pair.world.started[at].request.number].arrived
             assert told.tenant == {"south": 1}.get(owner, 0)
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -15,8 +15,8 @@
 from lockspoke.wire.discovery import watch
 from lockspoke.wire.http.http1 import Request
 from lockspoke.wire.tcp.dialing import dial
-from tests.peers import Peer
-from tests.standins import FakeDiscovery, FakeWorker, until
+from tests.peers import ScriptedServer
+from tests.standins import FakeDiscovery, FakeReplica, until
 
 HOLD_MS = 200
 
@@ -61,7 +61,7 @@
 
 async def watched(silent: Container[int], told: Told, hold_ms: int = HOLD_MS, lists: int = 1) -> list[float]:
     """When the requests came, until there is a list or a failure past so many lists."""
-    async with FakeWorker() as worker, SilentDiscovery(silent) as discovery:
+    async with FakeReplica() as worker, SilentDiscovery(silent) as discovery:
         discovery.change(worker)
         one = watch.DiscoveryWatch(("127.0.0.1", discovery.port), hold_ms)
         one.core = cast(Core, told)
@@ -105,7 +105,7 @@
     monkeypatch.setattr(discovery_link, "CONNECT_TIME", 20.0)
 
     async def whole() -> None:
-        peer, told, connects = Peer(), Told(1), asyncio.Event()
+        peer, told, connects = ScriptedServer(), Told(1), asyncio.Event()
 
         async def slow_dial(endpoint: tuple[str, int]) -> IOStream:
             await connects.wait()
@@ -116,7 +116,7 @@
         connects.set()
         one.watch(True)
         line = await peer.accept()
-        await line.read(b"\r\n\r\n")
+        await line.read_until(b"\r\n\r\n")
         connects.clear()
         line.send(listed(2, b"Connection: close\r\n"))
         await until(lambda: len(told.lists) == 1)
@@ -125,7 +125,7 @@
         await until(lambda: loop.time() > late)
         connects.set()
         line = await peer.accept()
-        assert b"hold_ms=%d " % HOLD_MS in await line.read(b"\r\n\r\n")
+        assert b"hold_ms=%d " % HOLD_MS in await line.read_until(b"\r\n\r\n")
         line.send(listed(3))
         await until(lambda: len(told.lists) == 2 or bool(told.failed))
         one.close()
@@ -139,11 +139,11 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%b\r\n%b" % (len(body), headers, body)
 
 
-def follow(test: Callable[[watch.DiscoveryWatch, Peer, Told], Awaitable[None]]) -> None:
+def follow(test: Callable[[watch.DiscoveryWatch, ScriptedServer, Told], Awaitable[None]]) -> None:
     """A watch of a peer that the test is."""
 
     async def whole() -> None:
-        peer, told = Peer(), Told(1)
+        peer, told = ScriptedServer(), Told(1)
         one = watch.DiscoveryWatch(peer.endpoint, HOLD_MS * 100)
         one.core = cast(Core, told)
         one.watch(True)
@@ -158,17 +158,17 @@
 def test_what_comes_behind_an_answer_is_never_the_next_calls(behind: bytes, late: bool) -> None:
     """Each later call would have taken the answer of the one before it."""
 
-    async def test(one: watch.DiscoveryWatch, peer: Peer, told: Told) -> None:
+    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, told: Told) -> None:
         first = await peer.accept()
-        await first.read(b"from=1&")
+        await first.read_until(b"from=1&")
         if late:
             # It comes once the answer has been taken, and before the next call is written.
             told.on_change = lambda: first.send(behind)
         first.send(listed(2) + (b"" if late else behind))
         second = await peer.accept()
-        await second.read(b"from=2&")
+        await second.read_until(b"from=2&")
         second.send(listed(3))
-        await second.read(b"from=3&")
+        await second.read_until(b"from=3&")
         assert [update.version for update in told.lists] == [2, 3]
 
     follow(test)
@@ -177,17 +177,17 @@
 def test_a_list_that_has_come_as_discovery_moves_is_taken_and_its_version_is_not() -> None:
     """It is told. But versions are each service's own: the old one's would end the new one's changes."""
 
-    async def test(one: watch.DiscoveryWatch, peer: Peer, told: Told) -> None:
-        old, new = await peer.accept(), Peer()
-        await old.read(b"from=1&")
+    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, told: Told) -> None:
+        old, new = await peer.accept(), ScriptedServer()
+        await old.read_until(b"from=1&")
         old.send(listed(70))
         one.move(new.endpoint)
         line = await new.accept()
-        assert b"from=" not in await line.read(b"\r\n\r\n")
+        assert b"from=" not in await line.read_until(b"\r\n\r\n")
         line.send(listed(4))
-        await line.read(b"from=4&")
+        await line.read_until(b"from=4&")
         assert [update.version for update in told.lists] == [UNKNOWN_VERSION, 4]
-        assert await old.more() == b"", "the old service is asked nothing more"
+        assert await old.read_some() == b"", "the old service is asked nothing more"
 
     follow(test)
 
@@ -195,9 +195,9 @@
 def test_a_fault_of_our_own_ends_no_watch_unheard(monkeypatch: pytest.MonkeyPatch) -> None:
     """The list would have stayed as it was for ever, with nobody told."""
 
-    async def test(one: watch.DiscoveryWatch, peer: Peer, told: Told) -> None:
+    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, told: Told) -> None:
         first = await peer.accept()
-        await first.read(b"from=1&")
+        await first.read_until(b"from=1&")
 
         def fault() -> None:
             raise KeyError("planted")
@@ -207,7 +207,9 @@
         await until(lambda: told.failed == 1)
         one.watch(True)
         second = await peer.accept()
-        assert b"from=" not in await second.read(b"\r\n\r\n"), "the whole list: what was taken is not known"
+        assert b"from=" not in await second.read_until(b"\r\n\r\n"), (
+            "the whole list: what was taken is not known"
+        )
 
     follow(test)
 
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_play.py
@@ -30,8 +30,8 @@
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from lockspoke.wire.tcp.dialing import Address
 from tests.balancing.helpers import settings
-from tests.clocked import ClockedLoop, ControlledClock, Network, Reach
-from tests.standins import EVENTS, HEAD, TAIL, chunk
+from tests.clocked import ClockedLoop, ControlledClock, Network, Reachability
+from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk
 
 SECOND = 1_000_000_000
 GRACE = 0.25  # seconds after a change is told
@@ -227,9 +227,9 @@
 
     def begin(self, outage: Outage) -> None:
         self.outage = outage
-        reach = {Outage.REFUSES: Reach.REFUSES, Outage.NEVER_COMES_UP: Reach.NEVER_COMES_UP}
+        reach = {Outage.REFUSES: Reachability.REFUSES, Outage.NEVER_COMES_UP: Reachability.NEVER_COMES_UP}
         for home in HOMES:
-            self.network.reach[home] = reach.get(outage, Reach.UP)
+            self.network.reachability[home] = reach.get(outage, Reachability.UP)
         if outage in (Outage.NEVER_COMES_UP, Outage.SILENT):
             self.muted += self.connections.open
             self.connections.mute()
@@ -238,7 +238,7 @@
 
     def end(self) -> None:
         self.outage = None
-        self.network.reach.clear()
+        self.network.reachability.clear()
 
     def befall(self, fault: Fault) -> None:
         if fault is Fault.MUTE:
@@ -344,7 +344,7 @@
                 if luck < 0.1:
                     sock.send(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
                 elif luck > 0.03:
-                    sock.send(HEAD + b"".join(map(chunk, [*EVENTS, TAIL])) + chunk(b""))
+                    sock.send(STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b""))
 
 
 class Answer:
--- a/tests/wire/operators/test_front.py
+++ b/tests/wire/operators/test_front.py
@@ -10,7 +10,7 @@
 
 from lockspoke.lifecycle.bans_file import read_bans, write_bans
 from tests.lifecycle.test_program import run
-from tests.standins import Client, FakeDiscovery, FakeWorker, Program, call_bytes, until
+from tests.standins import Client, FakeDiscovery, FakeReplica, Program, request_bytes, until
 
 
 async def operate(program: Program, path: str, method: str = "POST") -> int:
@@ -22,7 +22,7 @@
     assert started is not None
     async with Client(started["port"]) as caller, asyncio.timeout(10):
         raw = f"{method} /control/{path} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
-        status, fields, _, whole = await caller.ask(raw.encode())
+        status, fields, _, whole = await caller.request(raw.encode())
         assert whole and fields["connection"] == "close"
         return status
 
@@ -30,12 +30,12 @@
 async def served(program: Program, first: int, count: int = 12) -> None:
     async with Client(program.port) as client:
         for number in range(first, first + count):
-            assert (await client.ask(call_bytes(number)))[0] == 200
+            assert (await client.request(request_bytes(number)))[0] == 200
 
 
 @run
 async def test_calls_are_answered_while_others_connect_and_finish_none() -> None:
-    async with FakeWorker() as worker, Program(worker, operator=True) as program:
+    async with FakeReplica() as worker, Program(worker, operator=True) as program:
         assert await operate(program, "ready", "GET") == 200
         port = program.log("operators_listening")["port"]  # type: ignore[index]
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(12)]
@@ -59,8 +59,8 @@
 @run
 async def test_a_ban_outlives_lists_and_repeats_and_one_call_back_ends_it() -> None:
     async with (
-        FakeWorker() as one,
-        FakeWorker() as two,
+        FakeReplica() as one,
+        FakeReplica() as two,
         FakeDiscovery() as discovery,
         Program(one, two, discovery=discovery, operator=True) as program,
     ):
@@ -83,37 +83,37 @@
 
 @run
 async def test_with_every_worker_offline_a_call_is_refused_and_online_serves_again() -> None:
-    async with FakeWorker() as worker, Program(worker, operator=True) as program:
+    async with FakeReplica() as worker, Program(worker, operator=True) as program:
         assert await operate(program, f"replicas/s-{worker.port}/offline") == 200
         async with Client(program.port) as client:
-            assert (await client.ask(call_bytes(1, deadline=400)))[0] == 503
+            assert (await client.request(request_bytes(1, deadline=400)))[0] == 503
         assert await operate(program, f"replicas/s-{worker.port}/online") == 200
         await served(program, 2)
 
 
 @run
 async def test_out_of_service_answers_what_comes_and_keeps_no_idle_client() -> None:
-    async with FakeWorker() as worker, Program(worker, operator=True) as program:
+    async with FakeReplica() as worker, Program(worker, operator=True) as program:
         up = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
         async with Client(program.port) as idle, Client(program.port) as late:
-            assert (await idle.ask(up))[0] == 200
+            assert (await idle.request(up))[0] == 200
             assert await operate(program, "out-of-service") == 200
-            status, fields, _, whole = await late.ask(call_bytes(1))
+            status, fields, _, whole = await late.request(request_bytes(1))
             assert (status, whole, fields["connection"]) == (200, True, "close")
             assert await asyncio.wait_for(idle.reader.read(), 10) == b"", "closed while it is idle"
         async with Client(program.port) as client:
-            assert (await client.ask(up))[0] == 503
+            assert (await client.request(up))[0] == 503
         assert await operate(program, "ready", "GET") == 200, "the process still serves"
         assert await operate(program, "in-service") == 200
         async with Client(program.port) as client:
-            assert (await client.ask(up))[0] == 200
-            assert (await client.ask(call_bytes(2)))[0] == 200 and (await client.ask(up))[0] == 200
+            assert (await client.request(up))[0] == 200
+            assert (await client.request(request_bytes(2)))[0] == 200 and (await client.request(up))[0] == 200
         assert await program.terminate() == 0
 
 
 @run
 async def test_a_new_version_takes_over_under_load_and_keeps_the_bans() -> None:
-    async with FakeWorker() as one, FakeWorker() as two, Program(one, two, operator=True) as old:
+    async with FakeReplica() as one, FakeReplica() as two, Program(one, two, operator=True) as old:
         await served(old, 1, 30)
         assert await operate(old, f"replicas/s-{one.port}/offline") == 200
         before = len(one.seen)
@@ -126,7 +126,7 @@
                 status = 0  # a connection may come between the last accept and the end of the listening
                 with contextlib.suppress(ConnectionError):
                     async with Client(old.port) as client:
-                        status = (await client.ask(call_bytes(number)))[0]
+                        status = (await client.request(request_bytes(number)))[0]
                 assert status in (0, 200)
                 unheard += status == 0
             assert await ending == 0 and unheard <= 2, "as many as the operators' page leaves free"
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -9,17 +9,19 @@
 from typing import Any
 
 from lockspoke.lifecycle.event_loop import PolledLoop
-from tests.peers import Gateway, Line, Peer
-from tests.standins import EVENTS, HEAD, call_bytes, chunk, until
+from tests.peers import Gateway, RawConnection, ScriptedServer
+from tests.standins import EVENTS, STREAM_HEAD, chunk, request_bytes, until
 
 DEADLINE_MS = 4000
 SLACK_MS = 150  # the operators' figure
 HELD = 0.4  # seconds
 
 
-def play(test: Callable[[Gateway, Peer], Awaitable[None]], full: bool = False, **settings: Any) -> None:
+def play(
+    test: Callable[[Gateway, ScriptedServer], Awaitable[None]], full: bool = False, **settings: Any
+) -> None:
     async def whole() -> None:
-        peer = Peer(full=full)
+        peer = ScriptedServer(backlog_full=full)
         async with Gateway(peer, **settings) as gateway:
             await test(gateway, peer)
 
@@ -27,9 +29,9 @@
         runner.run(whole())
 
 
-async def told_ms(line: Line) -> int:
+async def told_ms(line: RawConnection) -> int:
     """The time left that a request on a replica's connection tells."""
-    found = re.search(rb"(?i)req-deadline-ms: (\d+)", await line.read(b"{}"))
+    found = re.search(rb"(?i)req-deadline-ms: (\d+)", await line.read_until(b"{}"))
     assert found is not None
     return int(found[1])
 
@@ -40,24 +42,24 @@
 
 
 def test_a_connection_that_comes_up_late_takes_its_time_from_the_deadline() -> None:
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        client = await gateway.client()
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        client = await gateway.connect_client()
         sent_at = time.monotonic()
-        client.send(call_bytes(1, DEADLINE_MS))
+        client.send(request_bytes(1, DEADLINE_MS))
         await until(lambda: gateway.core.totals["attempts"] == 1 and time.monotonic() - sent_at > HELD)
-        line = await peer.let_in()
+        line = await peer.free_backlog_and_accept()
         assert await told_ms(line) <= left_ms(sent_at)
 
     play(test, full=True)
 
 
 def test_a_further_attempt_is_told_what_is_left_after_the_one_before_it() -> None:
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        second = Peer()
-        gateway.tell_of(second)
-        client = await gateway.client()
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        second = ScriptedServer()
+        gateway.add_replicas(second)
+        client = await gateway.connect_client()
         sent_at = time.monotonic()
-        client.send(call_bytes(1, DEADLINE_MS))
+        client.send(request_bytes(1, DEADLINE_MS))
         accepting = {asyncio.ensure_future(one.accept()) for one in (peer, second)}
         done, accepting = await asyncio.wait(accepting, return_when=asyncio.FIRST_COMPLETED)
         line = done.pop().result()
@@ -72,14 +74,14 @@
 def test_a_request_sent_ahead_has_what_is_left_once_the_one_before_it_is_answered() -> None:
     """Its time began with its turn: it was told, and waited, longer than its client would."""
 
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        client = await gateway.client()
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        client = await gateway.connect_client()
         sent_at = time.monotonic()
-        client.send(call_bytes(1, DEADLINE_MS) + call_bytes(2, DEADLINE_MS))
+        client.send(request_bytes(1, DEADLINE_MS) + request_bytes(2, DEADLINE_MS))
         line = await peer.accept()
         await told_ms(line)
         await until(lambda: time.monotonic() - sent_at > HELD)
-        line.send(HEAD + chunk(EVENTS[0]) + chunk(b""))
+        line.send(STREAM_HEAD + chunk(EVENTS[0]) + chunk(b""))
         second = asyncio.ensure_future(peer.accept())
         assert await told_ms(await second) <= left_ms(sent_at)
 
@@ -87,11 +89,11 @@
 
 
 def test_the_time_for_which_a_request_lay_unread_while_the_loop_was_held_is_not_told_as_left() -> None:
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        client = await gateway.client()
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        client = await gateway.connect_client()
         await until(lambda: len(gateway.front.listener.connections) == 1)
         sent_at = time.monotonic()
-        client.send(call_bytes(1, DEADLINE_MS))
+        client.send(request_bytes(1, DEADLINE_MS))
         time.sleep(HELD)
         assert await told_ms(await peer.accept()) <= left_ms(sent_at)
 
@@ -99,10 +101,10 @@
 
 
 def test_a_loop_that_rests_takes_nothing_from_the_deadline() -> None:
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        client = await gateway.client()
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        client = await gateway.connect_client()
         await asyncio.sleep(HELD)
-        client.send(call_bytes(1, DEADLINE_MS))
+        client.send(request_bytes(1, DEADLINE_MS))
         assert await told_ms(await peer.accept()) > DEADLINE_MS - HELD * 1000 / 2
 
     play(test)
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -23,17 +23,17 @@
 from lockspoke.wire.discovery.messages import LIST_LIMIT
 from lockspoke.wire.discovery.watch import NOTHING_NEW_PAUSE, DiscoveryWatch
 from lockspoke.wire.replicas.transport import SETTLE
-from tests.peers import Gateway, Line, Peer
-from tests.standins import EVENTS, HEAD, TAIL, call_bytes, chunk, until
+from tests.peers import Gateway, RawConnection, ScriptedServer
+from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk, request_bytes, until
 
 HOLD_MS = 60_000
 SHORT_HOLD_MS = 200
 BUSY = 0.3  # seconds for which the loop is held: longer than the grace of 250 ms
 
-ANSWER = HEAD + b"".join(map(chunk, [*EVENTS, TAIL])) + chunk(b"")
+ANSWER = STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b"")
 
 
-def target(uid: str, peer: Peer, state: str = "up") -> dict[str, Any]:
+def target(uid: str, peer: ScriptedServer, state: str = "up") -> dict[str, Any]:
     host, port = peer.endpoint
     return {"uid": uid, "endpoint": f"{host}:{port}", "az": "z", "state": state, "boot_ms": 0}
 
@@ -48,7 +48,7 @@
     """A gateway, two replicas, and discovery in the test's hands."""
 
     def __init__(self, hold_ms: int = HOLD_MS, asks: bool = False) -> None:
-        self.first, self.second, self.discovery = Peer(), Peer(), Peer()
+        self.first, self.second, self.discovery = ScriptedServer(), ScriptedServer(), ScriptedServer()
         self.watch = DiscoveryWatch(self.discovery.endpoint, hold_ms)
         self.gateway = Gateway(self.first, self.second, discovery=self.watch, polls_endpoint_list=asks)
         self.watch.core = self.gateway.core
@@ -57,18 +57,18 @@
     def drain_of_the_first(self) -> bytes:
         return answer(2, target("w0", self.first, "draining"))
 
-    async def watching(self) -> Line:
+    async def watching(self) -> RawConnection:
         """The connection on which the gateway waits for a change, after an answer with none."""
         self.watch.watch(True)
         line = await self.discovery.accept()
-        await line.read(b"\r\n\r\n")
+        await line.read_until(b"\r\n\r\n")
         line.send(answer(1))
-        await line.read(b"from=1&hold_ms=%d" % self.watch.hold_ms)
+        await line.read_until(b"from=1&hold_ms=%d" % self.watch.hold_ms)
         return line
 
-    def ask(self, client: Line) -> None:
+    def ask(self, client: RawConnection) -> None:
         """A request reaches the gateway's decisions in this very turn of the loop; they pick a replica."""
-        client.send(call_bytes(1))
+        client.send(request_bytes(1))
         (connection,) = self.gateway.front.listener.connections
         assert isinstance(connection, ClientConnection)
         connection._take(connection.stream.socket.recv(65536))
@@ -77,9 +77,9 @@
         """What the list in force says of a replica."""
         return next(one.state for one in self.gateway.replica_set.replicas.values() if one.uid == uid)
 
-    async def warm(self, client: Line) -> dict[str, Line]:
+    async def warm(self, client: RawConnection) -> dict[str, RawConnection]:
         """A connection kept idle to each replica, by uid."""
-        lines: dict[str, Line] = {}
+        lines: dict[str, RawConnection] = {}
         loop, number = asyncio.get_running_loop(), 100
         accepting = {
             asyncio.ensure_future(peer.accept()): uid
@@ -87,21 +87,21 @@
         }
         while accepting:
             number += 1
-            client.send(call_bytes(number))
+            client.send(request_bytes(number))
             await until(lambda: bool(self.gateway.core.requests))
             await until(lambda: len(self.gateway.transport.exchanges) == 1)
             for done in [one for one in accepting if one.done()]:
                 lines[accepting.pop(done)] = done.result()
             (exchange,) = self.gateway.transport.exchanges
             line = lines[exchange.replica.uid]
-            await line.read(b"{}")
+            await line.read_until(b"{}")
             line.send(ANSWER)
-            await client.read(b"0\r\n\r\n")
+            await client.read_until(b"0\r\n\r\n")
             settled = loop.time() + 2 * SETTLE
             await until(lambda until_then=settled: loop.time() > until_then)  # type: ignore[misc]
         return lines
 
-    def picked(self) -> tuple[str, Peer]:
+    def picked(self) -> tuple[str, ScriptedServer]:
         """The replica that the request was decided for."""
         (call,) = self.gateway.core.requests.values()
         uid = call.attempts[0].replica.uid
@@ -120,8 +120,8 @@
     asyncio.run(whole())
 
 
-async def resting_client(scene: Scene) -> Line:
-    client = await scene.gateway.client()
+async def resting_client(scene: Scene) -> RawConnection:
+    client = await scene.gateway.connect_client()
     await until(lambda: len(scene.gateway.front.listener.connections) == 1)
     return client
 
@@ -137,8 +137,8 @@
         line.send(answer(2, target(uid, replica, "draining")))
         time.sleep(BUSY)
         other = lines["w1" if uid == "w0" else "w0"]
-        assert b"0000000000000001" in await other.read(b"{}")
-        assert await lines[uid].rest() == b"", "its idle connection is closed, and nothing came on it"
+        assert b"0000000000000001" in await other.read_until(b"{}")
+        assert await lines[uid].read_to_end() == b"", "its idle connection is closed, and nothing came on it"
 
     play(test)
 
@@ -163,11 +163,11 @@
     """The old service had written it, and it was dropped with its connection; the new one may be slow."""
 
     async def test(scene: Scene) -> None:
-        line, slow = await scene.watching(), Peer()
+        line, slow = await scene.watching(), ScriptedServer()
         line.send(scene.drain_of_the_first)
         scene.watch.move(slow.endpoint)
         taken = await slow.accept()
-        assert b"from=" not in await taken.read(b"\r\n\r\n"), "versions are each service's own"
+        assert b"from=" not in await taken.read_until(b"\r\n\r\n"), "versions are each service's own"
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
         assert scene.gateway.replica_set.version == -1
 
@@ -176,11 +176,11 @@
 
 def test_an_answer_that_was_half_written_as_discovery_moved_is_taken() -> None:
     async def test(scene: Scene) -> None:
-        line, slow = await scene.watching(), Peer()
+        line, slow = await scene.watching(), ScriptedServer()
         half = len(scene.drain_of_the_first) // 2
         line.send(scene.drain_of_the_first[:half])
         scene.watch.move(slow.endpoint)
-        await (await slow.accept()).read(b"\r\n\r\n")
+        await (await slow.accept()).read_until(b"\r\n\r\n")
         line.send(scene.drain_of_the_first[half:])
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
 
@@ -206,12 +206,12 @@
     async def test(scene: Scene) -> None:
         line = await scene.watching()
         line.send(scene.drain_of_the_first)
-        await line.read(b"from=2&")
+        await line.read_until(b"from=2&")
         line.send(answer(1, target("w0", scene.first), target("w1", scene.second), whole=True))
-        assert b"from=" not in await line.read(b"\r\n\r\n")
+        assert b"from=" not in await line.read_until(b"\r\n\r\n")
         assert scene.state("w0") is ReplicaState.DRAINING and scene.state("w1") is ReplicaState.READY
         line.send(answer(1, target("w0", scene.first), target("w1", scene.second), whole=True))
-        await line.read(b"from=1&")
+        await line.read_until(b"from=1&")
         assert scene.state("w0") is ReplicaState.READY, "said as the whole list, it is the service's own word"
 
     play(test)
@@ -223,7 +223,7 @@
     async def test(scene: Scene) -> None:
         line = await scene.watching()
         line.send(answer(0, target("w1", scene.second, "draining")))
-        assert b"from=" not in await line.read(b"\r\n\r\n")
+        assert b"from=" not in await line.read_until(b"\r\n\r\n")
         assert scene.state("w1") is ReplicaState.DRAINING
 
     play(test)
@@ -253,7 +253,7 @@
                 with contextlib.suppress(ConnectionError):  # it is cut off before its end
                     await asyncio.get_running_loop().sock_sendall(line.sock, bad)
                 line = await scene.discovery.accept()
-                assert b"from=1&hold_ms=0 " in await line.read(b"\r\n\r\n")
+                assert b"from=1&hold_ms=0 " in await line.read_until(b"\r\n\r\n")
                 assert scene.state("w0") == scene.state("w1") is ReplicaState.READY
             line.send(scene.drain_of_the_first)
             await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
@@ -275,7 +275,7 @@
             with contextlib.suppress(ConnectionError):
                 line.send(b" ")
             await asyncio.sleep(0.02)
-        assert b"from=1&hold_ms=0 " in await asked_again.result().read(b"\r\n\r\n")
+        assert b"from=1&hold_ms=0 " in await asked_again.result().read_until(b"\r\n\r\n")
 
     play(test)
 
@@ -286,10 +286,10 @@
         began = loop.time()
         for _ in range(4):
             line.send(answer(1))
-            await line.read(b"from=1&hold_ms=%d" % HOLD_MS)
+            await line.read_until(b"from=1&hold_ms=%d" % HOLD_MS)
         assert loop.time() - began >= 4 * NOTHING_NEW_PAUSE
         line.send(scene.drain_of_the_first)
-        await line.read(b"from=2&")
+        await line.read_until(b"from=2&")
 
     play(test)
 
@@ -298,16 +298,16 @@
     """It was taken for the answer to the request that had failed: nobody asked again."""
 
     async def test(scene: Scene) -> None:
-        line, new = await scene.watching(), Peer()
+        line, new = await scene.watching(), ScriptedServer()
         scene.watch.move(new.endpoint)
         refusing = await new.accept()
-        await refusing.read(b"\r\n\r\n")
+        await refusing.read_until(b"\r\n\r\n")
         refusing.send(BAD_ANSWERS["a refusal"])
-        assert await refusing.rest() == b""
+        assert await refusing.read_to_end() == b""
         line.send(scene.drain_of_the_first)
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
         asking = await new.accept()
-        assert b"from=" not in await asking.read(b"\r\n\r\n")
+        assert b"from=" not in await asking.read_until(b"\r\n\r\n")
 
     play(test, asks=True)
 
@@ -325,7 +325,7 @@
     """Moved twice at once, it waited for its own answer to be taken: no request was sent any more."""
 
     async def test(scene: Scene) -> None:
-        line, former, new = await scene.watching(), Unfinished(), Peer()
+        line, former, new = await scene.watching(), Unfinished(), ScriptedServer()
         scene.watch._former.append(former)  # type: ignore[arg-type]
         line.send(scene.drain_of_the_first)
         await until(lambda: scene.watch._current is not None and scene.watch._current._taking)
@@ -333,6 +333,6 @@
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
         former.unread = False
         await until(lambda: not scene.watch.has_unread_changes)
-        assert b"from=" not in await (await new.accept()).read(b"\r\n\r\n")
+        assert b"from=" not in await (await new.accept()).read_until(b"\r\n\r\n")
 
     play(test)
