--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -21,7 +21,7 @@
 import structlog
 from watchfiles import awatch
 
-from lockspoke.core.core import Core
+from lockspoke.core.endpoint_list import EndpointListListener
 from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate
 
 from . import store
@@ -58,7 +58,6 @@
         wall_ms: Callable[[], int] = lambda: time.time_ns() // 1_000_000,
     ) -> None:
         self.settings, self.zones, self.wall_ms = settings, zones, wall_ms
-        self.core: Core | None = None
         self.reconciler = Reconciler(settings.caution())
         self.reconciler.accept(settings.guard.accept)
         self.snapshot: Snapshot | None = None
@@ -137,6 +136,10 @@
 
     # The core's discovery
 
+    def attach(self, listener: EndpointListListener) -> None:
+        """Report changes of the list to this listener; called once, before `watch`."""
+        self._listener = listener
+
     def watch(self, enable: bool) -> None:
         """Look for changes from now on, or end that; the list as it is is confirmed to the core at once."""
         if not enable:
@@ -151,16 +154,17 @@
         asyncio.get_running_loop().call_soon(self._confirm)
 
     def _confirm(self) -> None:
-        if self.core is not None:
-            self._rev += 1
-            self.core.endpoint_list_changed(ReplicaListUpdate(self._rev, False, ()))
+        self._rev += 1
+        self._listener.endpoint_list_changed(ReplicaListUpdate(self._rev, False, ()))
 
     def zones_changed(self, zones: tuple[str, ...], anew: bool) -> None:
         """The zones that the gateway's settings name; `anew`: the core wants the whole list again."""
         self.zones = zones
-        if anew and self.core is not None:
+        if anew:
             self._rev += 1
-            self.core.endpoint_list_changed(ReplicaListUpdate(self._rev, True, self.reconciler.entries()))
+            self._listener.endpoint_list_changed(
+                ReplicaListUpdate(self._rev, True, self.reconciler.entries())
+            )
         self.look_again()
 
     def reconfigure(self, settings: InventorySettings) -> None:
@@ -337,10 +341,11 @@
         self._fresh = False
 
     def _apply(self, entries: tuple[ListedReplica, ...]) -> None:
-        assert self.core is not None
         self._rev += 1
         for at in range(0, len(entries), BATCH):  # what is taken away stands first
-            self.core.endpoint_list_changed(ReplicaListUpdate(self._rev, False, entries[at : at + BATCH]))
+            self._listener.endpoint_list_changed(
+                ReplicaListUpdate(self._rev, False, entries[at : at + BATCH])
+            )
         log.info("registry_changed", rev=self._rev, whole=False, entries=len(entries))
 
     # Names
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -99,7 +99,7 @@
         self.core = Core(
             config.settings, config.seed, self.replica_set, self.timers, self.transport, self.watch
         )
-        self.watch.core = self.core
+        self.watch.attach(self.core)
         # The listener holds one past its bound while it looks for room; each call needs a replica's place.
         self.clients = ClientFront(
             self.core,
--- a/lockspoke/lifecycle/subsystems.py
+++ b/lockspoke/lifecycle/subsystems.py
@@ -13,6 +13,7 @@
 from typing import Any, Protocol
 
 from lockspoke.core.core import Core
+from lockspoke.core.endpoint_list import EndpointListListener
 from lockspoke.core.replica_set import ReplicaListUpdate
 from lockspoke.wire.clients.front import ClientFront
 
@@ -30,11 +31,13 @@
 class EndpointListSource(Protocol):
     """Where the list of replicas comes from. One feeds the replica set; it is the core's discovery too."""
 
-    core: Core | None  # set before anything is asked of it
     first_poll_finished: (
         bool  # whether it has said, or failed to say, what is newer than the list to begin with
     )
 
+    def attach(self, listener: EndpointListListener) -> None:
+        """Report to this listener; called once, before `initial_list` and `watch`."""
+
     def initial_list(self) -> ReplicaListUpdate | None:
         """The list to begin with, if there is one now; raises ConfigError where none can be had at all."""
 
--- a/lockspoke/wire/discovery/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from lockspoke.core.core import Core
+from lockspoke.core.endpoint_list import EndpointListListener
 from lockspoke.core.replica_set import UNKNOWN_VERSION, ReplicaSet
 from lockspoke.wire.tcp.dialing import Address, Dial, dial
 
@@ -46,13 +46,16 @@
     def __init__(self, endpoint: Address, hold_ms: int = HOLD_MS, dial: Dial = dial) -> None:
         self.endpoint = endpoint
         self.hold_ms = hold_ms
-        self.core: Core | None = None
         self._dial = dial
         self._current: Follower | None = None
         self._former: list[Follower] = []
         self._failing = False
         self.first_poll_finished = False  # whether the first request has ended, in whatever way
 
+    def attach(self, listener: EndpointListListener) -> None:
+        """Report changes of the list to this listener; called once, before `watch`."""
+        self.listener = listener
+
     @property
     def has_unread_changes(self) -> bool:
         """Whether discovery has written what is not in force yet."""
@@ -74,14 +77,13 @@
 
         What the old service has written, or is about to, counts as told, so its last answer is still taken.
         """
-        assert self.core is not None
         log.info("discovery_moved", host=endpoint[0], port=endpoint[1])
         if self._current is not None and self._current.retire():
             self._former.append(self._current)
         self._current = None
         self.endpoint = endpoint
         # Versions are the word of the service that gave them: the first request asks for the whole list.
-        self.core.replica_set.version = UNKNOWN_VERSION
+        self.listener.replica_set.version = UNKNOWN_VERSION
         self.watch(True)
 
     def close(self) -> None:
@@ -107,11 +109,10 @@
     def take(self, follower: Follower, answer: EndpointListResponse) -> None:
         """An answer takes effect; raises ListError if it could not be read as a whole."""
         self.first_poll_finished = True
-        core, update = self.core, answer.update
-        assert core is not None
+        listener, update = self.listener, answer.update
         if follower is not self._current or answer.faults:
             # Its version says nothing about this service's list, or more of this version has to be asked for.
-            update = replace(update, version=core.replica_set.version)
+            update = replace(update, version=listener.replica_set.version)
         if update.entries or update.complete:
             log.info(
                 "registry_changed", rev=update.version, whole=update.complete, entries=len(update.entries)
@@ -119,7 +120,7 @@
         if self._failing and not answer.faults:
             log.info("discovery_back", rev=update.version)
             self._failing = False
-        core.endpoint_list_changed(update, completes_poll=follower is self._current)
+        listener.endpoint_list_changed(update, completes_poll=follower is self._current)
         answer.complete()
 
     def end(self, follower: Follower, reason: str | None) -> None:
@@ -129,9 +130,9 @@
             return
         self._current = None
         self.first_poll_finished = True
-        if reason is not None and self.core is not None:
+        if reason is not None:
             self.doubt(reason)
-            self.core.endpoint_list_failed()
+            self.listener.endpoint_list_failed()
 
     def doubt(self, reason: str) -> None:
         """Discovery does not answer as it should; told once until it does."""
@@ -211,8 +212,7 @@
 
     @property
     def _replicas(self) -> ReplicaSet:
-        assert self._watch.core is not None
-        return self._watch.core.replica_set
+        return self._watch.listener.replica_set
 
     def _believed(self, request: EndpointListRequest, answer: EndpointListResponse) -> bool:
         """Whether an answer can take effect as it is; if not, the whole list is asked for next, at once."""
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -64,7 +64,7 @@
     async with FakeReplica() as worker, SilentDiscovery(silent) as discovery:
         discovery.change(worker)
         one = watch.DiscoveryWatch(("127.0.0.1", discovery.port), hold_ms)
-        one.core = cast(Core, told)
+        one.attach(cast(Core, told))
         one.watch(True)
         await until(lambda: len(told.lists) >= lists or bool(told.failed) or len(discovery.times) > 1)
         if lists > 1:
@@ -112,7 +112,7 @@
             return await dial(endpoint)
 
         one = watch.DiscoveryWatch(peer.endpoint, HOLD_MS, slow_dial)
-        one.core = cast(Core, told)
+        one.attach(cast(Core, told))
         connects.set()
         one.watch(True)
         line = await peer.accept()
@@ -145,7 +145,7 @@
     async def whole() -> None:
         peer, told = ScriptedServer(), Told(1)
         one = watch.DiscoveryWatch(peer.endpoint, HOLD_MS * 100)
-        one.core = cast(Core, told)
+        one.attach(cast(Core, told))
         one.watch(True)
         await test(one, peer, told)
         one.close()
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_play.py
@@ -389,7 +389,7 @@
             hedging_allowed=True,
         )
         self.core = Core(told, seed, ReplicaSet(Identifiers(), ["z"]), timers, workers, self.watch)
-        self.watch.core = self.core
+        self.watch.attach(self.core)
         self.workers = workers
 
     def _written(self, endpoint: Address, data: bytes) -> None:
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -51,7 +51,7 @@
         self.first, self.second, self.discovery = ScriptedServer(), ScriptedServer(), ScriptedServer()
         self.watch = DiscoveryWatch(self.discovery.endpoint, hold_ms)
         self.gateway = Gateway(self.first, self.second, discovery=self.watch, polls_endpoint_list=asks)
-        self.watch.core = self.gateway.core
+        self.watch.attach(self.gateway.core)
 
     @property
     def drain_of_the_first(self) -> bytes:
