--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -346,7 +346,7 @@
             self._listener.endpoint_list_changed(
                 ReplicaListUpdate(self._rev, False, entries[at : at + BATCH])
             )
-        log.info("registry_changed", rev=self._rev, whole=False, entries=len(entries))
+        log.info("endpoint_list_changed", rev=self._rev, complete=False, entries=len(entries))
 
     # Names
 
--- a/lockspoke/lifecycle/config.py
+++ b/lockspoke/lifecycle/config.py
@@ -138,7 +138,7 @@
         # The system's own limit may be lower: past it, accepting would fail and be tried for ever.
         sockets=min(_whole(raw, "limits.sockets", 1024), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
         memory_mb=_whole(raw, "limits.memory_mb", 192),
-        known=None if known is None else read_endpoint_list(known).complete(),
+        known=None if known is None else read_endpoint_list(known).require_complete(),
         settings=decode_settings(json.dumps(settings).encode()),
         classes={name: index for index, name in enumerate(names)},
         tenants={name: index for index, name in enumerate(_names(settings, "tenants"))},
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -64,7 +64,7 @@
         self._config = config
         self.hold_ms = hold_duration_ms(config.settings.gateway_index, config.settings.gateway_count)
         if config.discovery is not None and (moved or needs_complete_list):
-            self.move(config.discovery)
+            self.change_endpoint(config.discovery)
 
 
 class Program:
--- a/lockspoke/wire/discovery/connection.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -12,11 +12,13 @@
 
 from .messages import EndpointListRequest, ResponseReader
 
-GRACE = 0.4  # seconds past its wait for which a watch may stay without an answer, until it counts as silent
-ANSWER_TIME = (
+WATCH_GRACE = (
+    0.4  # seconds past its wait for which a watch may stay without an answer, until it counts as silent
+)
+RESPONSE_TIMEOUT = (
     1.5  # seconds for a request that may not wait, its connection included; and for an answer that comes
 )
-CONNECT_TIME = 1.0  # seconds
+CONNECT_TIMEOUT = 1.0  # seconds
 
 
 class RequestError(Exception):
@@ -27,26 +29,26 @@
     """A watch ended with no answer: nothing shows yet that discovery itself is in trouble."""
 
 
-class DiscoveryLink:
+class DiscoveryConnection:
     """Requests to discovery at one address."""
 
     def __init__(self, endpoint: Address, dial: Dial) -> None:
         self.endpoint = endpoint
         self._dial = dial
         self._connection: ReadAhead | None = None
-        self.awaiting = False  # whether a request is written, and its answer still to come
+        self.awaiting_response = False  # whether a request is written, and its answer still to come
 
     @property
-    def unread(self) -> bool:
+    def has_unread_data(self) -> bool:
         """Whether discovery has written what no answer that was given out holds."""
         return self._connection is not None and self._connection.unread
 
-    async def ask(self, request: EndpointListRequest) -> bytes:
+    async def request(self, request: EndpointListRequest) -> bytes:
         """The body of the answer; raises RequestError, WatchLostError, or ListError for a bad status.
 
         After any of these the connection is closed: what would come on it answers no later request.
         """
-        if self.unread:
+        if self.has_unread_data:
             # Guards against bytes that nobody asked for: each later request would take the answer to the one
             # before it.
             self.close()
@@ -56,38 +58,38 @@
         except (StreamClosedError, TimeoutError, OSError, HttpError) as error:
             self.close()
             reason = f"{type(error).__name__}: {error}"
-            if request.waits or (reused and isinstance(error, StreamClosedError)):
+            if request.is_watch or (reused and isinstance(error, StreamClosedError)):
                 raise WatchLostError(reason) from None
             raise RequestError(reason) from None
         except BaseException:
             self.close()
             raise
         finally:
-            self.awaiting = False
+            self.awaiting_response = False
 
     async def _exchange(self, request: EndpointListRequest) -> bytes:
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + ANSWER_TIME
+        deadline = loop.time() + RESPONSE_TIMEOUT
         if self._connection is None:
-            async with asyncio.timeout(CONNECT_TIME):
+            async with asyncio.timeout(CONNECT_TIMEOUT):
                 self._connection = ReadAhead(await self._dial(self.endpoint))
-        if request.waits:
+        if request.is_watch:
             # From here on: discovery counts its wait from when it has the request.
-            deadline = loop.time() + request.hold_ms / 1000 + GRACE
-        self.awaiting = True
+            deadline = loop.time() + request.hold_ms / 1000 + WATCH_GRACE
+        self.awaiting_response = True
         host = "{}:{}".format(*self.endpoint)
         self._connection.stream.write(encode_request("GET", request.target, {"Host": host}))
-        return await self._answer(self._connection, deadline)
+        return await self._read_response(self._connection, deadline)
 
-    async def _answer(self, connection: ReadAhead, deadline: float) -> bytes:
+    async def _read_response(self, connection: ReadAhead, deadline: float) -> bytes:
         """Read an answer. No read is ever cancelled: bytes that have come as the time ends are taken."""
         loop, reader = asyncio.get_running_loop(), ResponseReader()
         while True:
             await asyncio.wait([connection.pending], timeout=max(0.0, deadline - loop.time()))
             if not connection.unread:
                 raise TimeoutError("discovery is silent")
-            if not reader.begun:
-                deadline = loop.time() + ANSWER_TIME
+            if not reader.started:
+                deadline = loop.time() + RESPONSE_TIMEOUT
             body = reader.feed(await connection.read())
             if body is not None:
                 if not reader.reusable:
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -13,7 +13,7 @@
 from lockspoke.wire.http.http1 import BodyChunk, HttpError, MessageEnd, ResponseHead, ResponseParser
 
 LIST_PATH = "/discovery/hosts"
-LIST_LIMIT = 4 * 1024 * 1024  # bytes
+MAX_LIST_SIZE = 4 * 1024 * 1024  # bytes
 STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.REMOVED}
 
 
@@ -36,7 +36,7 @@
         return f"{LIST_PATH}?from={self.version}&hold_ms={self.hold_ms}"
 
     @property
-    def waits(self) -> bool:
+    def is_watch(self) -> bool:
         """Whether it is a watch: the answer may take as long as nothing changes."""
         return self.version != UNKNOWN_VERSION and self.hold_ms > 0
 
@@ -48,7 +48,7 @@
     update: ReplicaListUpdate
     faults: tuple[str, ...] = ()  # each names an entry's field
 
-    def complete(self) -> ReplicaListUpdate:
+    def require_complete(self) -> ReplicaListUpdate:
         """The update; raises ListError if any of it could not be read."""
         if self.faults:
             raise EndpointListError(self.faults[0])
@@ -59,7 +59,7 @@
     """Reads one answer from its bytes, cut anywhere."""
 
     def __init__(self) -> None:
-        self.begun = False  # whether any byte has come
+        self.started = False  # whether any byte has come
         self.reusable = False  # whether the connection can carry another request, once the answer is whole
         self._parser = ResponseParser()
         self._body = bytearray()
@@ -67,14 +67,14 @@
 
     def feed(self, data: bytes) -> bytes | None:
         """The body once it is whole; raises HttpError, or ListError for a status that brings no list."""
-        self.begun = True
+        self.started = True
         for piece in self._parser.feed(data):
             if isinstance(piece, ResponseHead):
                 self._head = piece
             elif isinstance(piece, BodyChunk):
                 self._body += piece.data
-                if len(self._body) > LIST_LIMIT:
-                    raise HttpError(502, f"a list of more than {LIST_LIMIT} bytes")
+                if len(self._body) > MAX_LIST_SIZE:
+                    raise HttpError(502, f"a list of more than {MAX_LIST_SIZE} bytes")
             elif isinstance(piece, MessageEnd) and self._head is not None:
                 self.reusable = self._head.keep_alive and self._parser.clean
                 if self._head.status != 200:
@@ -110,10 +110,10 @@
     unread: set[str] = set()
     for at, target in enumerate(targets):
         try:
-            entries.append(_entry(target, at))
+            entries.append(_decode_entry(target, at))
         except EndpointListError as error:
             faults.append(str(error))
-            uid = _uid(target)
+            uid = _entry_uid(target)
             if uid is None:
                 whole = False
             elif (
@@ -125,70 +125,70 @@
             else:
                 unread.add(uid)
     if whole:
-        entries, twice = _without_contradictions(entries)
+        entries, twice = _without_duplicates(entries)
         faults += [f"targets: uid {uid!r} is listed twice; name each replica once" for uid in twice]
         unread.update(twice)
     update = ReplicaListUpdate(version, whole, tuple(entries), frozenset(unread))
     return EndpointListResponse(update, tuple(faults))
 
 
-def out_of_use_only(update: ReplicaListUpdate) -> ReplicaListUpdate:
+def without_ready_replicas(update: ReplicaListUpdate) -> ReplicaListUpdate:
     """The part of an update that can lead to no send: drains and removals that it names."""
     entries = tuple(entry for entry in update.entries if entry.state != ReplicaState.READY)
     return replace(update, version=UNKNOWN_VERSION, complete=False, entries=entries)
 
 
-def _without_contradictions(entries: list[ListedReplica]) -> tuple[list[ListedReplica], list[str]]:
+def _without_duplicates(entries: list[ListedReplica]) -> tuple[list[ListedReplica], list[str]]:
     """A whole list's entries, and the uids named twice: of these only what takes them out of use is kept."""
     twice = [uid for uid, count in Counter(entry.uid for entry in entries).items() if count > 1]
     return [entry for entry in entries if entry.uid not in twice or entry.state != ReplicaState.READY], twice
 
 
-def _number(target: dict[str, Any], name: str, default: float, at: int) -> float:
+def _number_field(target: dict[str, Any], name: str, default: float, at: int) -> float:
     value = target.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
         raise EndpointListError(f"targets[{at}].{name} is {value!r}")
     return value
 
 
-def _text(target: dict[str, Any], name: str, at: int) -> str:
+def _text_field(target: dict[str, Any], name: str, at: int) -> str:
     value = target.get(name)
     if not isinstance(value, str) or not value:
         raise EndpointListError(f"targets[{at}].{name} is {value!r}")
     return value
 
 
-def decode_address(text: str, lowest: int = 1) -> tuple[str, int]:
+def decode_address(text: str, min_port: int = 1) -> tuple[str, int]:
     """A host and a port, written with a colon between them."""
     host, _, port = text.rpartition(":")
-    if not host or not (port.isascii() and port.isdigit() and lowest <= int(port) < 65536):
+    if not host or not (port.isascii() and port.isdigit() and min_port <= int(port) < 65536):
         raise EndpointListError(f"{text!r} is not host:port")
     return host.strip("[]"), int(port)
 
 
-def _uid(target: Any) -> str | None:
+def _entry_uid(target: Any) -> str | None:
     """The replica that an entry names, whatever else of it can't be read."""
     uid = target.get("uid") if isinstance(target, dict) else None
     return uid if isinstance(uid, str) and uid else None
 
 
-def _entry(target: Any, at: int) -> ListedReplica:
+def _decode_entry(target: Any, at: int) -> ListedReplica:
     if not isinstance(target, dict):
         raise EndpointListError(f"targets[{at}] is {target!r}")
-    uid, named = _text(target, "uid", at), _text(target, "state", at)
+    uid, named = _text_field(target, "uid", at), _text_field(target, "state", at)
     state = STATES.get(named)
     if state is None:
         raise EndpointListError(f"targets[{at}].state is {named!r}; it can be {', '.join(STATES)}")
     # An entry that is gone may have lost its address; every other must have one.
-    endpoint = None if state is ReplicaState.REMOVED else decode_address(_text(target, "endpoint", at))
+    endpoint = None if state is ReplicaState.REMOVED else decode_address(_text_field(target, "endpoint", at))
     zone, kind = target.get("az", ""), target.get("model", "")
     return ListedReplica(
         uid=uid,
         state=state,
         endpoint=endpoint,
         zone=zone if isinstance(zone, str) else "",
-        cell=int(_number(target, "pod_group", 0, at)),
-        weight=float(_number(target, "capacity_hint", 1.0, at)),
-        boot_ms=int(_number(target, "boot_ms", 0, at)),
+        cell=int(_number_field(target, "pod_group", 0, at)),
+        weight=float(_number_field(target, "capacity_hint", 1.0, at)),
+        boot_ms=int(_number_field(target, "boot_ms", 0, at)),
         machine_kind=kind if isinstance(kind, str) else "",
     )
--- a/lockspoke/wire/replicas/keepalive.py
+++ b/lockspoke/wire/replicas/keepalive.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-SHORTEST = 0.25  # seconds a connection may stand idle, however soon replicas want it back
-BACK = 10.0  # seconds without a refusal after which connections are kept twice as long again
+MIN_IDLE_TIMEOUT = 0.25  # seconds a connection may stand idle, however soon replicas want it back
+RECOVERY_INTERVAL = 10.0  # seconds without a refusal after which connections are kept twice as long again
 
 
 class KeepAlive:
@@ -14,21 +14,24 @@
     long: a handshake costs less than an answer.
     """
 
-    def __init__(self, longest: float) -> None:
-        self.longest = longest  # seconds, as far as the settings allow
-        self._doublings = 0.0  # by how many halves the time was cut when it was cut last
+    def __init__(self, max_idle_timeout: float) -> None:
+        self.max_idle_timeout = max_idle_timeout  # seconds, as far as the settings allow
+        self._halvings = 0.0  # by how many halves the time was cut when it was cut last
         self._cut_at = 0.0
 
-    def _missing(self, now: float) -> float:
-        return max(0.0, self._doublings - (now - self._cut_at) / BACK)
+    def _halvings_at(self, now: float) -> float:
+        return max(0.0, self._halvings - (now - self._cut_at) / RECOVERY_INTERVAL)
 
-    def limit(self, now: float) -> float:
+    def idle_timeout(self, now: float) -> float:
         """Seconds that a connection may stand idle; `now` in seconds of a steady clock."""
-        return max(min(SHORTEST, self.longest), self.longest / float(2.0 ** self._missing(now)))
+        return max(
+            min(MIN_IDLE_TIMEOUT, self.max_idle_timeout),
+            self.max_idle_timeout / float(2.0 ** self._halvings_at(now)),
+        )
 
-    def turned_away(self, now: float) -> None:
+    def connection_rejected(self, now: float) -> None:
         """A replica has not taken a new connection, or no call over it."""
-        if self._doublings and now - self._cut_at < SHORTEST:
+        if self._halvings and now - self._cut_at < MIN_IDLE_TIMEOUT:
             return  # guards against one moment's refusals, all of one cause, each counting as a sign
-        cut = 1.0 if self.limit(now) > SHORTEST else 0.0
-        self._doublings, self._cut_at = self._missing(now) + cut, now
+        cut = 1.0 if self.idle_timeout(now) > MIN_IDLE_TIMEOUT else 0.0
+        self._halvings, self._cut_at = self._halvings_at(now) + cut, now
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -27,11 +27,11 @@
 from lockspoke.wire.tcp.dialing import Dial, dial
 from lockspoke.wire.tcp.read_ahead import ReadAhead
 
-from .keepalive import SHORTEST, KeepAlive
+from .keepalive import MIN_IDLE_TIMEOUT, KeepAlive
 
-OPENING = 1.0  # seconds from an answer's first byte to its first event: both come with the first token
-SETTLE = 0.01  # seconds in which what a replica sends behind an answer shows, before the connection is reused
-IDLE_SHARE = 0.8  # of the time after which a replica closes an idle connection: ours closes before
+FIRST_EVENT_TIMEOUT = 1.0  # seconds from an answer's first byte to its first event: both come with the first token
+SETTLE_TIME = 0.01  # seconds in which what a replica sends behind an answer shows, before the connection is reused
+IDLE_TIMEOUT_SHARE = 0.8  # of the time after which a replica closes an idle connection: ours closes before
 
 log = structlog.get_logger()
 
@@ -62,13 +62,13 @@
         self.replica = replica
         self.endpoint = replica.endpoint
         self.idle_since = 0.0
-        self.stood = 0.0  # how long it had stood idle when it was taken for an attempt
-        self.answering = False  # whether a byte of the present answer has come
+        self.idle_duration = 0.0  # how long it had stood idle when it was taken for an attempt
+        self.response_started = False  # whether a byte of the present answer has come
 
     async def read(self) -> bytes:
         """The next bytes."""
         data = await super().read()
-        self.answering = True
+        self.response_started = True
         return data
 
 
@@ -80,12 +80,12 @@
         load_names: Sequence[str],
         connect_timeout: int,
         keepalive: int,
-        most: int,
+        max_connections: int,
         now: Callable[[], int],
         dial: Dial = dial,
     ) -> None:
         self.dial = dial
-        self.reconfigure(load_names, connect_timeout, keepalive, most)
+        self.reconfigure(load_names, connect_timeout, keepalive, max_connections)
         self.now = now
         self.open_connections = 0
         self.malformed_responses = 0  # answers that could not be read
@@ -94,12 +94,12 @@
         self.tasks: dict[Attempt, asyncio.Task[None]] = {}
         self.exchanges: dict[Attempt, ReplicaConnection] = {}  # the connections on which answers are awaited
 
-    def reconfigure(self, load_names: Sequence[str], connect_timeout: int, keepalive: int, most: int) -> None:
+    def reconfigure(self, load_names: Sequence[str], connect_timeout: int, keepalive: int, max_connections: int) -> None:
         """New figures from now on; connections past a lower bound go as they fall idle."""
         self.load_names = load_names
         self.connect_timeout = connect_timeout / 1e9
-        self.keep_alive = KeepAlive(IDLE_SHARE * keepalive / 1e9)
-        self.max_connections = most
+        self.keep_alive = KeepAlive(IDLE_TIMEOUT_SHARE * keepalive / 1e9)
+        self.max_connections = max_connections
 
     # What the core asks for
 
@@ -130,7 +130,7 @@
     def run_periodic_checks(self) -> None:
         """Close what has stood idle for long: the replica would, and a request written then is lost."""
         now = asyncio.get_running_loop().time()
-        kept = self.keep_alive.limit(now)
+        kept = self.keep_alive.idle_timeout(now)
         for number, connections in list(self.idle.items()):
             oldest = now - min(kept, self.limits.get(number, kept))
             while connections and connections[0].idle_since <= oldest:
@@ -144,7 +144,7 @@
         connection = None
         try:
             connection = await self._acquire(attempt.replica)
-            attempt.connection_reused = connection.stood > 0.0
+            attempt.connection_reused = connection.idle_duration > 0.0
             while (clearance := attempt.permission_to_send()) is SendPermission.CHECK_AGAIN:
                 await asyncio.sleep(0)
             if clearance is SendPermission.ENDED:
@@ -154,11 +154,11 @@
             self.exchanges[attempt] = connection
             answer = await self._exchange(connection, attempt)
             if answer.outcome is Outcome.OVERLOADED and not attempt.connection_reused:
-                self.keep_alive.turned_away(asyncio.get_running_loop().time())
+                self.keep_alive.connection_rejected(asyncio.get_running_loop().time())
             if answer.reusable:
                 self._release(connection)
                 connection = None
-            elif answer.outcome is Outcome.RESET and not connection.answering:
+            elif answer.outcome is Outcome.RESET and not connection.response_started:
                 self._was_stale(connection)
             attempt.end(
                 answer.outcome, answer.cached_tokens, decode_load_report(answer.load, self.load_names)
@@ -167,12 +167,12 @@
             if connection is not None:
                 self._was_stale(connection)
             else:
-                self.keep_alive.turned_away(asyncio.get_running_loop().time())
+                self.keep_alive.connection_rejected(asyncio.get_running_loop().time())
             attempt.end(Outcome.CONNECT_FAILED)
         except ConnectionLimitError:
             attempt.end(Outcome.NEVER_SENT)
         except Exception:
-            log.exception("attempt_failed", worker=attempt.replica.uid)
+            log.exception("attempt_failed", replica=attempt.replica.uid)
             attempt.end(Outcome.RESET)
         finally:
             self.exchanges.pop(attempt, None)
@@ -202,7 +202,7 @@
                 while True:
                     received = await connection.read()
                     if opening.when() is None and not attempt.streaming:
-                        opening.reschedule(loop.time() + OPENING)
+                        opening.reschedule(loop.time() + FIRST_EVENT_TIMEOUT)
                     data, whole = b"", False
                     for piece in parser.feed(received):
                         if isinstance(piece, ResponseHead):
@@ -237,12 +237,12 @@
     async def _acquire(self, replica: Replica) -> ReplicaConnection:
         self.run_periodic_checks()
         connections = self.idle.get(replica.number, deque())
-        settled = asyncio.get_running_loop().time() - SETTLE
+        settled = asyncio.get_running_loop().time() - SETTLE_TIME
         for connection in [one for one in reversed(connections) if one.idle_since <= settled]:
             connections.remove(connection)
             if not connection.unread:
-                connection.stood = asyncio.get_running_loop().time() - connection.idle_since
-                connection.answering = False
+                connection.idle_duration = asyncio.get_running_loop().time() - connection.idle_since
+                connection.response_started = False
                 return connection
             self._close(connection)
         if self.open_connections >= self.max_connections:
@@ -265,11 +265,11 @@
         Its others are as old or older, and later ones are kept for half as long as this one stood.
         """
         replica = connection.replica
-        if connection.stood <= 0.0 or replica.state == ReplicaState.REMOVED:
+        if connection.idle_duration <= 0.0 or replica.state == ReplicaState.REMOVED:
             return
         self.close_idle_connections(replica)
-        limit = self.limits.get(replica.number, self.keep_alive.longest)
-        self.limits[replica.number] = max(SHORTEST, min(limit, connection.stood / 2))
+        limit = self.limits.get(replica.number, self.keep_alive.max_idle_timeout)
+        self.limits[replica.number] = max(MIN_IDLE_TIMEOUT, min(limit, connection.idle_duration / 2))
 
     def _make_room(self) -> None:
         """Close the connection idle for longest, whichever replica's; the descriptors are bounded."""
--- a/tests/golden/log_names.py
+++ b/tests/golden/log_names.py
@@ -9,8 +9,19 @@
 
 from typing import Any
 
-EVENTS: dict[str, str] = {}  # by event at the recording, its name now
+# By event at the recording, its name now.
+EVENTS: dict[str, str] = {
+    "registry_changed": "endpoint_list_changed",
+    "discovery_back": "discovery_recovered",
+    "discovery_silent": "discovery_watch_lost",
+    "discovery_went_back": "discovery_version_regressed",
+}
 FIELDS: dict[str, str] = {}  # by field at the recording, its name now
+# By event and field at the recording, the name now of a field that is called otherwise elsewhere.
+FIELDS_OF_EVENTS: dict[tuple[str, str], str] = {
+    ("registry_changed", "whole"): "complete",
+    ("discovery_went_back", "asked"): "requested_version",
+}
 VALUES: dict[tuple[str, str], str] = {}  # by field and word at the recording, the word now
 
 
@@ -31,6 +42,10 @@
 
 def line_now(line: dict[str, Any]) -> dict[str, Any]:
     """A log line of the recording, with its names as they are now."""
-    renamed = {field_now(field): value_now(field, value) for field, value in line.items()}
+    event = line["event"]
+    renamed = {
+        FIELDS_OF_EVENTS.get((event, field), field_now(field)): value_now(field, value)
+        for field, value in line.items()
+    }
     assert len(renamed) == len(line), "two fields have one name now"
-    return renamed | {"event": event_now(line["event"])}
+    return renamed | {"event": event_now(event)}
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -29,11 +29,11 @@
 
 
 def all_begin_anew(gateway: Gateway) -> None:
-    gateway.core.endpoint_list_changed(decode_endpoint_list(listed(10**12)).complete())
+    gateway.core.endpoint_list_changed(decode_endpoint_list(listed(10**12)).require_complete())
 
 
 def all_go(gateway: Gateway) -> None:
-    gateway.core.endpoint_list_changed(decode_endpoint_list(listed(0)).complete())
+    gateway.core.endpoint_list_changed(decode_endpoint_list(listed(0)).require_complete())
     gateway.update_replicas(*(ListedReplica(f"s-{n}", ReplicaState.REMOVED, None) for n in range(WORKERS)))
 
 
@@ -48,7 +48,7 @@
 def test_housekeeping_is_done_within_the_time_an_event_may_be_held(work: Callable[[Gateway], None]) -> None:
     async def whole() -> float:
         async with Gateway(ScriptedServer()) as gateway:
-            gateway.core.endpoint_list_changed(decode_endpoint_list(listed(0)).complete())
+            gateway.core.endpoint_list_changed(decode_endpoint_list(listed(0)).require_complete())
             began = time.process_time()
             work(gateway)
             return time.process_time() - began
--- a/tests/lifecycle/test_program.py
+++ b/tests/lifecycle/test_program.py
@@ -249,7 +249,7 @@
             assert (await client.request(request_bytes(1)))[0] == 200  # the old list holds
             assert len(old.seen) == 1
             discovery.change(new)
-            await until(lambda: program.log("registry_changed") is not None)
+            await until(lambda: program.log("endpoint_list_changed") is not None)
             await until(lambda: f"from={discovery.rev}&" in discovery.seen[-1].head.query)
             assert (await client.request(request_bytes(2)))[0] == 200
             assert len(new.seen) == 1 and len(old.seen) == 1
@@ -266,7 +266,7 @@
             async with Program(worker, discovery=discovery) as program, Client(program.port) as client:
                 await until(lambda now=program: now.log("discovery_failing") is not None)
                 assert (await client.request(request_bytes(1)))[0] == 200
-                await until(lambda now=program: now.log("discovery_back") is not None)
+                await until(lambda now=program: now.log("discovery_recovered") is not None)
                 assert (await client.request(request_bytes(2)))[0] == 200
 
 
@@ -278,7 +278,7 @@
             discovery.rev = 9
             discovery.targets = [target(worker), target(worker, "draining")] if twice else []
             async with Program(worker, discovery=discovery) as program, Client(program.port) as client:
-                await until(lambda now=program: now.log("registry_changed") is not None)
+                await until(lambda now=program: now.log("endpoint_list_changed") is not None)
                 assert (await client.request(request_bytes(1, deadline=300)))[0] != 200
             assert not worker.seen
 
@@ -533,13 +533,13 @@
     async with FakeReplica() as old, FakeReplica() as new, HangingUpDiscovery() as discovery:
         discovery.change(old)
         async with Program(old, discovery=discovery, sockets=120) as program:
-            await until(lambda: program.log("registry_changed") is not None)
+            await until(lambda: program.log("endpoint_list_changed") is not None)
             discovery.go_down()
             await until(lambda: program.log("discovery_failing") is not None)
             idle = [socket.create_connection(("127.0.0.1", program.port)) for _ in range(300)]
             discovery.down = False
             discovery.change(new)
-            await until(lambda: program.log("discovery_back") is not None)
+            await until(lambda: program.log("discovery_recovered") is not None)
             async with Client(program.port) as client:
                 assert (await client.request(request_bytes(1)))[0] == 200
             assert (len(old.seen), len(new.seen)) == (0, 1)
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -11,7 +11,7 @@
 
 from lockspoke.core.core import Core
 from lockspoke.core.replica_set import UNKNOWN_VERSION
-from lockspoke.wire.discovery import connection as discovery_link
+from lockspoke.wire.discovery import connection as discovery_connection
 from lockspoke.wire.discovery import watch
 from lockspoke.wire.http.http1 import Request
 from lockspoke.wire.tcp.dialing import dial
@@ -94,7 +94,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It may not wait, and 6 s after it fell silent it counts as told: it was given as long as a watch."""
-    monkeypatch.setattr(discovery_link, "ANSWER_TIME", 0.2)
+    monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.2)
     told = Told(-1)
     asyncio.run(watched({1}, told, hold_ms=60_000))
     assert told.failed == 1 and not told.lists
@@ -102,7 +102,7 @@
 
 def test_the_time_that_a_connection_takes_is_not_taken_from_the_wait(monkeypatch: pytest.MonkeyPatch) -> None:
     """A watch was given up as silent before its wait was over, or counted as failed."""
-    monkeypatch.setattr(discovery_link, "CONNECT_TIME", 20.0)
+    monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 20.0)
 
     async def whole() -> None:
         peer, told, connects = ScriptedServer(), Told(1), asyncio.Event()
@@ -121,7 +121,7 @@
         line.send(listed(2, b"Connection: close\r\n"))
         await until(lambda: len(told.lists) == 1)
         loop = asyncio.get_running_loop()
-        late = loop.time() + HOLD_MS / 1000 + discovery_link.GRACE + 0.1
+        late = loop.time() + HOLD_MS / 1000 + discovery_connection.WATCH_GRACE + 0.1
         await until(lambda: loop.time() > late)
         connects.set()
         line = await peer.accept()
@@ -181,7 +181,7 @@
         old, new = await peer.accept(), ScriptedServer()
         await old.read_until(b"from=1&")
         old.send(listed(70))
-        one.move(new.endpoint)
+        one.change_endpoint(new.endpoint)
         line = await new.accept()
         assert b"from=" not in await line.read_until(b"\r\n\r\n")
         line.send(listed(4))
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_play.py
@@ -24,7 +24,7 @@
 from lockspoke.core.identifiers import Identifiers
 from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate, ReplicaSet
 from lockspoke.core.requests import ClientRequest
-from lockspoke.wire.discovery.connection import GRACE as WATCH_GRACE
+from lockspoke.wire.discovery.connection import WATCH_GRACE
 from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
 from lockspoke.wire.http.http1 import Request, RequestAssembler
 from lockspoke.wire.replicas.transport import ReplicaTransport
@@ -378,7 +378,7 @@
         self.replicas = Replicas(self.random, network)
         index = self.random.randrange(gateways)
         self.watch = DiscoveryWatch(HOMES[0], hold_duration_ms(index, gateways), network.dial)
-        self.discovery.on_move = partial(self.watch.move, HOMES[1])
+        self.discovery.on_move = partial(self.watch.change_endpoint, HOMES[1])
         workers = ReplicaTransport((), SECOND, 10 * SECOND, 64, timers.now, network.dial)
         told = settings(
             classes=(RequestClass(),),
@@ -418,7 +418,7 @@
         for at, uid, state in day.changes:
             events.append((at, partial(discovery.change, uid, state)))
         for at in day.moves:
-            events.append((at, partial(self.watch.move, HOMES[1])))
+            events.append((at, partial(self.watch.change_endpoint, HOMES[1])))
         for at, span in day.holds:
             events.append((at, partial(self.loop.pass_time, span)))
         for begin, end, uid in day.bans:
--- a/tests/wire/operators/test_front.py
+++ b/tests/wire/operators/test_front.py
@@ -71,9 +71,9 @@
         assert before and len(two.seen)
         await served(program, 100)
         discovery.change(two)  # the list drops the banned worker, then names it anew
-        await until(lambda: program.log("registry_changed", rev=discovery.rev) is not None)
+        await until(lambda: program.log("endpoint_list_changed", rev=discovery.rev) is not None)
         discovery.change(one, two)
-        await until(lambda: program.log("registry_changed", rev=discovery.rev) is not None)
+        await until(lambda: program.log("endpoint_list_changed", rev=discovery.rev) is not None)
         await served(program, 200)
         assert len(one.seen) == before, "nothing new goes there"
         assert await operate(program, f"{uid}/online") == 200
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -11,8 +11,8 @@
 from lockspoke.core.requests import Attempt, ClientRequest, SendPermission
 from lockspoke.units import MILLISECOND as MS
 from lockspoke.wire.clients.front import StreamingResponse
-from lockspoke.wire.replicas.keepalive import BACK, SHORTEST, KeepAlive
-from lockspoke.wire.replicas.transport import SETTLE, ReplicaTransport
+from lockspoke.wire.replicas.keepalive import MIN_IDLE_TIMEOUT, RECOVERY_INTERVAL, KeepAlive
+from lockspoke.wire.replicas.transport import SETTLE_TIME, ReplicaTransport
 from tests.standins import until
 
 START = 5_000_000.0  # a machine that has been up for long
@@ -20,28 +20,28 @@
 
 def test_refusals_of_new_connections_cut_the_time_and_quiet_brings_it_back() -> None:
     keep_alive = KeepAlive(8.0)
-    assert keep_alive.limit(START) == 8.0
-    keep_alive.turned_away(START)
-    assert keep_alive.limit(START) == 4.0
-    keep_alive.turned_away(START + SHORTEST / 2)
-    assert keep_alive.limit(START) == 4.0, "one moment's refusals are one sign"
-    keep_alive.turned_away(START + BACK / 2)
-    assert 2.0 < keep_alive.limit(START + BACK / 2) < 4.0
-    assert keep_alive.limit(START + 3 * BACK) == 8.0
+    assert keep_alive.idle_timeout(START) == 8.0
+    keep_alive.connection_rejected(START)
+    assert keep_alive.idle_timeout(START) == 4.0
+    keep_alive.connection_rejected(START + MIN_IDLE_TIMEOUT / 2)
+    assert keep_alive.idle_timeout(START) == 4.0, "one moment's refusals are one sign"
+    keep_alive.connection_rejected(START + RECOVERY_INTERVAL / 2)
+    assert 2.0 < keep_alive.idle_timeout(START + RECOVERY_INTERVAL / 2) < 4.0
+    assert keep_alive.idle_timeout(START + 3 * RECOVERY_INTERVAL) == 8.0
 
 
 def test_the_time_has_a_bound_below_from_which_it_comes_back_as_soon() -> None:
     keep_alive = KeepAlive(8.0)
     for step in range(1000):
-        keep_alive.turned_away(START + step)
-    assert keep_alive.limit(START + 1000) < 2 * SHORTEST
-    assert keep_alive.limit(START + 1000 + 6 * BACK) == 8.0
+        keep_alive.connection_rejected(START + step)
+    assert keep_alive.idle_timeout(START + 1000) < 2 * MIN_IDLE_TIMEOUT
+    assert keep_alive.idle_timeout(START + 1000 + 6 * RECOVERY_INTERVAL) == 8.0
 
 
 def test_settings_that_allow_less_than_the_bound_are_kept() -> None:
     keep_alive = KeepAlive(0.1)
-    keep_alive.turned_away(START)
-    assert keep_alive.limit(START) == 0.1 and KeepAlive(0.0).limit(START) == 0.0
+    keep_alive.connection_rejected(START)
+    assert keep_alive.idle_timeout(START) == 0.1 and KeepAlive(0.0).idle_timeout(START) == 0.0
 
 
 class Told:
@@ -97,11 +97,11 @@
             first, second = (Replica(n, str(n), ("127.0.0.1", port), ReplicaState.READY, 0) for n in (1, 2))
             assert await ask("/", first) is Outcome.OK
             idle = connections.idle[1][0]
-            await until(lambda: loop.time() > idle.idle_since + SETTLE)
+            await until(lambda: loop.time() > idle.idle_since + SETTLE_TIME)
             assert await ask("/full", first) is Outcome.OVERLOADED
-            assert connections.keep_alive.limit(loop.time()) == 8.0, "a kept connection had its place"
+            assert connections.keep_alive.idle_timeout(loop.time()) == 8.0, "a kept connection had its place"
             assert await ask("/full", second) is Outcome.OVERLOADED
-            assert connections.keep_alive.limit(loop.time()) < 5.0
+            assert connections.keep_alive.idle_timeout(loop.time()) < 5.0
         finally:
             connections.close()
             server.close()
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -18,11 +18,11 @@
 
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.wire.clients.front import ClientConnection
-from lockspoke.wire.discovery import connection as discovery_link
-from lockspoke.wire.discovery.connection import GRACE
-from lockspoke.wire.discovery.messages import LIST_LIMIT
-from lockspoke.wire.discovery.watch import NOTHING_NEW_PAUSE, DiscoveryWatch
-from lockspoke.wire.replicas.transport import SETTLE
+from lockspoke.wire.discovery import connection as discovery_connection
+from lockspoke.wire.discovery.connection import WATCH_GRACE
+from lockspoke.wire.discovery.messages import MAX_LIST_SIZE
+from lockspoke.wire.discovery.watch import UNCHANGED_PAUSE, DiscoveryWatch
+from lockspoke.wire.replicas.transport import SETTLE_TIME
 from tests.peers import Gateway, RawConnection, ScriptedServer
 from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk, request_bytes, until
 
@@ -97,7 +97,7 @@
             await line.read_until(b"{}")
             line.send(ANSWER)
             await client.read_until(b"0\r\n\r\n")
-            settled = loop.time() + 2 * SETTLE
+            settled = loop.time() + 2 * SETTLE_TIME
             await until(lambda until_then=settled: loop.time() > until_then)  # type: ignore[misc]
         return lines
 
@@ -148,7 +148,7 @@
 
     async def test(scene: Scene) -> None:
         line = await scene.watching()
-        held = asyncio.get_running_loop().time() + SHORT_HOLD_MS / 1000 + GRACE + 0.05
+        held = asyncio.get_running_loop().time() + SHORT_HOLD_MS / 1000 + WATCH_GRACE + 0.05
         while asyncio.get_running_loop().time() < held - 0.1:
             await asyncio.sleep(0.01)
         line.send(scene.drain_of_the_first)
@@ -165,7 +165,7 @@
     async def test(scene: Scene) -> None:
         line, slow = await scene.watching(), ScriptedServer()
         line.send(scene.drain_of_the_first)
-        scene.watch.move(slow.endpoint)
+        scene.watch.change_endpoint(slow.endpoint)
         taken = await slow.accept()
         assert b"from=" not in await taken.read_until(b"\r\n\r\n"), "versions are each service's own"
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
@@ -179,7 +179,7 @@
         line, slow = await scene.watching(), ScriptedServer()
         half = len(scene.drain_of_the_first) // 2
         line.send(scene.drain_of_the_first[:half])
-        scene.watch.move(slow.endpoint)
+        scene.watch.change_endpoint(slow.endpoint)
         await (await slow.accept()).read_until(b"\r\n\r\n")
         line.send(scene.drain_of_the_first[half:])
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
@@ -236,8 +236,8 @@
     "no HTTP": b"{}" * 20_000,
     "an endless head": b"HTTP/1.1 200 OK\r\n" + b"X-Filler: " + b"x" * 70_000,
     "a length that is none": b"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
-    "a list too long": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (LIST_LIMIT + 1)
-    + b" " * (LIST_LIMIT + 1),
+    "a list too long": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_LIST_SIZE + 1)
+    + b" " * (MAX_LIST_SIZE + 1),
     "a refusal": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 }
 
@@ -265,7 +265,7 @@
 
 def test_an_answer_that_does_not_end_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """It came a byte at a time for as long as its sender pleased."""
-    monkeypatch.setattr(discovery_link, "ANSWER_TIME", 0.3)
+    monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.3)
 
     async def test(scene: Scene) -> None:
         line = await scene.watching()
@@ -287,7 +287,7 @@
         for _ in range(4):
             line.send(answer(1))
             await line.read_until(b"from=1&hold_ms=%d" % HOLD_MS)
-        assert loop.time() - began >= 4 * NOTHING_NEW_PAUSE
+        assert loop.time() - began >= 4 * UNCHANGED_PAUSE
         line.send(scene.drain_of_the_first)
         await line.read_until(b"from=2&")
 
@@ -299,7 +299,7 @@
 
     async def test(scene: Scene) -> None:
         line, new = await scene.watching(), ScriptedServer()
-        scene.watch.move(new.endpoint)
+        scene.watch.change_endpoint(new.endpoint)
         refusing = await new.accept()
         await refusing.read_until(b"\r\n\r\n")
         refusing.send(BAD_ANSWERS["a refusal"])
@@ -315,7 +315,7 @@
 class Unfinished:
     """A former service whose last word is on its way for as long as the test pleases."""
 
-    unread = True
+    has_unread_changes = True
 
     def close(self) -> None:
         """Nothing is open."""
@@ -326,12 +326,14 @@
 
     async def test(scene: Scene) -> None:
         line, former, new = await scene.watching(), Unfinished(), ScriptedServer()
-        scene.watch._former.append(former)  # type: ignore[arg-type]
+        scene.watch._former_followers.append(former)  # type: ignore[arg-type]
         line.send(scene.drain_of_the_first)
-        await until(lambda: scene.watch._current is not None and scene.watch._current._taking)
-        scene.watch.move(new.endpoint)
+        await until(
+            lambda: scene.watch._current_follower is not None and scene.watch._current_follower._applying
+        )
+        scene.watch.change_endpoint(new.endpoint)
         await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
-        former.unread = False
+        former.has_unread_changes = False
         await until(lambda: not scene.watch.has_unread_changes)
         assert b"from=" not in await (await new.accept()).read_until(b"\r\n\r\n")
 
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -164,7 +164,7 @@
     replica.send(ANSWER)
     await client.read_until(chunk(b""))
     (idle,) = gateway.transport.idle[next(iter(gateway.replica_set.replicas))]
-    await until(lambda: asyncio.get_running_loop().time() > idle.idle_since + replica_side.SETTLE)
+    await until(lambda: asyncio.get_running_loop().time() > idle.idle_since + replica_side.SETTLE_TIME)
     return client, replica
 
 
