--- /dev/null
+++ b/lockspoke/wire/replicas/connection.py
@@ -0,0 +1,42 @@
+"""One connection to a replica."""
+
+from __future__ import annotations
+
+from tornado.iostream import IOStream
+
+from lockspoke.balancing.events import ReplicaState
+from lockspoke.core.replica_set import Replica
+from lockspoke.wire.tcp.read_ahead import ReadAhead
+
+
+class ReplicaConnection(ReadAhead):
+    """A connection to one replica, used by one attempt at a time."""
+
+    def __init__(self, replica: Replica, stream: IOStream) -> None:
+        super().__init__(stream)
+        self.replica = replica
+        self.endpoint = replica.endpoint
+        self.idle_since = 0.0  # seconds of the event loop's clock
+        self.idle_duration = 0.0  # seconds it was idle before the current attempt; 0: a new connection
+        self.response_started = False  # whether a byte of the current response has been read
+
+    @property
+    def reused(self) -> bool:
+        """Whether it has been idle, so that the replica may have closed it meanwhile."""
+        return self.idle_duration > 0.0
+
+    @property
+    def reusable(self) -> bool:
+        """Whether its replica is still in use at the same address, and the connection is open and idle."""
+        return (
+            self.replica.state == ReplicaState.READY
+            and self.replica.endpoint == self.endpoint
+            and not self.pending.done()
+            and not self.stream.closed()
+        )
+
+    async def read(self) -> bytes:
+        """The next bytes; raises StreamClosedError at the end."""
+        data = await super().read()
+        self.response_started = True
+        return data
--- /dev/null
+++ b/lockspoke/wire/replicas/connection_pool.py
@@ -0,0 +1,147 @@
+"""The pool of connections to all replicas, within the bound on file descriptors."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+
+from tornado.iostream import StreamClosedError
+
+from lockspoke.balancing.events import ReplicaState
+from lockspoke.core.replica_set import Replica
+from lockspoke.wire.tcp.dialing import Dial
+
+from .connection import ReplicaConnection
+from .errors import ConnectError, ConnectionLimitError
+from .keepalive import MIN_IDLE_TIMEOUT, KeepAlive
+
+SETTLE_TIME = 0.01  # seconds before reuse, in which unexpected bytes after a response would arrive
+IDLE_TIMEOUT_SHARE = 0.8  # of the replicas' idle timeout: the gateway closes a connection before they do
+
+
+class ConnectionPool:
+    """Opens connections to replicas and keeps them idle between attempts.
+
+    Each connection that `acquire` returns is given back by one call of `release` or `close`.
+    """
+
+    def __init__(self, connect_timeout: int, keepalive: int, max_connections: int, dial: Dial) -> None:
+        self.open_connections = 0
+        self.idle: dict[int, deque[ReplicaConnection]] = {}  # by replica number, the last used at the right
+        # By replica number, in seconds: the idle timeout of replicas that close connections early.
+        self._learned_idle_timeouts: dict[int, float] = {}
+        self._dial = dial
+        self.reconfigure(connect_timeout, keepalive, max_connections)
+
+    def reconfigure(self, connect_timeout: int, keepalive: int, max_connections: int) -> None:
+        """Apply new settings; connections above a lower bound are closed as they become idle.
+
+        Args:
+            connect_timeout: nanoseconds until a connection must be established.
+            keepalive: nanoseconds after which replicas close an idle connection.
+            max_connections: bound on open connections to all replicas.
+        """
+        self._connect_timeout = connect_timeout / 1e9
+        self.keep_alive = KeepAlive(IDLE_TIMEOUT_SHARE * keepalive / 1e9)
+        self._max_connections = max_connections
+
+    async def acquire(self, replica: Replica) -> ReplicaConnection:
+        """An idle connection to a replica, or a new one.
+
+        Raises:
+            ConnectError: a new connection could not be established.
+            ConnectionLimitError: the bound is reached and no connection is idle.
+        """
+        self.close_expired()
+        connection = self._take_idle(replica)
+        if connection is not None:
+            return connection
+        if self.open_connections >= self._max_connections:
+            self._evict()
+        if replica.endpoint is None:
+            raise ConnectError
+        self.open_connections += 1
+        try:
+            async with asyncio.timeout(self._connect_timeout):
+                return ReplicaConnection(replica, await self._dial(replica.endpoint))
+        except BaseException as error:
+            self.open_connections -= 1
+            if isinstance(error, OSError | StreamClosedError | TimeoutError):
+                raise ConnectError from None
+            raise
+
+    def _take_idle(self, replica: Replica) -> ReplicaConnection | None:
+        """The idle connection to a replica that was used last; those with unexpected bytes are closed."""
+        connections = self.idle.get(replica.number, deque())
+        settled = asyncio.get_running_loop().time() - SETTLE_TIME
+        for connection in [one for one in reversed(connections) if one.idle_since <= settled]:
+            connections.remove(connection)
+            if not connection.unread:
+                connection.idle_duration = asyncio.get_running_loop().time() - connection.idle_since
+                connection.response_started = False
+                return connection
+            self.close(connection)
+        return None
+
+    def _evict(self) -> None:
+        """Close the connection that has been idle longest, of any replica."""
+        queues = [queue for queue in self.idle.values() if queue]
+        if not queues:
+            raise ConnectionLimitError
+        self.close(min(queues, key=lambda queue: queue[0].idle_since).popleft())
+
+    def release(self, connection: ReplicaConnection) -> None:
+        """Keep a connection idle for a later attempt, or close it if it can't be used again."""
+        if not connection.reusable:
+            self.close(connection)
+            return
+        connection.idle_since = asyncio.get_running_loop().time()
+        self.idle.setdefault(connection.replica.number, deque()).append(connection)
+
+    def close(self, connection: ReplicaConnection) -> None:
+        """Close a connection that is not idle."""
+        self.open_connections -= 1
+        connection.stream.close()
+
+    def close_idle(self, replica: Replica) -> None:
+        """Close the idle connections to a replica."""
+        for connection in self.idle.pop(replica.number, ()):
+            self.close(connection)
+        if replica.state == ReplicaState.REMOVED:
+            self._learned_idle_timeouts.pop(replica.number, None)
+
+    def close_expired(self) -> None:
+        """Close connections past their idle timeout: a request written as the replica closes is lost."""
+        now = asyncio.get_running_loop().time()
+        idle_timeout = self.keep_alive.idle_timeout(now)
+        for number, connections in list(self.idle.items()):
+            oldest = now - min(idle_timeout, self._learned_idle_timeouts.get(number, idle_timeout))
+            while connections and connections[0].idle_since <= oldest:
+                self.close(connections.popleft())
+            if not connections:
+                del self.idle[number]
+
+    def close_all_idle(self) -> None:
+        """Close every idle connection."""
+        for connections in self.idle.values():
+            while connections:
+                self.close(connections.pop())
+
+    def connection_rejected(self) -> None:
+        """Note that a replica did not accept a new connection, or rejected the first request on it."""
+        self.keep_alive.connection_rejected(asyncio.get_running_loop().time())
+
+    def connection_stale(self, connection: ReplicaConnection) -> None:
+        """Note that a reused connection broke under its request: the replica closes idle ones early.
+
+        The replica's other idle connections are as old or older and are closed. Later ones are kept for at
+        most half the time that this one was idle.
+        """
+        replica = connection.replica
+        if not connection.reused or replica.state == ReplicaState.REMOVED:
+            return
+        self.close_idle(replica)
+        idle_timeout = self._learned_idle_timeouts.get(replica.number, self.keep_alive.max_idle_timeout)
+        self._learned_idle_timeouts[replica.number] = max(
+            MIN_IDLE_TIMEOUT, min(idle_timeout, connection.idle_duration / 2)
+        )
--- /dev/null
+++ b/lockspoke/wire/replicas/exchange.py
@@ -0,0 +1,143 @@
+"""One request to a replica and its response, on a connection that is established."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from tornado.iostream import StreamClosedError
+
+from lockspoke.balancing.events import Outcome
+from lockspoke.core.requests import Attempt
+from lockspoke.units import MILLISECOND
+from lockspoke.wire.http.http1 import (
+    BodyChunk,
+    HttpError,
+    MessageEnd,
+    ResponseHead,
+    ResponseParser,
+    encode_request,
+)
+from lockspoke.wire.http.sse import EventStream, StreamError
+
+from .connection import ReplicaConnection
+from .errors import ConnectError
+
+# Seconds from a response's first byte to its first event: a replica sends both with the first token.
+FIRST_EVENT_TIMEOUT = 1.0
+
+
+@dataclass(frozen=True, slots=True)
+class ReplicaResponse:
+    """How a replica responded to one attempt."""
+
+    outcome: Outcome
+    cached_tokens: int = 0  # of the prompt, found in the replica's cache
+    load_report: str = ""  # as the replica wrote it
+    connection_reusable: bool = False
+    malformed: bool = False  # the response could not be read
+
+
+class Exchange:
+    """Sends one attempt's request and reads the response, passing its events on as they come."""
+
+    __slots__ = ("_attempt", "_connection", "_events", "_head", "_outcome", "_parser")
+
+    def __init__(self, connection: ReplicaConnection, attempt: Attempt) -> None:
+        self._connection = connection
+        self._attempt = attempt
+        self._parser = ResponseParser()
+        self._events = EventStream()
+        self._head: ResponseHead | None = None
+        self._outcome = Outcome.RESET
+
+    async def run(self, now: int) -> ReplicaResponse:
+        """Send the request, then read the response to its end.
+
+        Args:
+            now: nanoseconds since the Unix epoch, from which the replica's deadline is computed.
+
+        Raises:
+            ConnectError: the connection broke before the complete request was written.
+        """
+        await self._send_request(now)
+        try:
+            async with asyncio.timeout(None) as first_event_timeout:
+                return await self._read_response(first_event_timeout)
+        except (StreamClosedError, HttpError, StreamError, TimeoutError) as error:
+            return self._broken_response(error)
+
+    async def _send_request(self, now: int) -> None:
+        request = self._attempt.request
+        headers = dict(request.headers)
+        headers["Req-Id"] = request.request_id
+        headers["Req-Deadline-Ms"] = str(max(1, (self._attempt.deadline - now) // MILLISECOND))
+        try:
+            await self._connection.stream.write(
+                encode_request(request.method, request.target, headers, request.body)
+            )
+        except StreamClosedError:
+            # A replica starts a request when it has its last byte, so this one has not run. It is not sent
+            # again here: every attempt is the balancer's decision.
+            raise ConnectError from None
+
+    async def _read_response(self, first_event_timeout: asyncio.Timeout) -> ReplicaResponse:
+        attempt, connection, events = self._attempt, self._connection, self._events
+        loop = asyncio.get_running_loop()
+        while True:
+            received = await connection.read()
+            if first_event_timeout.when() is None and not attempt.streaming:
+                first_event_timeout.reschedule(loop.time() + FIRST_EVENT_TIMEOUT)
+            body, complete = self._parse(received)
+            if self._outcome is Outcome.OK:
+                # Events that arrive together are passed on together, in a single write to the client.
+                data = events.feed(body) + (events.rest() if complete else b"")
+                if data:
+                    first_event_timeout.reschedule(None)
+                    backpressure = attempt.stream_received(data)
+                    if backpressure is not None:
+                        await asyncio.wait([backpressure])
+            if complete and self._head is not None:
+                return ReplicaResponse(
+                    self._outcome,
+                    events.cached_tokens,
+                    self._load_report(),
+                    connection_reusable=self._head.keep_alive and self._parser.clean,
+                )
+
+    def _parse(self, received: bytes) -> tuple[bytes, bool]:
+        """The body bytes in what was received, and whether it ends the response."""
+        body, complete = b"", False
+        for piece in self._parser.feed(received):
+            if isinstance(piece, ResponseHead):
+                self._head, self._outcome = piece, outcome_of_response(piece)
+            elif isinstance(piece, BodyChunk):
+                body += piece.data
+            else:
+                complete = isinstance(piece, MessageEnd)
+        return body, complete
+
+    def _broken_response(self, error: Exception) -> ReplicaResponse:
+        """The result of a response that ended with an error."""
+        outcome, malformed = self._outcome, False
+        if outcome in (Outcome.OK, Outcome.RESET) and not isinstance(error, StreamClosedError):
+            # The replica ran the request and responded incorrectly; the connection is not at fault.
+            outcome, malformed = Outcome.ERROR, True
+        elif outcome is Outcome.OK:
+            outcome = Outcome.RESET
+        return ReplicaResponse(outcome, load_report=self._load_report(), malformed=malformed)
+
+    def _load_report(self) -> str:
+        """The last load report: from the stream's comments, else from the head."""
+        return self._events.load or (self._head.headers.get("srv-load") if self._head is not None else "")
+
+
+def outcome_of_response(head: ResponseHead) -> Outcome:
+    """The outcome of an attempt by its response's status, as the replicas' protocol defines it."""
+    if head.status == 200:
+        return Outcome.OK
+    if head.status in (503, 504) and head.headers.get("srv-declined") == "1":
+        return Outcome.OVERLOADED
+    if 400 <= head.status < 500 and head.status not in (408, 429):
+        return Outcome.INVALID_REQUEST  # the client's fault says nothing about the replica's health
+    return Outcome.ERROR
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -1,79 +1,28 @@
-"""The driver of the connections to replicas: one attempt at a time on each, kept for the next."""
+"""Carries out attempts over pooled TCP connections to replicas."""
 
 from __future__ import annotations
 
 import asyncio
-from collections import deque
 from collections.abc import Callable, Sequence
-from dataclasses import dataclass
 
 import structlog
-from tornado.iostream import IOStream, StreamClosedError
 
-from lockspoke.balancing.events import Outcome, ReplicaState
+from lockspoke.balancing.events import Outcome
 from lockspoke.core.replica_set import Replica
 from lockspoke.core.requests import Attempt, SendPermission
-from lockspoke.units import MILLISECOND
 from lockspoke.wire.clients.request_fields import decode_load_report
-from lockspoke.wire.http.http1 import (
-    BodyChunk,
-    HttpError,
-    MessageEnd,
-    ResponseHead,
-    ResponseParser,
-    encode_request,
-)
-from lockspoke.wire.http.sse import EventStream, StreamError
 from lockspoke.wire.tcp.dialing import Dial, dial
-from lockspoke.wire.tcp.read_ahead import ReadAhead
 
-from .keepalive import MIN_IDLE_TIMEOUT, KeepAlive
-
-FIRST_EVENT_TIMEOUT = 1.0  # seconds from an answer's first byte to its first event: both come with the first token
-SETTLE_TIME = 0.01  # seconds in which what a replica sends behind an answer shows, before the connection is reused
-IDLE_TIMEOUT_SHARE = 0.8  # of the time after which a replica closes an idle connection: ours closes before
+from .connection import ReplicaConnection
+from .connection_pool import ConnectionPool
+from .errors import ConnectError, ConnectionLimitError
+from .exchange import Exchange, ReplicaResponse
 
 log = structlog.get_logger()
 
 
-class ConnectError(Exception):
-    """The connection never came up: the request has surely not run."""
-
-
-class ConnectionLimitError(Exception):
-    """Every descriptor set aside for replicas is in use by an attempt."""
-
-
-@dataclass(frozen=True, slots=True)
-class ReplicaResponse:
-    """How a replica answered one attempt."""
-
-    outcome: Outcome
-    cached_tokens: int = 0  # of the prompt, found in the replica's cache
-    load: str = ""  # its load report, as it was written
-    reusable: bool = False  # whether the connection can take another request
-
-
-class ReplicaConnection(ReadAhead):
-    """A connection to one replica."""
-
-    def __init__(self, replica: Replica, stream: IOStream) -> None:
-        super().__init__(stream)
-        self.replica = replica
-        self.endpoint = replica.endpoint
-        self.idle_since = 0.0
-        self.idle_duration = 0.0  # how long it had stood idle when it was taken for an attempt
-        self.response_started = False  # whether a byte of the present answer has come
-
-    async def read(self) -> bytes:
-        """The next bytes."""
-        data = await super().read()
-        self.response_started = True
-        return data
-
-
 class ReplicaTransport:
-    """Carries out attempts over TCP."""
+    """The core's transport: one task and one connection for each attempt."""
 
     def __init__(
         self,
@@ -84,228 +33,119 @@
         now: Callable[[], int],
         dial: Dial = dial,
     ) -> None:
-        self.dial = dial
-        self.reconfigure(load_names, connect_timeout, keepalive, max_connections)
-        self.now = now
-        self.open_connections = 0
-        self.malformed_responses = 0  # answers that could not be read
-        self.limits: dict[int, float] = {}  # by replica, seconds, where it closes sooner than settings say
-        self.idle: dict[int, deque[ReplicaConnection]] = {}  # by replica, the one used last at the right
-        self.tasks: dict[Attempt, asyncio.Task[None]] = {}
-        self.exchanges: dict[Attempt, ReplicaConnection] = {}  # the connections on which answers are awaited
-
-    def reconfigure(self, load_names: Sequence[str], connect_timeout: int, keepalive: int, max_connections: int) -> None:
-        """New figures from now on; connections past a lower bound go as they fall idle."""
-        self.load_names = load_names
-        self.connect_timeout = connect_timeout / 1e9
-        self.keep_alive = KeepAlive(IDLE_TIMEOUT_SHARE * keepalive / 1e9)
-        self.max_connections = max_connections
-
-    # What the core asks for
+        self.pool = ConnectionPool(connect_timeout, keepalive, max_connections, dial)
+        self.malformed_responses = 0
+        self.exchanges: dict[Attempt, ReplicaConnection] = {}  # attempts that await or read a response
+        self._load_names = load_names
+        self._now = now
+        self._tasks: dict[Attempt, asyncio.Task[None]] = {}
+
+    @property
+    def open_connections(self) -> int:
+        """How many connections are open, idle ones included."""
+        return self.pool.open_connections
+
+    def reconfigure(
+        self, load_names: Sequence[str], connect_timeout: int, keepalive: int, max_connections: int
+    ) -> None:
+        """Apply new settings; times in nanoseconds, as for `ConnectionPool.reconfigure`."""
+        self._load_names = load_names
+        self.pool.reconfigure(connect_timeout, keepalive, max_connections)
 
     def start(self, attempt: Attempt) -> None:
         """Begin an attempt."""
         task = asyncio.ensure_future(self._run(attempt))
-        self.tasks[attempt] = task
-        task.add_done_callback(lambda _: self.tasks.pop(attempt, None))
+        self._tasks[attempt] = task
+        task.add_done_callback(lambda _: self._tasks.pop(attempt, None))
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give an attempt up: its connection closes."""
-        task = self.tasks.pop(attempt, None)
+        """Cancel an attempt: its connection is closed and nothing more is reported."""
+        task = self._tasks.pop(attempt, None)
         if task is not None:
             task.cancel()
 
     def has_unread_response(self, attempt: Attempt) -> bool:
-        """Whether bytes of an answer, or its end, have come that its task has not taken yet."""
+        """Whether bytes of a response, or its end, have arrived that the attempt's task has not read."""
         connection = self.exchanges.get(attempt)
         return connection is not None and connection.unread
 
     def close_idle_connections(self, replica: Replica) -> None:
         """Close the idle connections to a replica."""
-        for connection in self.idle.pop(replica.number, ()):
-            self._close(connection)
-        if replica.state == ReplicaState.REMOVED:
-            self.limits.pop(replica.number, None)
+        self.pool.close_idle(replica)
 
     def run_periodic_checks(self) -> None:
-        """Close what has stood idle for long: the replica would, and a request written then is lost."""
-        now = asyncio.get_running_loop().time()
-        kept = self.keep_alive.idle_timeout(now)
-        for number, connections in list(self.idle.items()):
-            oldest = now - min(kept, self.limits.get(number, kept))
-            while connections and connections[0].idle_since <= oldest:
-                self._close(connections.popleft())
-            if not connections:
-                del self.idle[number]
+        """Close connections past their idle timeout."""
+        self.pool.close_expired()
 
-    # One attempt
+    def close(self) -> None:
+        """Cancel every attempt and close every idle connection."""
+        for task in list(self._tasks.values()):
+            task.cancel()
+        self.pool.close_all_idle()
 
     async def _run(self, attempt: Attempt) -> None:
-        connection = None
+        """The task of one attempt."""
         try:
-            connection = await self._acquire(attempt.replica)
-            attempt.connection_reused = connection.idle_duration > 0.0
-            while (clearance := attempt.permission_to_send()) is SendPermission.CHECK_AGAIN:
-                await asyncio.sleep(0)
-            if clearance is SendPermission.ENDED:
-                self._release(connection)
-                connection = None
-                return
-            self.exchanges[attempt] = connection
-            answer = await self._exchange(connection, attempt)
-            if answer.outcome is Outcome.OVERLOADED and not attempt.connection_reused:
-                self.keep_alive.connection_rejected(asyncio.get_running_loop().time())
-            if answer.reusable:
-                self._release(connection)
-                connection = None
-            elif answer.outcome is Outcome.RESET and not connection.response_started:
-                self._was_stale(connection)
-            attempt.end(
-                answer.outcome, answer.cached_tokens, decode_load_report(answer.load, self.load_names)
-            )
+            connection = await self.pool.acquire(attempt.replica)
         except ConnectError:
-            if connection is not None:
-                self._was_stale(connection)
-            else:
-                self.keep_alive.connection_rejected(asyncio.get_running_loop().time())
+            self.pool.connection_rejected()
             attempt.end(Outcome.CONNECT_FAILED)
         except ConnectionLimitError:
             attempt.end(Outcome.NEVER_SENT)
         except Exception:
-            log.exception("attempt_failed", replica=attempt.replica.uid)
-            attempt.end(Outcome.RESET)
-        finally:
-            self.exchanges.pop(attempt, None)
-            if connection is not None:
-                self._close(connection)
+            self._fail(attempt)
+        else:
+            await self._run_on(connection, attempt)
 
-    async def _exchange(self, connection: ReplicaConnection, attempt: Attempt) -> ReplicaResponse:
-        """Send the request and read the answer, passing its events on as they come."""
-        request = attempt.request
-        headers = dict(request.headers)
-        headers["Req-Id"] = request.request_id
-        headers["Req-Deadline-Ms"] = str(max(1, (attempt.deadline - self.now()) // MILLISECOND))
+    async def _run_on(self, connection: ReplicaConnection, attempt: Attempt) -> None:
+        """Carry out an attempt on a connection, which is released or closed in the end."""
+        released = False
         try:
-            await connection.stream.write(
-                encode_request(request.method, request.target, headers, request.body)
-            )
-        except StreamClosedError:
-            # Not all of it was written: a replica begins with the last byte, so it has not run. A fresh
-            # try on a new connection is not ours to make: it would be an attempt nobody decided on.
-            raise ConnectError from None
-        parser, events = ResponseParser(), EventStream()
-        head: ResponseHead | None = None
-        outcome = Outcome.RESET
-        loop = asyncio.get_running_loop()
-        try:
-            async with asyncio.timeout(None) as opening:
-                while True:
-                    received = await connection.read()
-                    if opening.when() is None and not attempt.streaming:
-                        opening.reschedule(loop.time() + FIRST_EVENT_TIMEOUT)
-                    data, whole = b"", False
-                    for piece in parser.feed(received):
-                        if isinstance(piece, ResponseHead):
-                            head, outcome = piece, _outcome(piece)
-                        elif isinstance(piece, BodyChunk):
-                            data += piece.data
-                        else:
-                            whole = isinstance(piece, MessageEnd)
-                    if outcome is Outcome.OK:
-                        # What came together goes on together: one write where there would be one an event.
-                        data = events.feed(data) + (events.rest() if whole else b"")
-                        if data:
-                            opening.reschedule(None)
-                            waits = attempt.stream_received(data)
-                            if waits is not None:
-                                await asyncio.wait([waits])
-                    if whole and head is not None:
-                        load = events.load or head.headers.get("srv-load")
-                        return ReplicaResponse(
-                            outcome, events.cached_tokens, load, head.keep_alive and parser.clean
-                        )
-        except (StreamClosedError, HttpError, StreamError, TimeoutError) as error:
-            load = events.load or (head.headers.get("srv-load") if head else "")
-            if outcome in (Outcome.OK, Outcome.RESET) and not isinstance(error, StreamClosedError):
-                # The replica has run it and answered, if badly; its connections are not to blame.
-                outcome = Outcome.ERROR
-                self.malformed_responses += 1
-            return ReplicaResponse(Outcome.RESET if outcome is Outcome.OK else outcome, load=load)
-
-    # The connections
-
-    async def _acquire(self, replica: Replica) -> ReplicaConnection:
-        self.run_periodic_checks()
-        connections = self.idle.get(replica.number, deque())
-        settled = asyncio.get_running_loop().time() - SETTLE_TIME
-        for connection in [one for one in reversed(connections) if one.idle_since <= settled]:
-            connections.remove(connection)
-            if not connection.unread:
-                connection.idle_duration = asyncio.get_running_loop().time() - connection.idle_since
-                connection.response_started = False
-                return connection
-            self._close(connection)
-        if self.open_connections >= self.max_connections:
-            self._make_room()
-        if replica.endpoint is None:
-            raise ConnectError
-        self.open_connections += 1
-        try:
-            async with asyncio.timeout(self.connect_timeout):
-                return ReplicaConnection(replica, await self.dial(replica.endpoint))
-        except BaseException as error:
-            self.open_connections -= 1
-            if isinstance(error, OSError | StreamClosedError | TimeoutError):
-                raise ConnectError from None
-            raise
-
-    def _was_stale(self, connection: ReplicaConnection) -> None:
-        """A kept connection broke under its next request: this replica closes them sooner than it should.
-
-        Its others are as old or older, and later ones are kept for half as long as this one stood.
-        """
-        replica = connection.replica
-        if connection.idle_duration <= 0.0 or replica.state == ReplicaState.REMOVED:
-            return
-        self.close_idle_connections(replica)
-        limit = self.limits.get(replica.number, self.keep_alive.max_idle_timeout)
-        self.limits[replica.number] = max(MIN_IDLE_TIMEOUT, min(limit, connection.idle_duration / 2))
-
-    def _make_room(self) -> None:
-        """Close the connection idle for longest, whichever replica's; the descriptors are bounded."""
-        queues = [queue for queue in self.idle.values() if queue]
-        if not queues:
-            raise ConnectionLimitError
-        self._close(min(queues, key=lambda queue: queue[0].idle_since).popleft())
-
-    def _release(self, connection: ReplicaConnection) -> None:
-        replica = connection.replica
-        moved = replica.state != ReplicaState.READY or replica.endpoint != connection.endpoint
-        if moved or connection.pending.done() or connection.stream.closed():
-            self._close(connection)
-            return
-        connection.idle_since = asyncio.get_running_loop().time()
-        self.idle.setdefault(replica.number, deque()).append(connection)
-
-    def _close(self, connection: ReplicaConnection) -> None:
-        self.open_connections -= 1
-        connection.stream.close()
-
-    def close(self) -> None:
-        """End everything."""
-        for task in list(self.tasks.values()):
-            task.cancel()
-        for connections in self.idle.values():
-            while connections:
-                self._close(connections.pop())
-
-
-def _outcome(head: ResponseHead) -> Outcome:
-    """What the status of an answer means, by the protocol's table."""
-    if head.status == 200:
-        return Outcome.OK
-    if head.status in (503, 504) and head.headers.get("srv-declined") == "1":
-        return Outcome.OVERLOADED
-    if 400 <= head.status < 500 and head.status not in (408, 429):
-        return Outcome.INVALID_REQUEST  # a client's fault is no sign of a sick replica
-    return Outcome.ERROR
+            attempt.connection_reused = connection.reused
+            if not await _wait_for_permission(attempt):
+                self.pool.release(connection)
+                released = True
+                return
+            self.exchanges[attempt] = connection
+            response = await Exchange(connection, attempt).run(self._now())
+            released = self._finish_exchange(connection, response)
+            load_report = decode_load_report(response.load_report, self._load_names)
+            attempt.end(response.outcome, response.cached_tokens, load_report)
+        except ConnectError:
+            self.pool.connection_stale(connection)
+            attempt.end(Outcome.CONNECT_FAILED)
+        except Exception:
+            self._fail(attempt)
+        finally:
+            self.exchanges.pop(attempt, None)
+            if not released:
+                self.pool.close(connection)
+
+    def _finish_exchange(self, connection: ReplicaConnection, response: ReplicaResponse) -> bool:
+        """Note what a response says about its connection; whether the connection went back to the pool."""
+        if response.malformed:
+            self.malformed_responses += 1
+        if response.outcome is Outcome.OVERLOADED and not connection.reused:
+            self.pool.connection_rejected()
+        if response.connection_reusable:
+            self.pool.release(connection)
+            return True
+        if response.outcome is Outcome.RESET and not connection.response_started:
+            self.pool.connection_stale(connection)
+        return False
+
+    @staticmethod
+    def _fail(attempt: Attempt) -> None:
+        """Log the exception that ended an attempt; the replica may have run it."""
+        log.exception("attempt_failed", replica=attempt.replica.uid)
+        attempt.end(Outcome.RESET)
+
+
+async def _wait_for_permission(attempt: Attempt) -> bool:
+    """Whether the attempt may send its first byte now; False if it has ended."""
+    while True:
+        permission = attempt.permission_to_send()
+        if permission is not SendPermission.CHECK_AGAIN:
+            return permission is SendPermission.GRANTED
+        # Other tasks read what is unread in the loop's next iteration.
+        await asyncio.sleep(0)
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -11,8 +11,9 @@
 from lockspoke.core.requests import Attempt, ClientRequest, SendPermission
 from lockspoke.units import MILLISECOND as MS
 from lockspoke.wire.clients.front import StreamingResponse
+from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
 from lockspoke.wire.replicas.keepalive import MIN_IDLE_TIMEOUT, RECOVERY_INTERVAL, KeepAlive
-from lockspoke.wire.replicas.transport import SETTLE_TIME, ReplicaTransport
+from lockspoke.wire.replicas.transport import ReplicaTransport
 from tests.standins import until
 
 START = 5_000_000.0  # a machine that has been up for long
@@ -96,12 +97,14 @@
         try:
             first, second = (Replica(n, str(n), ("127.0.0.1", port), ReplicaState.READY, 0) for n in (1, 2))
             assert await ask("/", first) is Outcome.OK
-            idle = connections.idle[1][0]
+            idle = connections.pool.idle[1][0]
             await until(lambda: loop.time() > idle.idle_since + SETTLE_TIME)
             assert await ask("/full", first) is Outcome.OVERLOADED
-            assert connections.keep_alive.idle_timeout(loop.time()) == 8.0, "a kept connection had its place"
+            assert connections.pool.keep_alive.idle_timeout(loop.time()) == 8.0, (
+                "a kept connection had its place"
+            )
             assert await ask("/full", second) is Outcome.OVERLOADED
-            assert connections.keep_alive.idle_timeout(loop.time()) < 5.0
+            assert connections.pool.keep_alive.idle_timeout(loop.time()) < 5.0
         finally:
             connections.close()
             server.close()
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -15,7 +15,7 @@
 from lockspoke.balancing.settings import Idempotency, RequestClass
 from lockspoke.core.replica_set import ListedReplica
 from lockspoke.wire.clients.front import LINGER, AdmissionMode, ClientConnection
-from lockspoke.wire.replicas import transport as replica_side
+from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
 from lockspoke.wire.tcp import dialing
 from lockspoke.wire.tcp.listener import OutgoingBuffer
 from tests.peers import Gateway, RawConnection, ScriptedServer
@@ -163,8 +163,8 @@
     await replica.read_until(b"{}")
     replica.send(ANSWER)
     await client.read_until(chunk(b""))
-    (idle,) = gateway.transport.idle[next(iter(gateway.replica_set.replicas))]
-    await until(lambda: asyncio.get_running_loop().time() > idle.idle_since + replica_side.SETTLE_TIME)
+    (idle,) = gateway.transport.pool.idle[next(iter(gateway.replica_set.replicas))]
+    await until(lambda: asyncio.get_running_loop().time() > idle.idle_since + SETTLE_TIME)
     return client, replica
 
 
