--- a/lockspoke/batch/subsystem.py
+++ b/lockspoke/batch/subsystem.py
@@ -21,7 +21,7 @@
 from lockspoke.lifecycle.subsystems import EndpointListSource, Subsystem, SubsystemContext
 from lockspoke.units import MEBIBYTE
 from lockspoke.wire.clients.front import ClientFront
-from lockspoke.wire.discovery.messages import EndpointListError, decode_address
+from lockspoke.wire.discovery.endpoint_list import EndpointListError, decode_address
 
 TEND = 60.0  # seconds between two looks for uploads whose time is over
 Count = Annotated[int, msgspec.Meta(ge=1)]
--- a/lockspoke/lifecycle/config.py
+++ b/lockspoke/lifecycle/config.py
@@ -13,7 +13,7 @@
 from lockspoke.core.replica_set import ReplicaListUpdate
 from lockspoke.simulator.protocol import decode_settings
 from lockspoke.units import MEBIBYTE, MILLISECOND
-from lockspoke.wire.discovery.messages import decode_address, read_endpoint_list
+from lockspoke.wire.discovery.endpoint_list import decode_address, read_endpoint_list
 
 OWN_MEMORY_MB = 26  # what the program takes with its connections open and no request held
 LARGEST = 2**63  # no number of the settings is larger
--- a/lockspoke/wire/discovery/connection.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -1,4 +1,4 @@
-"""The driver of one discovery address: one request at a time, on a connection that is kept between them."""
+"""A connection to one discovery address: one request at a time, kept open between requests."""
 
 from __future__ import annotations
 
@@ -12,21 +12,18 @@
 
 from .messages import EndpointListRequest, ResponseReader
 
-WATCH_GRACE = (
-    0.4  # seconds past its wait for which a watch may stay without an answer, until it counts as silent
-)
-RESPONSE_TIMEOUT = (
-    1.5  # seconds for a request that may not wait, its connection included; and for an answer that comes
-)
+WATCH_GRACE = 0.4  # seconds past its hold after which a watch without a response is lost
+# Seconds for a request that is no watch, connecting included; and for a response once it has started.
+RESPONSE_TIMEOUT = 1.5
 CONNECT_TIMEOUT = 1.0  # seconds
 
 
 class RequestError(Exception):
-    """Discovery has refused or failed a request; the text says how."""
+    """Discovery rejected a request, or it failed; the text says how."""
 
 
 class WatchLostError(Exception):
-    """A watch ended with no answer: nothing shows yet that discovery itself is in trouble."""
+    """A watch ended without a response; this alone does not show that discovery has a fault."""
 
 
 class DiscoveryConnection:
@@ -36,21 +33,25 @@
         self.endpoint = endpoint
         self._dial = dial
         self._connection: ReadAhead | None = None
-        self.awaiting_response = False  # whether a request is written, and its answer still to come
+        self.awaiting_response = False  # whether a request is written and its response is not complete
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether discovery has written what no answer that was given out holds."""
+        """Whether discovery has written bytes, or closed, and no response returned so far holds them."""
         return self._connection is not None and self._connection.unread
 
     async def request(self, request: EndpointListRequest) -> bytes:
-        """The body of the answer; raises RequestError, WatchLostError, or ListError for a bad status.
+        """Send a request; returns the response's body.
 
-        After any of these the connection is closed: what would come on it answers no later request.
+        After an error the connection is closed: what would arrive on it answers no later request.
+
+        Raises:
+            WatchLostError: a watch got no response, or discovery had closed the idle connection.
+            RequestError: any other request failed.
+            EndpointListError: the response's status is not 200.
         """
         if self.has_unread_data:
-            # Guards against bytes that nobody asked for: each later request would take the answer to the one
-            # before it.
+            # Unexpected bytes: later requests would each get the response to the one before.
             self.close()
         reused = self._connection is not None
         try:
@@ -74,7 +75,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 self._connection = ReadAhead(await self._dial(self.endpoint))
         if request.is_watch:
-            # From here on: discovery counts its wait from when it has the request.
+            # Without the time to connect: discovery's hold begins when it receives the request.
             deadline = loop.time() + request.hold_ms / 1000 + WATCH_GRACE
         self.awaiting_response = True
         host = "{}:{}".format(*self.endpoint)
@@ -82,7 +83,7 @@
         return await self._read_response(self._connection, deadline)
 
     async def _read_response(self, connection: ReadAhead, deadline: float) -> bytes:
-        """Read an answer. No read is ever cancelled: bytes that have come as the time ends are taken."""
+        """Read a response. No read is ever cancelled: bytes that arrive at the deadline are used."""
         loop, reader = asyncio.get_running_loop(), ResponseReader()
         while True:
             await asyncio.wait([connection.pending], timeout=max(0.0, deadline - loop.time()))
@@ -99,7 +100,7 @@
                 raise TimeoutError("an answer that does not end")
 
     def close(self) -> None:
-        """Close the connection, if one is open."""
+        """Close the connection, if it is open."""
         if self._connection is not None:
             self._connection.stream.close()
             self._connection = None
--- /dev/null
+++ b/lockspoke/wire/discovery/endpoint_list.py
@@ -0,0 +1,168 @@
+"""Decoding of endpoint lists. Pure: no socket and no clock.
+
+An entry that can't be decoded does not affect the others: its replica keeps the state it had.
+"""
+
+from __future__ import annotations
+
+import json
+import math
+from collections import Counter
+from dataclasses import dataclass, replace
+from typing import Any
+
+from lockspoke.balancing.events import ReplicaState
+from lockspoke.core.replica_set import UNKNOWN_VERSION, ListedReplica, ReplicaListUpdate
+
+STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.REMOVED}
+
+
+class EndpointListError(ValueError):
+    """A list, or an entry of it, can't be decoded; the text names the field and what is wrong."""
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointListResponse:
+    """What could be decoded of a list, and what could not."""
+
+    update: ReplicaListUpdate
+    faults: tuple[str, ...] = ()  # each names an entry's field
+
+    def require_complete(self) -> ReplicaListUpdate:
+        """The update; raises EndpointListError if any entry could not be decoded."""
+        if self.faults:
+            raise EndpointListError(self.faults[0])
+        return self.update
+
+
+def decode_endpoint_list(text: bytes) -> EndpointListResponse:
+    """Decode a list from JSON; raises EndpointListError if nothing of it can be used."""
+    try:
+        raw = json.loads(text)
+    except (ValueError, RecursionError) as error:
+        raise EndpointListError(f"not JSON: {error}") from None
+    return read_endpoint_list(raw)
+
+
+def read_endpoint_list(raw: Any) -> EndpointListResponse:
+    """Read a list from a JSON value; raises EndpointListError if nothing of it can be used."""
+    if not isinstance(raw, dict):
+        raise EndpointListError("want an object")
+    version, complete, targets = raw.get("rev"), raw.get("all"), raw.get("targets")
+    if isinstance(version, bool) or not isinstance(version, int) or version < 0:
+        raise EndpointListError(f"rev is {version!r}")
+    if not isinstance(complete, bool) or not isinstance(targets, list):
+        raise EndpointListError("all or targets is missing")
+    reader = _EntryReader(complete)
+    for index, target in enumerate(targets):
+        reader.read(target, index)
+    if reader.complete:
+        reader.drop_duplicates()
+    update = ReplicaListUpdate(
+        version, reader.complete, tuple(reader.entries), frozenset(reader.unreadable_uids)
+    )
+    return EndpointListResponse(update, tuple(reader.faults))
+
+
+def without_ready_replicas(update: ReplicaListUpdate) -> ReplicaListUpdate:
+    """Only the drains and removals of an update: no request is sent anywhere because of them."""
+    entries = tuple(entry for entry in update.entries if entry.state != ReplicaState.READY)
+    return replace(update, version=UNKNOWN_VERSION, complete=False, entries=entries)
+
+
+def decode_address(text: str, min_port: int = 1) -> tuple[str, int]:
+    """Decode `host:port`; raises EndpointListError if it is something else or the port is out of range."""
+    host, _, port = text.rpartition(":")
+    if not host or not (port.isascii() and port.isdigit() and min_port <= int(port) < 65536):
+        raise EndpointListError(f"{text!r} is not host:port")
+    return host.strip("[]"), int(port)
+
+
+class _EntryReader:
+    """Collects the entries of one list and the faults in it."""
+
+    def __init__(self, complete: bool) -> None:
+        self.complete = complete  # whether a replica that is not listed is removed
+        self.entries: list[ListedReplica] = []
+        self.faults: list[str] = []
+        self.unreadable_uids: set[str] = set()
+
+    def read(self, target: Any, index: int) -> None:
+        """Read the entry at an index of the list."""
+        try:
+            self.entries.append(_decode_entry(target, index))
+        except EndpointListError as error:
+            self.faults.append(str(error))
+            self._add_unreadable(target)
+
+    def _add_unreadable(self, target: Any) -> None:
+        """Use what is certain about an entry with a fault."""
+        uid = _entry_uid(target)
+        if uid is None:
+            # The entry may be about any replica, so nothing follows from a replica's absence.
+            self.complete = False
+            return
+        state = STATES.get(str(target.get("state")), ReplicaState.READY)
+        if state is ReplicaState.READY:
+            self.unreadable_uids.add(uid)
+        else:
+            # Whatever the fault is, the replica gets no new requests.
+            self.entries.append(ListedReplica(uid, state, endpoint=None))
+
+    def drop_duplicates(self) -> None:
+        """Of replicas that are listed more than once, keep only drains and removals."""
+        counts = Counter(entry.uid for entry in self.entries)
+        duplicates = [uid for uid, count in counts.items() if count > 1]
+        self.entries = [
+            entry
+            for entry in self.entries
+            if entry.uid not in duplicates or entry.state != ReplicaState.READY
+        ]
+        self.faults += [f"targets: uid {uid!r} is listed twice; name each replica once" for uid in duplicates]
+        self.unreadable_uids.update(duplicates)
+
+
+def _entry_uid(target: Any) -> str | None:
+    """The uid of an entry, even if other fields can't be decoded."""
+    uid = target.get("uid") if isinstance(target, dict) else None
+    return uid if isinstance(uid, str) and uid else None
+
+
+def _decode_entry(target: Any, index: int) -> ListedReplica:
+    if not isinstance(target, dict):
+        raise EndpointListError(f"targets[{index}] is {target!r}")
+    uid, state_name = _text_field(target, "uid", index), _text_field(target, "state", index)
+    state = STATES.get(state_name)
+    if state is None:
+        raise EndpointListError(f"targets[{index}].state is {state_name!r}; it can be {', '.join(STATES)}")
+    # A removed replica may have lost its address; every other must have one.
+    endpoint = (
+        None if state is ReplicaState.REMOVED else decode_address(_text_field(target, "endpoint", index))
+    )
+    zone, machine_kind = target.get("az", ""), target.get("model", "")
+    return ListedReplica(
+        uid=uid,
+        state=state,
+        endpoint=endpoint,
+        zone=zone if isinstance(zone, str) else "",
+        cell=int(_number_field(target, "pod_group", 0, index)),
+        weight=float(_number_field(target, "capacity_hint", 1.0, index)),
+        boot_ms=int(_number_field(target, "boot_ms", 0, index)),
+        machine_kind=machine_kind if isinstance(machine_kind, str) else "",
+    )
+
+
+def _text_field(target: dict[str, Any], name: str, index: int) -> str:
+    """A field that must be a string with content."""
+    value = target.get(name)
+    if not isinstance(value, str) or not value:
+        raise EndpointListError(f"targets[{index}].{name} is {value!r}")
+    return value
+
+
+def _number_field(target: dict[str, Any], name: str, default: float, index: int) -> float:
+    """A field that must be a finite number, not negative, where it is given."""
+    value = target.get(name, default)
+    if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
+        raise EndpointListError(f"targets[{index}].{name} is {value!r}")
+    return value
--- /dev/null
+++ b/lockspoke/wire/discovery/follower.py
@@ -0,0 +1,144 @@
+"""Polls the endpoint list of one discovery service: a complete list first, then watches for changes."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import replace
+from typing import Protocol
+
+import structlog
+
+from lockspoke.core.endpoint_list import EndpointListListener
+from lockspoke.core.replica_set import UNKNOWN_VERSION, ReplicaSet
+
+from .connection import DiscoveryConnection, RequestError, WatchLostError
+from .endpoint_list import (
+    EndpointListError,
+    EndpointListResponse,
+    decode_endpoint_list,
+    without_ready_replicas,
+)
+from .messages import EndpointListRequest
+
+UNCHANGED_PAUSE = 0.1  # seconds before a watch is repeated that returned early and without changes
+
+log = structlog.get_logger()
+
+
+class FollowerOwner(Protocol):
+    """What a follower reports to; `DiscoveryWatch` is one."""
+
+    hold_ms: int
+    listener: EndpointListListener
+
+    async def wait_for_former_followers(self, follower: EndpointListFollower) -> None:
+        """Return when this follower's list may be applied, after those of former followers."""
+
+    def apply(self, follower: EndpointListFollower, response: EndpointListResponse) -> None:
+        """Apply a response; raises EndpointListError if an entry of it could not be decoded."""
+
+    def report_failing(self, reason: str) -> None:
+        """Log that discovery does not respond as it should."""
+
+    def follower_ended(self, follower: EndpointListFollower, reason: str | None) -> None:
+        """The follower has ended; a reason says that it failed."""
+
+
+class EndpointListFollower:
+    """Follows one service's list until a request fails, or until it is told to stop."""
+
+    def __init__(self, connection: DiscoveryConnection, owner: FollowerOwner) -> None:
+        self._connection = connection
+        self._owner = owner
+        self._stopping = False
+        self._last_list_empty = False  # whether the last response was a complete list without replicas
+        self._applying = False  # a response has been read and is not applied yet
+        self._task = asyncio.ensure_future(self._run())
+
+    @property
+    def has_unread_changes(self) -> bool:
+        """Whether the service has written changes that are not applied yet."""
+        return self._applying or self._connection.has_unread_data
+
+    def stop_after_response(self) -> bool:
+        """Send no more requests. Whether a response is still expected; if not, the follower is closed."""
+        self._stopping = True
+        if not self.has_unread_changes and not self._connection.awaiting_response:
+            self.close()
+            return False
+        return True
+
+    def close(self) -> None:
+        """Stop at once."""
+        self._task.cancel()
+        self._connection.close()
+
+    async def _run(self) -> None:
+        reason = None
+        try:
+            await self._follow()
+        except (RequestError, EndpointListError) as error:
+            reason = str(error)
+        except Exception:
+            # A fault of the gateway's own. The list may be applied in part only, so it is requested again
+            # completely; an end without a reason would not be retried.
+            log.exception("discovery_watch_failed")
+            self._replica_set.version = UNKNOWN_VERSION
+            reason = "a fault of the gateway; see discovery_watch_failed"
+        self._connection.close()
+        self._owner.follower_ended(self, reason)
+
+    async def _follow(self) -> None:
+        loop = asyncio.get_running_loop()
+        # Watch only after a valid response: a request without a hold shows a fault sooner.
+        may_hold = False
+        while not self._stopping:
+            request = EndpointListRequest(self._replica_set.version, self._owner.hold_ms if may_hold else 0)
+            requested_at = loop.time()
+            try:
+                body = await self._connection.request(request)
+            except WatchLostError as error:
+                log.info("discovery_watch_lost", reason=str(error))
+                may_hold = False
+                continue
+            response, may_hold = await self._process(request, body)
+            if request.is_watch and response.update.version == request.version:
+                # Protects a service that responds at once, again and again, from a tight loop.
+                early = loop.time() - requested_at < request.hold_ms / 2000
+                await asyncio.sleep(UNCHANGED_PAUSE if early else 0)
+
+    async def _process(self, request: EndpointListRequest, body: bytes) -> tuple[EndpointListResponse, bool]:
+        """Decode and apply a response; returns it, and whether it was applied as it is."""
+        self._applying = True
+        try:
+            await self._owner.wait_for_former_followers(self)
+            response = decode_endpoint_list(body)
+            trusted = self._is_trustworthy(request, response)
+            if trusted:
+                self._owner.apply(self, response)
+            return response, trusted
+        finally:
+            self._applying = False
+
+    @property
+    def _replica_set(self) -> ReplicaSet:
+        return self._owner.listener.replica_set
+
+    def _is_trustworthy(self, request: EndpointListRequest, response: EndpointListResponse) -> bool:
+        """Whether a response can be applied as it is; if not, the complete list is requested next."""
+        update = response.update
+        if request.version != UNKNOWN_VERSION and update.version < request.version:
+            # A stale response, or a restarted service. Replicas that it lists as ready may have drained
+            # since, and changes since the requested version are missing.
+            log.info("discovery_version_regressed", requested_version=request.version, rev=update.version)
+            self._owner.apply(self, replace(response, update=without_ready_replicas(update)))
+            return False
+        empty = update.complete and not update.entries and self._replica_set.ready_count > 0
+        if empty and not self._last_list_empty:
+            # Protects against a short fault of discovery: an empty list is applied when it comes twice.
+            self._last_list_empty = True
+            self._owner.report_failing("an empty list; asked for again before it is believed")
+            self._replica_set.version = UNKNOWN_VERSION
+            return False
+        self._last_list_empty = False
+        return True
--- a/tests/lifecycle/test_housekeeping.py
+++ b/tests/lifecycle/test_housekeeping.py
@@ -12,7 +12,7 @@
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import ListedReplica
 from lockspoke.lifecycle.program import give_back
-from lockspoke.wire.discovery.messages import decode_endpoint_list
+from lockspoke.wire.discovery.endpoint_list import decode_endpoint_list
 from tests.peers import Gateway, ScriptedServer
 
 WORKERS = 1024
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -13,7 +13,7 @@
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import UNKNOWN_VERSION
 from lockspoke.wire.clients.request_fields import decode_load_report, decode_request_fields
-from lockspoke.wire.discovery.messages import (
+from lockspoke.wire.discovery.endpoint_list import (
     STATES,
     EndpointListError,
     decode_endpoint_list,
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -20,8 +20,9 @@
 from lockspoke.wire.clients.front import ClientConnection
 from lockspoke.wire.discovery import connection as discovery_connection
 from lockspoke.wire.discovery.connection import WATCH_GRACE
+from lockspoke.wire.discovery.follower import UNCHANGED_PAUSE
 from lockspoke.wire.discovery.messages import MAX_LIST_SIZE
-from lockspoke.wire.discovery.watch import UNCHANGED_PAUSE, DiscoveryWatch
+from lockspoke.wire.discovery.watch import DiscoveryWatch
 from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
 from tests.peers import Gateway, RawConnection, ScriptedServer
 from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk, request_bytes, until
