--- a/tests/clocked.py
+++ b/tests/clocked.py
@@ -70,9 +70,9 @@
 class Reachability(Enum):
     """What a connection to an address meets."""
 
-    UP = "up"
+    REACHABLE = "up"
     REFUSES = "refuses"
-    NEVER_COMES_UP = "never comes up"
+    HANGS = "never comes up"
 
 
 class ObservedStream(IOStream):
@@ -95,8 +95,8 @@
 
     async def dial(self, endpoint: Address) -> IOStream:
         """As `lockspoke.wire.dialing.dial` does."""
-        reach = self.reachability.get(endpoint, Reachability.UP)
-        if reach is Reachability.NEVER_COMES_UP:
+        reach = self.reachability.get(endpoint, Reachability.REACHABLE)
+        if reach is Reachability.HANGS:
             await asyncio.get_running_loop().create_future()
         if reach is Reachability.REFUSES or endpoint not in self.services:
             raise ConnectionRefusedError(endpoint)
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -21,22 +21,22 @@
 HOLD_MS = 200
 
 
-class Told:
+class RecordingListener:
     """What the watch tells the core."""
 
     def __init__(self, version: int) -> None:
         self.replica_set, self.version, self.ready_count = self, version, 1
-        self.lists: list[Any] = []
+        self.updates: list[Any] = []
         self.failed = 0
-        self.on_change: Callable[[], None] | None = None  # what crosses the next list, once
+        self.on_next_update: Callable[[], None] | None = None  # what crosses the next list, once
 
     def endpoint_list_changed(self, update: Any, completes_poll: bool = True) -> None:
         del completes_poll
         self.version = update.version
-        happens, self.on_change = self.on_change, None
+        happens, self.on_next_update = self.on_next_update, None
         if happens is not None:
             happens()
-        self.lists.append(update)
+        self.updates.append(update)
 
     def endpoint_list_failed(self) -> None:
         self.failed += 1
@@ -59,53 +59,57 @@
         await super().answer(request, writer)
 
 
-async def watched(silent: Container[int], told: Told, hold_ms: int = HOLD_MS, lists: int = 1) -> list[float]:
+async def request_times(
+    silent: Container[int], listener: RecordingListener, hold_ms: int = HOLD_MS, updates: int = 1
+) -> list[float]:
     """When the requests came, until there is a list or a failure past so many lists."""
-    async with FakeReplica() as worker, SilentDiscovery(silent) as discovery:
-        discovery.change(worker)
-        one = watch.DiscoveryWatch(("127.0.0.1", discovery.port), hold_ms)
-        one.attach(cast(Core, told))
-        one.watch(True)
-        await until(lambda: len(told.lists) >= lists or bool(told.failed) or len(discovery.times) > 1)
-        if lists > 1:
+    async with FakeReplica() as replica, SilentDiscovery(silent) as discovery:
+        discovery.change(replica)
+        discovery_watch = watch.DiscoveryWatch(("127.0.0.1", discovery.port), hold_ms)
+        discovery_watch.attach(cast(Core, listener))
+        discovery_watch.watch(True)
+        await until(
+            lambda: len(listener.updates) >= updates or bool(listener.failed) or len(discovery.times) > 1
+        )
+        if updates > 1:
             await until(lambda: len(discovery.times) > 1)
             discovery.rev += 1  # what the silent watch misses
-        await until(lambda: len(told.lists) >= lists or bool(told.failed))
-        one.close()
+        await until(lambda: len(listener.updates) >= updates or bool(listener.failed))
+        discovery_watch.close()
         discovery.over.set()
         return discovery.times
 
 
-def test_a_watch_that_falls_silent_is_opened_anew_at_once() -> None:
+def test_a_lost_watch_is_reopened_at_once() -> None:
     """Its changes count as told 2 s past its wait; a pause of up to 5 s broke the rule on drains."""
-    told = Told(1)
-    times = asyncio.run(watched({2}, told, lists=2))
-    assert len(told.lists) == 2 and not told.failed
+    told = RecordingListener(1)
+    times = asyncio.run(request_times({2}, told, updates=2))
+    assert len(told.updates) == 2 and not told.failed
     assert times[2] - times[1] > HOLD_MS / 1000, "not before its wait is over"
 
 
-def test_a_service_that_stays_silent_counts_as_failing() -> None:
-    told = Told(1)
-    times = asyncio.run(watched(range(2, 99), told, lists=2))
+def test_a_service_that_stays_silent_is_reported_as_failing() -> None:
+    told = RecordingListener(1)
+    times = asyncio.run(request_times(range(2, 99), told, updates=2))
     assert told.failed == 1 and len(times) == 3, "after the silent watch one request, which did not wait"
 
 
-def test_a_whole_list_that_falls_silent_counts_as_failed_long_before_a_watch_would(
+def test_a_request_for_the_complete_list_times_out_long_before_a_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It may not wait, and 6 s after it fell silent it counts as told: it was given as long as a watch."""
     monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.2)
-    told = Told(-1)
-    asyncio.run(watched({1}, told, hold_ms=60_000))
-    assert told.failed == 1 and not told.lists
+    told = RecordingListener(-1)
+    asyncio.run(request_times({1}, told, hold_ms=60_000))
+    assert told.failed == 1 and not told.updates
 
 
-def test_the_time_that_a_connection_takes_is_not_taken_from_the_wait(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_time_to_connect_does_not_shorten_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """A watch was given up as silent before its wait was over, or counted as failed."""
     monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 20.0)
 
     async def whole() -> None:
-        peer, told, connects = ScriptedServer(), Told(1), asyncio.Event()
+        peer, told, connects = ScriptedServer(), RecordingListener(1), asyncio.Event()
 
         async def slow_dial(endpoint: tuple[str, int]) -> IOStream:
             await connects.wait()
@@ -118,32 +122,34 @@
         line = await peer.accept()
         await line.read_until(b"\r\n\r\n")
         connects.clear()
-        line.send(listed(2, b"Connection: close\r\n"))
-        await until(lambda: len(told.lists) == 1)
+        line.send(list_response(2, b"Connection: close\r\n"))
+        await until(lambda: len(told.updates) == 1)
         loop = asyncio.get_running_loop()
         late = loop.time() + HOLD_MS / 1000 + discovery_connection.WATCH_GRACE + 0.1
         await until(lambda: loop.time() > late)
         connects.set()
         line = await peer.accept()
         assert b"hold_ms=%d " % HOLD_MS in await line.read_until(b"\r\n\r\n")
-        line.send(listed(3))
-        await until(lambda: len(told.lists) == 2 or bool(told.failed))
+        line.send(list_response(3))
+        await until(lambda: len(told.updates) == 2 or bool(told.failed))
         one.close()
         assert not told.failed
 
     asyncio.run(whole())
 
 
-def listed(rev: int, headers: bytes = b"") -> bytes:
+def list_response(rev: int, headers: bytes = b"") -> bytes:
     body = b'{"rev": %d, "all": false, "targets": []}' % rev
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%b\r\n%b" % (len(body), headers, body)
 
 
-def follow(test: Callable[[watch.DiscoveryWatch, ScriptedServer, Told], Awaitable[None]]) -> None:
+def run_with_watch(
+    test: Callable[[watch.DiscoveryWatch, ScriptedServer, RecordingListener], Awaitable[None]],
+) -> None:
     """A watch of a peer that the test is."""
 
     async def whole() -> None:
-        peer, told = ScriptedServer(), Told(1)
+        peer, told = ScriptedServer(), RecordingListener(1)
         one = watch.DiscoveryWatch(peer.endpoint, HOLD_MS * 100)
         one.attach(cast(Core, told))
         one.watch(True)
@@ -153,57 +159,59 @@
     asyncio.run(whole())
 
 
-@pytest.mark.parametrize("behind", [listed(2), b"HTTP/1.1 2"], ids=["a second answer", "half a line"])
+@pytest.mark.parametrize("behind", [list_response(2), b"HTTP/1.1 2"], ids=["a second answer", "half a line"])
 @pytest.mark.parametrize("late", [False, True], ids=["with the answer", "after it"])
-def test_what_comes_behind_an_answer_is_never_the_next_calls(behind: bytes, late: bool) -> None:
+def test_bytes_after_a_response_are_never_read_as_the_next_response(behind: bytes, late: bool) -> None:
     """Each later call would have taken the answer of the one before it."""
 
-    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, told: Told) -> None:
+    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, told: RecordingListener) -> None:
         first = await peer.accept()
         await first.read_until(b"from=1&")
         if late:
             # It comes once the answer has been taken, and before the next call is written.
-            told.on_change = lambda: first.send(behind)
-        first.send(listed(2) + (b"" if late else behind))
+            told.on_next_update = lambda: first.send(behind)
+        first.send(list_response(2) + (b"" if late else behind))
         second = await peer.accept()
         await second.read_until(b"from=2&")
-        second.send(listed(3))
+        second.send(list_response(3))
         await second.read_until(b"from=3&")
-        assert [update.version for update in told.lists] == [2, 3]
+        assert [update.version for update in told.updates] == [2, 3]
 
-    follow(test)
+    run_with_watch(test)
 
 
-def test_a_list_that_has_come_as_discovery_moves_is_taken_and_its_version_is_not() -> None:
+def test_a_list_received_as_discovery_moves_is_applied_without_its_version() -> None:
     """It is told. But versions are each service's own: the old one's would end the new one's changes."""
 
-    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, told: Told) -> None:
+    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, told: RecordingListener) -> None:
         old, new = await peer.accept(), ScriptedServer()
         await old.read_until(b"from=1&")
-        old.send(listed(70))
+        old.send(list_response(70))
         one.change_endpoint(new.endpoint)
         line = await new.accept()
         assert b"from=" not in await line.read_until(b"\r\n\r\n")
-        line.send(listed(4))
+        line.send(list_response(4))
         await line.read_until(b"from=4&")
-        assert [update.version for update in told.lists] == [UNKNOWN_VERSION, 4]
+        assert [update.version for update in told.updates] == [UNKNOWN_VERSION, 4]
         assert await old.read_some() == b"", "the old service is asked nothing more"
 
-    follow(test)
+    run_with_watch(test)
 
 
-def test_a_fault_of_our_own_ends_no_watch_unheard(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_while_a_list_is_applied_is_reported_as_a_failure(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """The list would have stayed as it was for ever, with nobody told."""
 
-    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, told: Told) -> None:
+    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, told: RecordingListener) -> None:
         first = await peer.accept()
         await first.read_until(b"from=1&")
 
         def fault() -> None:
             raise KeyError("planted")
 
-        told.on_change = fault
-        first.send(listed(2))
+        told.on_next_update = fault
+        first.send(list_response(2))
         await until(lambda: told.failed == 1)
         one.watch(True)
         second = await peer.accept()
@@ -211,7 +219,7 @@
             "the whole list: what was taken is not known"
         )
 
-    follow(test)
+    run_with_watch(test)
 
 
 def test_holds_are_spread_over_the_gateways() -> None:
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -19,7 +19,7 @@
 START = 5_000_000.0  # a machine that has been up for long
 
 
-def test_refusals_of_new_connections_cut_the_time_and_quiet_brings_it_back() -> None:
+def test_rejected_connections_halve_the_idle_timeout_and_it_recovers() -> None:
     keep_alive = KeepAlive(8.0)
     assert keep_alive.idle_timeout(START) == 8.0
     keep_alive.connection_rejected(START)
@@ -31,7 +31,7 @@
     assert keep_alive.idle_timeout(START + 3 * RECOVERY_INTERVAL) == 8.0
 
 
-def test_the_time_has_a_bound_below_from_which_it_comes_back_as_soon() -> None:
+def test_the_idle_timeout_has_a_minimum_from_which_it_recovers_as_fast() -> None:
     keep_alive = KeepAlive(8.0)
     for step in range(1000):
         keep_alive.connection_rejected(START + step)
@@ -39,17 +39,17 @@
     assert keep_alive.idle_timeout(START + 1000 + 6 * RECOVERY_INTERVAL) == 8.0
 
 
-def test_settings_that_allow_less_than_the_bound_are_kept() -> None:
+def test_an_idle_timeout_below_the_minimum_in_the_settings_is_kept() -> None:
     keep_alive = KeepAlive(0.1)
     keep_alive.connection_rejected(START)
     assert keep_alive.idle_timeout(START) == 0.1 and KeepAlive(0.0).idle_timeout(START) == 0.0
 
 
-class Told:
+class RecordingListener:
     """Takes the ends of attempts."""
 
     def __init__(self) -> None:
-        self.ends: list[Outcome] = []
+        self.outcomes: list[Outcome] = []
 
     def permission_to_send(self, attempt: Attempt) -> SendPermission:
         del attempt
@@ -58,12 +58,14 @@
     def stream_received(self, attempt: Attempt, data: bytes) -> None:
         del attempt, data
 
-    def attempt_ended(self, attempt: Attempt, outcome: Outcome, kept: int, report: tuple[float, ...]) -> None:
-        del attempt, kept, report
-        self.ends.append(outcome)
+    def attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, cached_tokens: int, report: tuple[float, ...]
+    ) -> None:
+        del attempt, cached_tokens, report
+        self.outcomes.append(outcome)
 
 
-async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def serve_replica(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """A worker: it turns away what is sent to /full, and keeps the connection."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
         while True:
@@ -75,13 +77,13 @@
     writer.close()
 
 
-def test_only_a_new_connection_that_is_turned_away_cuts_the_time() -> None:
+def test_only_a_rejected_new_connection_halves_the_idle_timeout() -> None:
     """Of 4,861 attempts 1,580 met a full table while 630 of 1,000 connections stood idle."""
 
     async def whole() -> None:
-        server = await asyncio.start_server(answer, "127.0.0.1", 0)
+        server = await asyncio.start_server(serve_replica, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        told, loop = Told(), asyncio.get_running_loop()
+        told, loop = RecordingListener(), asyncio.get_running_loop()
         connections = ReplicaTransport((), 5_000 * MS, 10_000 * MS, 8, time.time_ns)
 
         async def ask(target: str, worker: Replica) -> Outcome:
@@ -89,10 +91,10 @@
                 StreamingResponse.__new__(StreamingResponse), 0, 0, "1", "POST", target, {}, b""
             )
             now = time.time_ns()
-            count = len(told.ends)
+            count = len(told.outcomes)
             connections.start(Attempt(call, 0, worker, now, now + 5_000 * MS, told))
-            await until(lambda: len(told.ends) > count)
-            return told.ends[-1]
+            await until(lambda: len(told.outcomes) > count)
+            return told.outcomes[-1]
 
         try:
             first, second = (Replica(n, str(n), ("127.0.0.1", port), ReplicaState.READY, 0) for n in (1, 2))
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -13,11 +13,11 @@
 from tests.standins import EVENTS, STREAM_HEAD, chunk, request_bytes, until
 
 DEADLINE_MS = 4000
-SLACK_MS = 150  # the operators' figure
-HELD = 0.4  # seconds
+TOLERANCE_MS = 150  # the operators' figure
+BUSY_TIME = 0.4  # seconds
 
 
-def play(
+def run_scenario(
     test: Callable[[Gateway, ScriptedServer], Awaitable[None]], full: bool = False, **settings: Any
 ) -> None:
     async def whole() -> None:
@@ -29,31 +29,31 @@
         runner.run(whole())
 
 
-async def told_ms(line: RawConnection) -> int:
+async def received_deadline_ms(line: RawConnection) -> int:
     """The time left that a request on a replica's connection tells."""
     found = re.search(rb"(?i)req-deadline-ms: (\d+)", await line.read_until(b"{}"))
     assert found is not None
     return int(found[1])
 
 
-def left_ms(sent_at: float) -> float:
+def remaining_ms(sent_at: float) -> float:
     """What the client has left of its deadline, and the slack."""
-    return DEADLINE_MS - (time.monotonic() - sent_at) * 1000 + SLACK_MS
+    return DEADLINE_MS - (time.monotonic() - sent_at) * 1000 + TOLERANCE_MS
 
 
-def test_a_connection_that_comes_up_late_takes_its_time_from_the_deadline() -> None:
+def test_the_time_to_connect_is_taken_from_the_deadline() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         sent_at = time.monotonic()
         client.send(request_bytes(1, DEADLINE_MS))
-        await until(lambda: gateway.core.totals["attempts"] == 1 and time.monotonic() - sent_at > HELD)
+        await until(lambda: gateway.core.totals["attempts"] == 1 and time.monotonic() - sent_at > BUSY_TIME)
         line = await peer.free_backlog_and_accept()
-        assert await told_ms(line) <= left_ms(sent_at)
+        assert await received_deadline_ms(line) <= remaining_ms(sent_at)
 
-    play(test, full=True)
+    run_scenario(test, full=True)
 
 
-def test_a_further_attempt_is_told_what_is_left_after_the_one_before_it() -> None:
+def test_a_retry_gets_the_time_that_remains_after_the_first_attempt() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         second = ScriptedServer()
         gateway.add_replicas(second)
@@ -63,15 +63,15 @@
         accepting = {asyncio.ensure_future(one.accept()) for one in (peer, second)}
         done, accepting = await asyncio.wait(accepting, return_when=asyncio.FIRST_COMPLETED)
         line = done.pop().result()
-        await told_ms(line)
-        await until(lambda: time.monotonic() - sent_at > HELD)
+        await received_deadline_ms(line)
+        await until(lambda: time.monotonic() - sent_at > BUSY_TIME)
         line.send(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-        assert await told_ms(await accepting.pop()) <= left_ms(sent_at)
+        assert await received_deadline_ms(await accepting.pop()) <= remaining_ms(sent_at)
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_request_sent_ahead_has_what_is_left_once_the_one_before_it_is_answered() -> None:
+def test_a_pipelined_request_gets_the_time_that_remains_after_the_one_before_it() -> None:
     """Its time began with its turn: it was told, and waited, longer than its client would."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
@@ -79,32 +79,32 @@
         sent_at = time.monotonic()
         client.send(request_bytes(1, DEADLINE_MS) + request_bytes(2, DEADLINE_MS))
         line = await peer.accept()
-        await told_ms(line)
-        await until(lambda: time.monotonic() - sent_at > HELD)
+        await received_deadline_ms(line)
+        await until(lambda: time.monotonic() - sent_at > BUSY_TIME)
         line.send(STREAM_HEAD + chunk(EVENTS[0]) + chunk(b""))
         second = asyncio.ensure_future(peer.accept())
-        assert await told_ms(await second) <= left_ms(sent_at)
+        assert await received_deadline_ms(await second) <= remaining_ms(sent_at)
 
-    play(test)
+    run_scenario(test)
 
 
-def test_the_time_for_which_a_request_lay_unread_while_the_loop_was_held_is_not_told_as_left() -> None:
+def test_the_time_a_request_was_unread_in_a_busy_loop_is_taken_from_the_deadline() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         await until(lambda: len(gateway.front.listener.connections) == 1)
         sent_at = time.monotonic()
         client.send(request_bytes(1, DEADLINE_MS))
-        time.sleep(HELD)
-        assert await told_ms(await peer.accept()) <= left_ms(sent_at)
+        time.sleep(BUSY_TIME)
+        assert await received_deadline_ms(await peer.accept()) <= remaining_ms(sent_at)
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_loop_that_rests_takes_nothing_from_the_deadline() -> None:
+def test_an_idle_loop_takes_nothing_from_the_deadline() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
-        await asyncio.sleep(HELD)
+        await asyncio.sleep(BUSY_TIME)
         client.send(request_bytes(1, DEADLINE_MS))
-        assert await told_ms(await peer.accept()) > DEADLINE_MS - HELD * 1000 / 2
+        assert await received_deadline_ms(await peer.accept()) > DEADLINE_MS - BUSY_TIME * 1000 / 2
 
-    play(test)
+    run_scenario(test)
--- a/tests/wire/test_drain_play.py
+++ b/tests/wire/test_drain_play.py
@@ -5,16 +5,16 @@
 import pytest
 
 from tests.clocked import ClockedLoop, run
-from tests.wire.drain_play import Judge, Play
+from tests.wire.drain_play import DrainChecker, DrainSimulation
 
 SEEDS = 8  # of each size that CI plays
 
 
-def judged(seed: int, gateways: int, faults_in_a_row: int) -> Judge:
-    judges: list[Judge] = []
+def simulate(seed: int, gateways: int, faults_in_a_row: int) -> DrainChecker:
+    judges: list[DrainChecker] = []
 
     async def play(loop: ClockedLoop) -> None:
-        judges.append(await Play(loop, seed, gateways, faults_in_a_row).run())
+        judges.append(await DrainSimulation(loop, seed, gateways, faults_in_a_row).run())
 
     run(play)
     return judges[0]
@@ -26,7 +26,9 @@
 
 
 @pytest.mark.parametrize(("gateways", "faults_in_a_row"), [(1, 2), (6, 2), (200, 1), (1024, 1)])
-def test_no_send_follows_a_drain_that_counts_as_told(seed: int, gateways: int, faults_in_a_row: int) -> None:
-    judge = judged(seed, gateways, faults_in_a_row)
-    assert judge.sends > 100, "the day has seen traffic"
-    assert not judge.broken
+def test_no_request_is_sent_after_the_grace_of_a_drain(
+    seed: int, gateways: int, faults_in_a_row: int
+) -> None:
+    judge = simulate(seed, gateways, faults_in_a_row)
+    assert judge.requests > 100, "the day has seen traffic"
+    assert not judge.violations
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -29,56 +29,56 @@
 
 HOLD_MS = 60_000
 SHORT_HOLD_MS = 200
-BUSY = 0.3  # seconds for which the loop is held: longer than the grace of 250 ms
+BUSY_TIME = 0.3  # seconds for which the loop is held: longer than the grace of 250 ms
 
-ANSWER = STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b"")
+RESPONSE = STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b"")
 
 
-def target(uid: str, peer: ScriptedServer, state: str = "up") -> dict[str, Any]:
+def entry(uid: str, peer: ScriptedServer, state: str = "up") -> dict[str, Any]:
     host, port = peer.endpoint
     return {"uid": uid, "endpoint": f"{host}:{port}", "az": "z", "state": state, "boot_ms": 0}
 
 
-def answer(rev: int, *targets: Any, whole: bool = False) -> bytes:
+def list_response(rev: int, *targets: Any, whole: bool = False) -> bytes:
     """An answer of discovery."""
     body = json.dumps({"rev": rev, "all": whole, "targets": targets}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-class Scene:
+class DrainScenario:
     """A gateway, two replicas, and discovery in the test's hands."""
 
-    def __init__(self, hold_ms: int = HOLD_MS, asks: bool = False) -> None:
+    def __init__(self, hold_ms: int = HOLD_MS, polls: bool = False) -> None:
         self.first, self.second, self.discovery = ScriptedServer(), ScriptedServer(), ScriptedServer()
         self.watch = DiscoveryWatch(self.discovery.endpoint, hold_ms)
-        self.gateway = Gateway(self.first, self.second, discovery=self.watch, polls_endpoint_list=asks)
+        self.gateway = Gateway(self.first, self.second, discovery=self.watch, polls_endpoint_list=polls)
         self.watch.attach(self.gateway.core)
 
     @property
-    def drain_of_the_first(self) -> bytes:
-        return answer(2, target("w0", self.first, "draining"))
+    def drain_of_first(self) -> bytes:
+        return list_response(2, entry("w0", self.first, "draining"))
 
-    async def watching(self) -> RawConnection:
+    async def start_watch(self) -> RawConnection:
         """The connection on which the gateway waits for a change, after an answer with none."""
         self.watch.watch(True)
         line = await self.discovery.accept()
         await line.read_until(b"\r\n\r\n")
-        line.send(answer(1))
+        line.send(list_response(1))
         await line.read_until(b"from=1&hold_ms=%d" % self.watch.hold_ms)
         return line
 
-    def ask(self, client: RawConnection) -> None:
+    def submit_request(self, client: RawConnection) -> None:
         """A request reaches the gateway's decisions in this very turn of the loop; they pick a replica."""
         client.send(request_bytes(1))
         (connection,) = self.gateway.front.listener.connections
         assert isinstance(connection, ClientConnection)
         connection._take(connection.stream.socket.recv(65536))
 
-    def state(self, uid: str) -> ReplicaState:
+    def listed_state(self, uid: str) -> ReplicaState:
         """What the list in force says of a replica."""
         return next(one.state for one in self.gateway.replica_set.replicas.values() if one.uid == uid)
 
-    async def warm(self, client: RawConnection) -> dict[str, RawConnection]:
+    async def open_idle_connections(self, client: RawConnection) -> dict[str, RawConnection]:
         """A connection kept idle to each replica, by uid."""
         lines: dict[str, RawConnection] = {}
         loop, number = asyncio.get_running_loop(), 100
@@ -96,22 +96,22 @@
             (exchange,) = self.gateway.transport.exchanges
             line = lines[exchange.replica.uid]
             await line.read_until(b"{}")
-            line.send(ANSWER)
+            line.send(RESPONSE)
             await client.read_until(b"0\r\n\r\n")
             settled = loop.time() + 2 * SETTLE_TIME
             await until(lambda until_then=settled: loop.time() > until_then)  # type: ignore[misc]
         return lines
 
-    def picked(self) -> tuple[str, ScriptedServer]:
+    def chosen_replica(self) -> tuple[str, ScriptedServer]:
         """The replica that the request was decided for."""
         (call,) = self.gateway.core.requests.values()
         uid = call.attempts[0].replica.uid
         return uid, self.first if uid == "w0" else self.second
 
 
-def play(test: Callable[[Scene], Awaitable[None]], **options: Any) -> None:
+def run_scenario(test: Callable[[DrainScenario], Awaitable[None]], **options: Any) -> None:
     async def whole() -> None:
-        scene = Scene(**options)
+        scene = DrainScenario(**options)
         async with scene.gateway:
             try:
                 await test(scene)
@@ -121,116 +121,121 @@
     asyncio.run(whole())
 
 
-async def resting_client(scene: Scene) -> RawConnection:
+async def idle_client(scene: DrainScenario) -> RawConnection:
     client = await scene.gateway.connect_client()
     await until(lambda: len(scene.gateway.front.listener.connections) == 1)
     return client
 
 
-def test_a_drain_that_lies_unread_while_the_loop_is_held_is_taken_before_any_first_byte() -> None:
+def test_a_drain_unread_while_the_loop_is_busy_is_applied_before_any_request_is_sent() -> None:
     """Told, then the loop was busy for longer than the grace: requests ready to go were written first."""
 
-    async def test(scene: Scene) -> None:
-        line, client = await scene.watching(), await resting_client(scene)
-        lines = await scene.warm(client)
-        scene.ask(client)
-        uid, replica = scene.picked()
-        line.send(answer(2, target(uid, replica, "draining")))
-        time.sleep(BUSY)
+    async def test(scene: DrainScenario) -> None:
+        line, client = await scene.start_watch(), await idle_client(scene)
+        lines = await scene.open_idle_connections(client)
+        scene.submit_request(client)
+        uid, replica = scene.chosen_replica()
+        line.send(list_response(2, entry(uid, replica, "draining")))
+        time.sleep(BUSY_TIME)
         other = lines["w1" if uid == "w0" else "w0"]
         assert b"0000000000000001" in await other.read_until(b"{}")
         assert await lines[uid].read_to_end() == b"", "its idle connection is closed, and nothing came on it"
 
-    play(test)
+    run_scenario(test)
 
 
-def test_an_answer_that_has_come_as_its_time_ends_is_taken() -> None:
+def test_a_response_that_arrives_at_its_deadline_is_applied() -> None:
     """Its bytes were read, and the call that they answered was given up in the same turn of the loop."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
         held = asyncio.get_running_loop().time() + SHORT_HOLD_MS / 1000 + WATCH_GRACE + 0.05
         while asyncio.get_running_loop().time() < held - 0.1:
             await asyncio.sleep(0.01)
-        line.send(scene.drain_of_the_first)
+        line.send(scene.drain_of_first)
         time.sleep(max(0.0, held - asyncio.get_running_loop().time()))
         await until(lambda: scene.gateway.replica_set.version == 2)
-        assert scene.state("w0") is ReplicaState.DRAINING
+        assert scene.listed_state("w0") is ReplicaState.DRAINING
 
-    play(test, hold_ms=SHORT_HOLD_MS)
+    run_scenario(test, hold_ms=SHORT_HOLD_MS)
 
 
-def test_a_drain_that_was_told_as_discovery_moved_is_taken() -> None:
+def test_a_drain_written_as_discovery_moved_is_applied() -> None:
     """The old service had written it, and it was dropped with its connection; the new one may be slow."""
 
-    async def test(scene: Scene) -> None:
-        line, slow = await scene.watching(), ScriptedServer()
-        line.send(scene.drain_of_the_first)
+    async def test(scene: DrainScenario) -> None:
+        line, slow = await scene.start_watch(), ScriptedServer()
+        line.send(scene.drain_of_first)
         scene.watch.change_endpoint(slow.endpoint)
         taken = await slow.accept()
         assert b"from=" not in await taken.read_until(b"\r\n\r\n"), "versions are each service's own"
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
         assert scene.gateway.replica_set.version == -1
 
-    play(test)
+    run_scenario(test)
 
 
-def test_an_answer_that_was_half_written_as_discovery_moved_is_taken() -> None:
-    async def test(scene: Scene) -> None:
-        line, slow = await scene.watching(), ScriptedServer()
-        half = len(scene.drain_of_the_first) // 2
-        line.send(scene.drain_of_the_first[:half])
+def test_a_response_half_written_as_discovery_moved_is_applied() -> None:
+    async def test(scene: DrainScenario) -> None:
+        line, slow = await scene.start_watch(), ScriptedServer()
+        half = len(scene.drain_of_first) // 2
+        line.send(scene.drain_of_first[:half])
         scene.watch.change_endpoint(slow.endpoint)
         await (await slow.accept()).read_until(b"\r\n\r\n")
-        line.send(scene.drain_of_the_first[half:])
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
+        line.send(scene.drain_of_first[half:])
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize("bad", [{"uid": 5}, {"uid": "w1", "state": "odd"}, 7, {"uid": "w1", "state": "up"}])
-def test_a_drain_beside_an_entry_that_cannot_be_read_is_taken(bad: Any) -> None:
+def test_a_drain_beside_an_unreadable_entry_is_applied(bad: Any) -> None:
     """One bad entry made the whole answer void, its good drains included."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
-        line.send(answer(2, target("w0", scene.first, "draining"), bad))
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
+        line.send(list_response(2, entry("w0", scene.first, "draining"), bad))
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
         assert scene.gateway.replica_set.version == 1, "the same is asked for again"
 
-    play(test)
+    run_scenario(test)
 
 
-def test_an_answer_older_than_the_last_puts_no_drained_replica_back() -> None:
+def test_a_stale_response_makes_no_drained_replica_ready() -> None:
     """Its version was taken as it came, and what it listed with it; the whole list is asked for instead."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
-        line.send(scene.drain_of_the_first)
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
+        line.send(scene.drain_of_first)
         await line.read_until(b"from=2&")
-        line.send(answer(1, target("w0", scene.first), target("w1", scene.second), whole=True))
+        line.send(list_response(1, entry("w0", scene.first), entry("w1", scene.second), whole=True))
         assert b"from=" not in await line.read_until(b"\r\n\r\n")
-        assert scene.state("w0") is ReplicaState.DRAINING and scene.state("w1") is ReplicaState.READY
-        line.send(answer(1, target("w0", scene.first), target("w1", scene.second), whole=True))
+        assert (
+            scene.listed_state("w0") is ReplicaState.DRAINING
+            and scene.listed_state("w1") is ReplicaState.READY
+        )
+        line.send(list_response(1, entry("w0", scene.first), entry("w1", scene.second), whole=True))
         await line.read_until(b"from=1&")
-        assert scene.state("w0") is ReplicaState.READY, "said as the whole list, it is the service's own word"
+        assert scene.listed_state("w0") is ReplicaState.READY, (
+            "said as the whole list, it is the service's own word"
+        )
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_service_begun_anew_with_lower_versions_is_asked_for_its_whole_list() -> None:
+def test_a_restarted_service_with_lower_versions_is_asked_for_its_complete_list() -> None:
     """What it had changed up to that version was never asked for."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
-        line.send(answer(0, target("w1", scene.second, "draining")))
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
+        line.send(list_response(0, entry("w1", scene.second, "draining")))
         assert b"from=" not in await line.read_until(b"\r\n\r\n")
-        assert scene.state("w1") is ReplicaState.DRAINING
+        assert scene.listed_state("w1") is ReplicaState.DRAINING
 
-    play(test)
+    run_scenario(test)
 
 
-BAD_ANSWERS = {
+MALFORMED_RESPONSES = {
     "no list": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
     "not JSON": b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"rev": 2',
     "a bad version": b'HTTP/1.1 200 OK\r\nContent-Length: 39\r\n\r\n{"rev": -2, "all": true, "targets": []}',
@@ -243,33 +248,33 @@
 }
 
 
-@pytest.mark.parametrize("bad", BAD_ANSWERS.values(), ids=BAD_ANSWERS.keys())
-def test_an_answer_of_which_nothing_can_be_read_costs_one_line_and_is_asked_for_again(bad: bytes) -> None:
+@pytest.mark.parametrize("bad", MALFORMED_RESPONSES.values(), ids=MALFORMED_RESPONSES.keys())
+def test_an_unreadable_response_is_logged_once_and_requested_again(bad: bytes) -> None:
     """What was in force stays; the drain that comes with the next answer is taken."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
         with capture_logs() as logs:
             for _ in range(2):
                 with contextlib.suppress(ConnectionError):  # it is cut off before its end
                     await asyncio.get_running_loop().sock_sendall(line.sock, bad)
                 line = await scene.discovery.accept()
                 assert b"from=1&hold_ms=0 " in await line.read_until(b"\r\n\r\n")
-                assert scene.state("w0") == scene.state("w1") is ReplicaState.READY
-            line.send(scene.drain_of_the_first)
-            await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
+                assert scene.listed_state("w0") == scene.listed_state("w1") is ReplicaState.READY
+            line.send(scene.drain_of_first)
+            await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
         failing = [one for one in logs if one["event"] == "discovery_failing"]
         assert len(failing) == 1 and failing[0]["reason"]
 
-    play(test, asks=True)
+    run_scenario(test, polls=True)
 
 
-def test_an_answer_that_does_not_end_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_response_that_does_not_end_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """It came a byte at a time for as long as its sender pleased."""
     monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.3)
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
         asked_again = asyncio.ensure_future(scene.discovery.accept())
         line.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
         while not asked_again.done():
@@ -278,42 +283,42 @@
             await asyncio.sleep(0.02)
         assert b"from=1&hold_ms=0 " in await asked_again.result().read_until(b"\r\n\r\n")
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_service_that_answers_at_once_with_nothing_new_is_not_asked_in_a_tight_loop() -> None:
-    async def test(scene: Scene) -> None:
-        line, loop = await scene.watching(), asyncio.get_running_loop()
+def test_a_service_that_responds_at_once_without_changes_is_not_polled_in_a_tight_loop() -> None:
+    async def test(scene: DrainScenario) -> None:
+        line, loop = await scene.start_watch(), asyncio.get_running_loop()
         began = loop.time()
         for _ in range(4):
-            line.send(answer(1))
+            line.send(list_response(1))
             await line.read_until(b"from=1&hold_ms=%d" % HOLD_MS)
         assert loop.time() - began >= 4 * UNCHANGED_PAUSE
-        line.send(scene.drain_of_the_first)
+        line.send(scene.drain_of_first)
         await line.read_until(b"from=2&")
 
-    play(test)
+    run_scenario(test)
 
 
-def test_the_last_answer_of_a_former_service_does_not_end_the_asking_for_the_new_ones_list() -> None:
+def test_the_last_response_of_a_former_service_does_not_end_the_poll_of_the_new_one() -> None:
     """It was taken for the answer to the request that had failed: nobody asked again."""
 
-    async def test(scene: Scene) -> None:
-        line, new = await scene.watching(), ScriptedServer()
+    async def test(scene: DrainScenario) -> None:
+        line, new = await scene.start_watch(), ScriptedServer()
         scene.watch.change_endpoint(new.endpoint)
         refusing = await new.accept()
         await refusing.read_until(b"\r\n\r\n")
-        refusing.send(BAD_ANSWERS["a refusal"])
+        refusing.send(MALFORMED_RESPONSES["a refusal"])
         assert await refusing.read_to_end() == b""
-        line.send(scene.drain_of_the_first)
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
+        line.send(scene.drain_of_first)
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
         asking = await new.accept()
         assert b"from=" not in await asking.read_until(b"\r\n\r\n")
 
-    play(test, asks=True)
+    run_scenario(test, polls=True)
 
 
-class Unfinished:
+class UnfinishedFollower:
     """A former service whose last word is on its way for as long as the test pleases."""
 
     has_unread_changes = True
@@ -322,20 +327,20 @@
         """Nothing is open."""
 
 
-def test_a_service_left_behind_with_an_answer_in_hand_waits_for_no_other() -> None:
+def test_a_former_follower_with_a_response_does_not_wait_for_other_followers() -> None:
     """Moved twice at once, it waited for its own answer to be taken: no request was sent any more."""
 
-    async def test(scene: Scene) -> None:
-        line, former, new = await scene.watching(), Unfinished(), ScriptedServer()
+    async def test(scene: DrainScenario) -> None:
+        line, former, new = await scene.start_watch(), UnfinishedFollower(), ScriptedServer()
         scene.watch._former_followers.append(former)  # type: ignore[arg-type]
-        line.send(scene.drain_of_the_first)
+        line.send(scene.drain_of_first)
         await until(
             lambda: scene.watch._current_follower is not None and scene.watch._current_follower._applying
         )
         scene.watch.change_endpoint(new.endpoint)
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
         former.has_unread_changes = False
         await until(lambda: not scene.watch.has_unread_changes)
         assert b"from=" not in await (await new.accept()).read_until(b"\r\n\r\n")
 
-    play(test)
+    run_scenario(test)
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -21,14 +21,16 @@
 from tests.peers import Gateway, RawConnection, ScriptedServer
 from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk, request_bytes, until
 
-UP = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
-ANSWER = STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b"")
-FULL = b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-HELD = 0.2  # seconds for which the loop is held: longer than a client may have been gone
-LONG = b"data: " + b"x" * 30_000 + b"\n\n"
+READINESS_CHECK = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
+RESPONSE = STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b"")
+OVERLOADED_RESPONSE = (
+    b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+)
+BUSY_TIME = 0.2  # seconds for which the loop is held: longer than a client may have been gone
+LONG_EVENT = b"data: " + b"x" * 30_000 + b"\n\n"
 
 
-def play(
+def run_scenario(
     test: Callable[[Gateway, ScriptedServer], Awaitable[None]], full: bool = False, **settings: Any
 ) -> None:
     async def whole() -> None:
@@ -39,53 +41,53 @@
     asyncio.run(whole())
 
 
-def served(gateway: Gateway) -> ClientConnection:
+def client_connection(gateway: Gateway) -> ClientConnection:
     (one,) = gateway.front.listener.connections
     assert isinstance(one, ClientConnection)
     return one
 
 
-async def rested(gateway: Gateway) -> RawConnection:
+async def idle_client(gateway: Gateway) -> RawConnection:
     """A client's connection between two requests."""
     client = await gateway.connect_client()
-    client.send(UP)
+    client.send(READINESS_CHECK)
     await client.read_until(b"ready\n")
     return client
 
 
-def sweep(gateway: Gateway) -> None:
+def close_idle_connections(gateway: Gateway) -> None:
     gateway.front.listener.close_idle(0)
 
 
-def crowd(gateway: Gateway) -> None:
-    served(gateway).active_at -= 1.0
+def evict_idle_connection(gateway: Gateway) -> None:
+    client_connection(gateway).active_at -= 1.0
     gateway.front.listener._make_room()
 
 
-@pytest.mark.parametrize("close", [sweep, crowd])
-def test_a_request_that_has_come_as_its_connection_is_closed_for_idleness_is_answered(
+@pytest.mark.parametrize("close", [close_idle_connections, evict_idle_connection])
+def test_a_request_that_arrives_as_its_idle_connection_is_closed_is_answered(
     close: Callable[[Gateway], None],
 ) -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        client = await rested(gateway)
-        client.send(UP)
+        client = await idle_client(gateway)
+        client.send(READINESS_CHECK)
         close(gateway)
         assert b"200 OK" in await client.read_until(b"ready\n")
         close(gateway)
         assert await client.read_to_end() == b"", "with nothing to read it is closed"
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_first_request_that_has_come_as_its_silent_connection_is_closed_is_answered() -> None:
+def test_a_first_request_that_arrives_as_its_silent_connection_is_closed_is_answered() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         await until(lambda: len(gateway.front.listener.connections) == 1)
-        client.send(UP)
-        served(gateway).check(asyncio.get_running_loop().time() + 60)
+        client.send(READINESS_CHECK)
+        client_connection(gateway).check(asyncio.get_running_loop().time() + 60)
         assert b"200 OK" in await client.read_until(b"ready\n")
 
-    play(test)
+    run_scenario(test)
 
 
 async def slow_stream(gateway: Gateway, peer: ScriptedServer) -> tuple[RawConnection, RawConnection]:
@@ -93,88 +95,92 @@
     gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
     client = await gateway.connect_client(SO_RCVBUF=4096)
     client.send(request_bytes(1))
-    worker = await peer.accept()
-    await worker.read_until(b"{}")
-    return client, worker
+    replica = await peer.accept()
+    await replica.read_until(b"{}")
+    return client, replica
 
 
-def test_a_slow_client_gets_the_end_of_its_last_answer_after_the_time_to_linger() -> None:
+def test_a_slow_client_gets_the_end_of_its_last_response_after_the_linger_time() -> None:
     """A second after the answer's end the connection was closed, with what the client had yet to take."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        client, worker = await slow_stream(gateway, peer)
+        client, replica = await slow_stream(gateway, peer)
         # Most of it waits in the process.
-        served(gateway).stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        worker.send(STREAM_HEAD + chunk(LONG) + chunk(b""))
+        client_connection(gateway).stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        replica.send(STREAM_HEAD + chunk(LONG_EVENT) + chunk(b""))
         await until(lambda: not gateway.core.requests)
-        connection = served(gateway)
+        connection = client_connection(gateway)
         assert connection.outbox.unsent and not connection.outbox.stalled(0, LINGER)
         connection.check(connection.active_at + 2 * LINGER)
-        assert (await client.read_to_end()).endswith(chunk(LONG) + chunk(b""))
+        assert (await client.read_to_end()).endswith(chunk(LONG_EVENT) + chunk(b""))
 
-    play(test)
+    run_scenario(test)
 
 
-def test_bytes_that_cross_the_last_answer_do_not_cost_it_its_end() -> None:
+def test_bytes_received_during_the_last_response_do_not_truncate_it() -> None:
     """A close over unread bytes resets: what the system still held of the answer went with it."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        client, worker = await slow_stream(gateway, peer)
-        worker.send(STREAM_HEAD + chunk(LONG))
-        await until(lambda: served(gateway).open_request is not None and gateway.core.totals["attempts"] == 1)
+        client, replica = await slow_stream(gateway, peer)
+        replica.send(STREAM_HEAD + chunk(LONG_EVENT))
+        await until(
+            lambda: (
+                client_connection(gateway).open_request is not None and gateway.core.totals["attempts"] == 1
+            )
+        )
         (call,) = gateway.core.requests.values()
-        await until(lambda: call.streaming_attempt is not None and not served(gateway).outbox.unsent)
+        await until(
+            lambda: call.streaming_attempt is not None and not client_connection(gateway).outbox.unsent
+        )
         client.send(request_bytes(2))
         call.attempts[0].end(Outcome.OK)
-        assert (await client.read_to_end()).endswith(chunk(LONG) + chunk(b""))
+        assert (await client.read_to_end()).endswith(chunk(LONG_EVENT) + chunk(b""))
         assert gateway.core.totals["calls"] == 1, "read after the shutdown, it is not run"
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_client_that_takes_nothing_delays_no_event_of_another() -> None:
+def test_a_client_that_does_not_read_delays_no_event_of_another() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        lazy, slow_worker = await slow_stream(gateway, peer)
-        served(gateway).stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        slow_worker.send(STREAM_HEAD + b"".join(chunk(LONG) for _ in range(4)))
-        await until(lambda: served(gateway).outbox.unsent > OutgoingBuffer.HIGH)
+        lazy, slow_replica = await slow_stream(gateway, peer)
+        client_connection(gateway).stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        slow_replica.send(STREAM_HEAD + b"".join(chunk(LONG_EVENT) for _ in range(4)))
+        await until(lambda: client_connection(gateway).outbox.unsent > OutgoingBuffer.HIGH)
         client = await gateway.connect_client()
         client.send(request_bytes(2))
-        worker = await peer.accept()
-        await worker.read_until(b"{}")
-        worker.send(STREAM_HEAD)
+        replica = await peer.accept()
+        await replica.read_until(b"{}")
+        replica.send(STREAM_HEAD)
         for event in (EVENTS[0], EVENTS[1], EVENTS[0]):
-            worker.send(chunk(event))  # the next is not written before this one has been passed on
+            replica.send(chunk(event))  # the next is not written before this one has been passed on
             assert (await client.read_until(chunk(event))).endswith(chunk(event))
-        worker.send(chunk(b""))
+        replica.send(chunk(b""))
         assert (await client.read_to_end()).endswith(chunk(b""))
         lazy.close()
 
-    play(test)
+    run_scenario(test)
 
 
-async def with_a_kept_connection(
-    gateway: Gateway, peer: ScriptedServer
-) -> tuple[RawConnection, RawConnection]:
+async def idle_connection_pair(gateway: Gateway, peer: ScriptedServer) -> tuple[RawConnection, RawConnection]:
     """A client that has its first answer, and the connection to the replica, ready to be used again."""
     client = await gateway.connect_client()
     client.send(request_bytes(1))
     replica = await peer.accept()
     await replica.read_until(b"{}")
-    replica.send(ANSWER)
+    replica.send(RESPONSE)
     await client.read_until(chunk(b""))
     (idle,) = gateway.transport.pool.idle[next(iter(gateway.replica_set.replicas))]
     await until(lambda: asyncio.get_running_loop().time() > idle.idle_since + SETTLE_TIME)
     return client, replica
 
 
-@pytest.mark.parametrize("late", [ANSWER, b"HTTP/1.1 2", b""], ids=["answer", "half a line", "end"])
-def test_what_a_worker_sends_behind_its_answer_never_meets_the_next_request(late: bytes) -> None:
+@pytest.mark.parametrize("late", [RESPONSE, b"HTTP/1.1 2", b""], ids=["answer", "half a line", "end"])
+def test_what_a_replica_sends_after_its_response_is_never_read_as_the_next_response(late: bytes) -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        client, first = await with_a_kept_connection(gateway, peer)
+        client, first = await idle_connection_pair(gateway, peer)
         client.send(request_bytes(2))
-        # Taken from the client without the loop's looking at the worker's connection.
-        taken = served(gateway)
+        # Taken from the client without the loop's looking at the replica's connection.
+        taken = client_connection(gateway)
         data = taken.stream.socket.recv(65536)
         if late:
             first.send(late)
@@ -186,13 +192,13 @@
         second.send(STREAM_HEAD + chunk(EVENTS[1]) + chunk(b""))
         assert (await client.read_until(chunk(b""))).endswith(chunk(EVENTS[1]) + chunk(b""))
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize(
     ("whole", "outcome", "status"), [(False, "connect_failed", b"503"), (True, "reset", b"502")]
 )
-def test_a_worker_that_resets_has_run_a_request_only_if_its_last_byte_was_written(
+def test_a_replica_that_resets_may_have_run_a_request_only_if_its_last_byte_was_written(
     monkeypatch: pytest.MonkeyPatch, whole: bool, outcome: str, status: bytes
 ) -> None:
     """Of a class that may run once: turned away, its client sends it again; failed, it does not."""
@@ -206,34 +212,34 @@
         client = await gateway.connect_client()
         sent = request_bytes(1, body=b"x" * 200_000)
         await asyncio.get_running_loop().sock_sendall(client.sock, sent)
-        worker = await peer.accept()
-        await worker.read_until(b"x" * 200_000 if whole else b"\r\n\r\n")
-        worker.reset()
+        replica = await peer.accept()
+        await replica.read_until(b"x" * 200_000 if whole else b"\r\n\r\n")
+        replica.reset()
         assert status in await client.read_until(b"\r\n\r\n")
         assert gateway.core.totals[f"outcome_{outcome}"] == gateway.core.totals["attempts"]
 
     monkeypatch.setattr(dialing, "IOStream", small)
-    play(test, classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
+    run_scenario(test, classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
 
 
-async def leaves(gateway: Gateway, client: RawConnection) -> None:
+async def disconnect_client(gateway: Gateway, client: RawConnection) -> None:
     client.close()
     await until(lambda: gateway.core.totals["left"] == 1)
 
 
-async def drains(gateway: Gateway, client: RawConnection) -> None:
-    (worker,) = gateway.replica_set.replicas.values()
-    gateway.update_replicas(ListedReplica(worker.uid, ReplicaState.DRAINING, worker.endpoint, "z"))
+async def drain_and_move_replica(gateway: Gateway, client: RawConnection) -> None:
+    (replica,) = gateway.replica_set.replicas.values()
+    gateway.update_replicas(ListedReplica(replica.uid, ReplicaState.DRAINING, replica.endpoint, "z"))
     gateway.update_replicas(
-        ListedReplica(worker.uid, ReplicaState.READY, ("127.0.0.1", 9), "z")
+        ListedReplica(replica.uid, ReplicaState.READY, ("127.0.0.1", 9), "z")
     )  # it comes back elsewhere
 
 
-@pytest.mark.parametrize("happens", [leaves, drains])
-def test_nothing_is_written_to_a_connection_that_comes_up_after(
+@pytest.mark.parametrize("happens", [disconnect_client, drain_and_move_replica])
+def test_nothing_is_written_to_a_connection_that_is_established_too_late(
     happens: Callable[[Gateway, RawConnection], Awaitable[None]],
 ) -> None:
-    """The client had left, or the worker was told gone from there: the request was written all the same."""
+    """The client had left, or the replica was told gone from there: the request was written all the same."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
@@ -247,31 +253,31 @@
         gateway.transport.close()
         assert await late.read_to_end() == b""
 
-    play(test, full=True)
+    run_scenario(test, full=True)
 
 
-async def after_a_full_worker(gateway: Gateway, peer: ScriptedServer) -> None:
+async def wait_after_overload(gateway: Gateway, peer: ScriptedServer) -> None:
     client = await gateway.connect_client()
     client.send(request_bytes(1))
-    worker = await peer.accept()
-    await worker.read_until(b"{}")
-    worker.send(FULL)
+    replica = await peer.accept()
+    await replica.read_until(b"{}")
+    replica.send(OVERLOADED_RESPONSE)
     client.close()  # in one turn of the loop with the refusal, after which it would wait for room and a retry
 
 
-async def behind_another(gateway: Gateway, peer: ScriptedServer) -> None:
+async def wait_in_pipeline(gateway: Gateway, peer: ScriptedServer) -> None:
     client = await gateway.connect_client()
     client.send(request_bytes(1) + request_bytes(2))
-    worker = await peer.accept()
-    await worker.read_until(b"{}")
+    replica = await peer.accept()
+    await replica.read_until(b"{}")
     client.close()
     await until(lambda: gateway.core.totals["left"] == 1)
-    worker.send(ANSWER)
+    replica.send(RESPONSE)
     await until(lambda: not gateway.core.requests)
 
 
-@pytest.mark.parametrize("waits", [after_a_full_worker, behind_another])
-def test_nothing_is_sent_for_a_client_that_left_while_its_request_waited(
+@pytest.mark.parametrize("waits", [wait_after_overload, wait_in_pipeline])
+def test_nothing_is_sent_for_a_client_that_disconnected_while_its_request_waited(
     waits: Callable[[Gateway, ScriptedServer], Awaitable[None]],
 ) -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
@@ -279,68 +285,68 @@
         await until(lambda: gateway.core.totals["left"] == 1)
         other = await gateway.connect_client()
         other.send(request_bytes(3))  # it would go after what waits
-        worker = await peer.accept()
-        assert b"0000000000000003" in await worker.read_until(b"{}")
+        replica = await peer.accept()
+        assert b"0000000000000003" in await replica.read_until(b"{}")
         assert gateway.core.totals["attempts"] == 2, "one for each of two requests"
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize("pipelined", [False, True])
-def test_nothing_is_sent_for_a_client_whose_close_lies_unread_while_the_loop_is_held(pipelined: bool) -> None:
+def test_nothing_is_sent_for_a_client_whose_close_is_unread_in_a_busy_loop(pipelined: bool) -> None:
     """It had left for longer than 0.1 s, and its request was written: the loop had not heard of the close."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        client, worker = await with_a_kept_connection(gateway, peer)
+        client, replica = await idle_connection_pair(gateway, peer)
         client.send(request_bytes(2) + (request_bytes(3) if pipelined else b""))
-        taken = served(gateway)
+        taken = client_connection(gateway)
         taken._take(taken.stream.socket.recv(65536))
         assert gateway.core.totals["attempts"] == 2
         client.close()
-        time.sleep(HELD)
+        time.sleep(BUSY_TIME)
         await until(lambda: gateway.core.totals["left"] == 1 and not gateway.core.requests)
         assert gateway.core.totals["outcome_never_sent"] == 1
         gateway.transport.close()
-        assert await worker.read_to_end() == b"", "nothing came on the connection that was kept"
+        assert await replica.read_to_end() == b"", "nothing came on the connection that was kept"
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_request_in_the_backlog_as_the_gateway_stops_to_listen_is_answered() -> None:
+def test_a_request_in_the_backlog_as_the_gateway_stops_listening_is_answered() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = RawConnection(socket.create_connection(gateway.endpoint))
-        client.send(UP)
+        client.send(READINESS_CHECK)
         assert not gateway.front.listener.connections, "the loop has not heard of it"
         gateway.front.listener.stop()
         assert b"200 OK" in await client.read_until(b"ready\n")
 
-    play(test)
+    run_scenario(test)
 
 
-def test_requests_that_were_read_together_are_all_answered_by_a_gateway_that_stops() -> None:
+def test_pipelined_requests_are_all_answered_by_a_gateway_that_stops() -> None:
     """The first answer ended the connection, and what was read behind it was dropped without one."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        client = await rested(gateway)
+        client = await idle_client(gateway)
         gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
-        client.send(UP + request_bytes(2) + UP)
-        worker = await peer.accept()
-        await worker.read_until(b"{}")
-        worker.send(ANSWER)
+        client.send(READINESS_CHECK + request_bytes(2) + READINESS_CHECK)
+        replica = await peer.accept()
+        await replica.read_until(b"{}")
+        replica.send(RESPONSE)
         answers = await client.read_to_end()
         assert answers.count(b"HTTP/1.1 200") == 3 and answers.count(b"Connection: close") == 1
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_request_that_crosses_the_last_answer_of_a_stop_is_not_run() -> None:
+def test_a_request_that_arrives_after_the_last_response_of_a_stopping_gateway_is_not_run() -> None:
     """It comes behind the answer that ends the connection: its client sends it again."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        client = await rested(gateway)
+        client = await idle_client(gateway)
         gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
-        client.send(UP)
-        taken = served(gateway)
+        client.send(READINESS_CHECK)
+        taken = client_connection(gateway)
         taken._take(taken.stream.socket.recv(65536))
         client.send(request_bytes(2))  # the last answer is written, and the loop has not gone round
         assert (await client.read_to_end()).count(b"HTTP/1.1") == 1
@@ -348,35 +354,35 @@
         client.close()
         await until(lambda: not gateway.front.listener.connections)
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_stream_that_its_worker_has_finished_outlasts_the_hand_over() -> None:
+def test_a_stream_that_its_replica_has_finished_is_completed_despite_the_hand_off() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         client.send(request_bytes(1))
-        worker = await peer.accept()
-        await worker.read_until(b"{}")
-        worker.send(STREAM_HEAD + chunk(EVENTS[0]))
+        replica = await peer.accept()
+        await replica.read_until(b"{}")
+        replica.send(STREAM_HEAD + chunk(EVENTS[0]))
         await client.read_until(EVENTS[0])
-        worker.send(chunk(STREAM_TAIL) + chunk(b""))
+        replica.send(chunk(STREAM_TAIL) + chunk(b""))
         gateway.core.hand_off(immediately=False)
         assert (await client.read_until(chunk(b""))).endswith(chunk(STREAM_TAIL) + chunk(b""))
         assert gateway.core.totals["handed_over"] == 0
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_running_stream_is_handed_over_as_soon_as_all_that_has_come_is_passed_on() -> None:
+def test_a_running_stream_is_handed_off_once_all_received_events_are_passed_on() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         client.send(request_bytes(1))
-        worker = await peer.accept()
-        await worker.read_until(b"{}")
-        worker.send(STREAM_HEAD + chunk(EVENTS[0]))
+        replica = await peer.accept()
+        await replica.read_until(b"{}")
+        replica.send(STREAM_HEAD + chunk(EVENTS[0]))
         await client.read_until(EVENTS[0])
         gateway.core.hand_off(immediately=False)
         assert chunk(b"") not in await client.read_to_end()
-        assert await worker.read_some() == b"", "its worker is told, too"
+        assert await replica.read_some() == b"", "its replica is cancelled too"
 
-    play(test)
+    run_scenario(test)
