--- a/lockspoke/lifecycle/composition.py
+++ b/lockspoke/lifecycle/composition.py
@@ -80,7 +80,7 @@
     )
     watch: EndpointListSource = find_endpoint_list_source(subsystems) or PlatformDiscovery(config)
     core = Core(config.settings, config.seed, replica_set, clock, transport, watch)
-    watch.core = core
+    watch.attach(core)
     clients = _client_front(config, core, state, per_side)
     operators = None
     if config.operator is not None:
--- a/lockspoke/lifecycle/config_file.py
+++ b/lockspoke/lifecycle/config_file.py
@@ -10,7 +10,7 @@
 
 from lockspoke.simulator.protocol import decode_settings
 from lockspoke.units import MILLISECOND
-from lockspoke.wire.discovery.messages import decode_address, read_endpoint_list
+from lockspoke.wire.discovery.endpoint_list import decode_address, read_endpoint_list
 
 from .config import ConfigError, GatewayConfig, InvalidValueError
 
--- a/lockspoke/lifecycle/subsystems.py
+++ b/lockspoke/lifecycle/subsystems.py
@@ -13,6 +13,7 @@
 from typing import TYPE_CHECKING, Any, Protocol, cast
 
 from lockspoke.core.core import Core
+from lockspoke.core.endpoint_list import EndpointListListener
 from lockspoke.core.replica_set import ReplicaListUpdate
 from lockspoke.wire.clients.front import ClientFront
 
@@ -32,9 +33,11 @@
 class EndpointListSource(Protocol):
     """Where the endpoint list comes from. A gateway has one; it is the core's discovery as well."""
 
-    core: Core | None  # set before anything is asked of it
     first_poll_finished: bool  # whether the first request for changes has ended, with or without success
 
+    def attach(self, listener: EndpointListListener) -> None:
+        """Report changes to this listener; called once, before `initial_list` and `watch`."""
+
     def initial_list(self) -> ReplicaListUpdate | None:
         """The list to start with, if there is one yet. Raises ConfigError if there can't be one."""
 
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -22,7 +22,7 @@
 from lockspoke.lifecycle.edge_file import read_edge
 from tests.address.cluster import Cluster, endpoint, overlaps
 from tests.address.relay import free_port
-from tests.standins import EVENTS, STREAM_HEAD, WAIT_TIMEOUT, STREAM_TAIL, Client, request_bytes, chunk, until
+from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, WAIT_TIMEOUT, Client, chunk, request_bytes, until
 
 Play = Callable[[Cluster], Awaitable[None]]
 
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -13,14 +13,14 @@
 from lockspoke.lifecycle.edge_file import read_batch_file
 from tests.standins import (
     EVENTS,
-    STREAM_HEAD,
     ROOT,
+    STREAM_HEAD,
     STREAM_TAIL,
     Client,
     FakeReplica,
     Program,
-    request_bytes,
     chunk,
+    request_bytes,
     until,
 )
 
--- a/tests/inventory/test_source.py
+++ b/tests/inventory/test_source.py
@@ -22,8 +22,8 @@
     Client,
     FakeReplica,
     Program,
-    request_bytes,
     chunk,
+    request_bytes,
     until,
 )
 
--- a/tests/lifecycle/test_connections.py
+++ b/tests/lifecycle/test_connections.py
@@ -9,16 +9,16 @@
 from lockspoke.wire.http.http1 import Request
 from tests.standins import (
     EVENTS,
-    STREAM_HEAD,
     ROOT,
     SECOND,
+    STREAM_HEAD,
     STREAM_TAIL,
     Client,
     FakeDiscovery,
     FakeReplica,
     Program,
-    request_bytes,
     chunk,
+    request_bytes,
     until,
 )
 
--- a/tests/lifecycle/test_graceful_shutdown.py
+++ b/tests/lifecycle/test_graceful_shutdown.py
@@ -8,13 +8,13 @@
 from tests.standins import (
     EVENTS,
     STREAM_HEAD,
-    WAIT_TIMEOUT,
     STREAM_TAIL,
+    WAIT_TIMEOUT,
     Client,
     FakeReplica,
     Program,
-    request_bytes,
     chunk,
+    request_bytes,
     until,
 )
 
--- a/tests/lifecycle/test_requests.py
+++ b/tests/lifecycle/test_requests.py
@@ -13,8 +13,8 @@
     FakeDiscovery,
     FakeReplica,
     Program,
-    request_bytes,
     chunk,
+    request_bytes,
     until,
 )
 
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -13,12 +13,12 @@
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import UNKNOWN_VERSION
 from lockspoke.wire.clients.request_fields import decode_load_report, decode_request_fields
-from lockspoke.wire.discovery.messages import (
-    STATES,
+from lockspoke.wire.discovery.endpoint_list import (
     EndpointListError,
     decode_endpoint_list,
     without_ready_replicas,
 )
+from lockspoke.wire.discovery.endpoint_list import STATES
 from lockspoke.wire.http.http1 import Headers, HttpError
 from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, StreamError
 from tests.wire.http.test_http1 import cut, fixed
