--- a/lockspoke/batch/connection.py
+++ b/lockspoke/batch/connection.py
@@ -12,13 +12,13 @@
 
 from lockspoke.wire.http.http1 import (
     HttpError,
-    Piece,
+    MessagePart,
     RequestHead,
     RequestParser,
     encode_head,
     encode_response,
 )
-from lockspoke.wire.tcp.listener import READ
+from lockspoke.wire.tcp.listener import READ_SIZE
 
 from .application import BatchApplication
 from .errors import ApiError
@@ -50,7 +50,7 @@
         self.has_received = True
         self.idle = True
         self._parser = RequestParser(application.limits.file_size + FORM_OVERHEAD)
-        self._pieces: list[Piece] = []
+        self._pieces: list[MessagePart] = []
 
     async def run(self) -> None:
         """Serve until the client or an error ends the connection."""
@@ -76,11 +76,11 @@
         with suppress(TimeoutError):
             async with asyncio.timeout(LINGER_TIMEOUT):
                 while True:
-                    await self.stream.read_bytes(READ, partial=True)
+                    await self.stream.read_bytes(READ_SIZE, partial=True)
 
-    async def _next_piece(self) -> Piece:
+    async def _next_piece(self) -> MessagePart:
         while not self._pieces:
-            data = await self.stream.read_bytes(READ, partial=True)
+            data = await self.stream.read_bytes(READ_SIZE, partial=True)
             self._mark_active()
             self._pieces = self._parser.feed(data)
         return self._pieces.pop(0)
--- a/lockspoke/batch/front.py
+++ b/lockspoke/batch/front.py
@@ -47,7 +47,7 @@
     def run_periodic_checks(self) -> None:
         """Close idle connections, and those whose client neither sends nor takes anything."""
         self.listener.close_idle(IDLE_TIMEOUT)
-        self.listener.reclaim()
+        self.listener.enforce_limit()
         stalled_since = asyncio.get_running_loop().time() - STALL_TIMEOUT
         for connection in list(self.listener.connections):
             if not connection.idle and connection.active_at < stalled_since:
--- a/lockspoke/batch/messages.py
+++ b/lockspoke/batch/messages.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from lockspoke.wire.http.http1 import BodyChunk, MessageEnd, Piece, RequestHead
+from lockspoke.wire.http.http1 import BodyChunk, MessageEnd, MessagePart, RequestHead
 
 from .errors import ApiError
 from .validation import ByteRange, decode_json
@@ -19,7 +19,7 @@
 class RequestBody:
     """A request body that is read as it arrives."""
 
-    def __init__(self, next_piece: Callable[[], Awaitable[Piece]]) -> None:
+    def __init__(self, next_piece: Callable[[], Awaitable[MessagePart]]) -> None:
         self._next_piece = next_piece
         self.complete = False  # whether all of it has been read
 
--- a/lockspoke/lifecycle/composition.py
+++ b/lockspoke/lifecycle/composition.py
@@ -10,7 +10,7 @@
 from lockspoke.core.identifiers import Identifiers
 from lockspoke.core.replica_set import ReplicaSet
 from lockspoke.wire.clients.front import ClientFront
-from lockspoke.wire.operators.front import MOST, OperatorFront
+from lockspoke.wire.operators.front import MAX_CONNECTIONS, OperatorFront
 from lockspoke.wire.replicas.transport import ReplicaTransport
 
 from .clock import EventLoopClock
@@ -103,7 +103,7 @@
 
 def _reserved_descriptors(config: GatewayConfig, subsystems: Sequence[Subsystem]) -> int:
     """The file descriptors for connections other than those of clients and replicas."""
-    for_operators = MOST if config.operator is not None else 0
+    for_operators = MAX_CONNECTIONS if config.operator is not None else 0
     return for_operators + sum(subsystem.descriptors for subsystem in subsystems)
 
 
--- a/lockspoke/lifecycle/operator_commands.py
+++ b/lockspoke/lifecycle/operator_commands.py
@@ -9,7 +9,7 @@
 from lockspoke.core.core import Core
 from lockspoke.wire.clients.front import AdmissionMode, ClientFront
 from lockspoke.wire.http.http1 import HttpError
-from lockspoke.wire.operators.api import Ask, OperatorCall
+from lockspoke.wire.operators.api import OperatorCommand, OperatorRequest
 
 from .bans_file import write_bans
 from .phases import ProgramState
@@ -26,16 +26,16 @@
         self._clients = clients
         self._bans_file = bans_file
 
-    def execute(self, request: OperatorCall) -> str:
+    def execute(self, request: OperatorRequest) -> str:
         """Carry out a request; returns the response's text. Raises HttpError if it can't be done."""
-        match request.ask:
-            case Ask.READY:
+        match request.command:
+            case OperatorCommand.READY:
                 return self._check_ready()
-            case Ask.OFFLINE | Ask.ONLINE:
-                self._set_banned(request.uid, request.ask is Ask.OFFLINE)
-            case Ask.OUT_OF_SERVICE | Ask.IN_SERVICE:
-                self._set_out_of_service(request.ask is Ask.OUT_OF_SERVICE)
-        log.info("operator_request", command=request.ask.name.lower(), replica=request.uid)
+            case OperatorCommand.OFFLINE | OperatorCommand.ONLINE:
+                self._set_banned(request.uid, request.command is OperatorCommand.OFFLINE)
+            case OperatorCommand.OUT_OF_SERVICE | OperatorCommand.IN_SERVICE:
+                self._set_out_of_service(request.command is OperatorCommand.OUT_OF_SERVICE)
+        log.info("operator_request", command=request.command.name.lower(), replica=request.uid)
         return "done"
 
     def _check_ready(self) -> str:
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -59,7 +59,7 @@
                 if len(self._body) > MAX_LIST_SIZE:
                     raise HttpError(502, f"a list of more than {MAX_LIST_SIZE} bytes")
             elif isinstance(piece, MessageEnd) and self._head is not None:
-                self.reusable = self._head.keep_alive and self._parser.clean
+                self.reusable = self._head.keep_alive and self._parser.ended_cleanly
                 if self._head.status != 200:
                     raise EndpointListError(f"status {self._head.status}")
                 return bytes(self._body)
--- a/lockspoke/wire/replicas/exchange.py
+++ b/lockspoke/wire/replicas/exchange.py
@@ -18,7 +18,7 @@
     ResponseParser,
     encode_request,
 )
-from lockspoke.wire.http.sse import EventStream, StreamError
+from lockspoke.wire.http.sse import EventStream, EventStreamError
 
 from .connection import ReplicaConnection
 from .errors import ConnectError
@@ -64,7 +64,7 @@
         try:
             async with asyncio.timeout(None) as first_event_timeout:
                 return await self._read_response(first_event_timeout)
-        except (StreamClosedError, HttpError, StreamError, TimeoutError) as error:
+        except (StreamClosedError, HttpError, EventStreamError, TimeoutError) as error:
             return self._broken_response(error)
 
     async def _send_request(self, now: int) -> None:
@@ -91,7 +91,7 @@
             body, complete = self._parse(received)
             if self._outcome is Outcome.OK:
                 # Events that arrive together are passed on together, in a single write to the client.
-                data = events.feed(body) + (events.rest() if complete else b"")
+                data = events.feed(body) + (events.remainder() if complete else b"")
                 if data:
                     first_event_timeout.reschedule(None)
                     backpressure = attempt.stream_received(data)
@@ -102,7 +102,7 @@
                     self._outcome,
                     events.cached_tokens,
                     self._load_report(),
-                    connection_reusable=self._head.keep_alive and self._parser.clean,
+                    connection_reusable=self._head.keep_alive and self._parser.ended_cleanly,
                 )
 
     def _parse(self, received: bytes) -> tuple[bytes, bool]:
--- a/tests/batch/test_chat_completion.py
+++ b/tests/batch/test_chat_completion.py
@@ -8,7 +8,7 @@
 
 from lockspoke.batch.chat_completion import ChatCompletionAssembler, measure_prompt
 from tests.standins import EVENTS, STREAM_TAIL
-from tests.wire.http.test_http1 import cut, fixed
+from tests.wire.http.test_http1 import split_at, reproducible
 
 
 def test_a_prompt_is_measured_in_tokens_of_four_characters() -> None:
@@ -17,11 +17,11 @@
     assert (prompt.tokens, prompt.prefix_tokens, prompt.max_tokens) == (150.0, 100.0, 50.0)
 
 
-@fixed
+@reproducible
 @given(st.lists(st.integers(0)))
 def test_a_response_is_assembled_wherever_the_stream_is_split(cuts: list[int]) -> None:
     assembler = ChatCompletionAssembler("m", 7)
-    for part in cut(b": note\n\n" + b"".join(EVENTS) + STREAM_TAIL, cuts):
+    for part in split_at(b": note\n\n" + b"".join(EVENTS) + STREAM_TAIL, cuts):
         assembler.feed(part)
     body = assembler.body()
     assert body is not None and body["choices"] == [
--- a/tests/batch/test_form.py
+++ b/tests/batch/test_form.py
@@ -8,7 +8,7 @@
 
 from lockspoke.batch.errors import ApiError
 from lockspoke.batch.form import FormReader
-from tests.wire.http.test_http1 import cut, fixed
+from tests.wire.http.test_http1 import split_at, reproducible
 
 FORM = (
     b'--b1\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n'
@@ -17,19 +17,19 @@
 )
 
 
-@fixed
+@reproducible
 @given(st.lists(st.integers(0)))
 def test_a_form_reads_the_same_wherever_it_is_split(cuts: list[int]) -> None:
     content: list[bytes] = []
     form = FormReader("multipart/form-data; boundary=b1", "file", content.append)
-    for part in cut(FORM, cuts):
+    for part in split_at(FORM, cuts):
         form.feed(part)
     form.finish()
     assert form.fields == {"purpose": "batch"} and form.filename == "a.jsonl"
     assert b"".join(content) == b"line 1\r\nline 2\r\n"
 
 
-@fixed
+@reproducible
 @given(st.lists(st.binary(max_size=40) | st.sampled_from([FORM, FORM[:60], b"--b1", b"\r\n\r\n"])))
 def test_a_malformed_form_raises_nothing_but_an_api_error(parts: list[bytes]) -> None:
     form = FormReader("multipart/form-data; boundary=b1", "file", lambda _: None)
--- a/tests/batch/test_journal.py
+++ b/tests/batch/test_journal.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from lockspoke.batch.journal import Journal, StoreError
-from tests.wire.http.test_http1 import fixed
+from tests.wire.http.test_http1 import reproducible
 
 
 def open_journal(path: Path) -> Journal:
@@ -59,7 +59,7 @@
         list(open_journal(path).load())
 
 
-@fixed
+@reproducible
 @given(st.binary(max_size=200))
 def test_arbitrary_bytes_are_never_read_as_records(data: bytes) -> None:
     path = Path("/dev/shm") / "lockspoke-garbage"
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -20,8 +20,8 @@
 )
 from lockspoke.wire.discovery.endpoint_list import STATES
 from lockspoke.wire.http.http1 import Headers, HttpError
-from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, StreamError
-from tests.wire.http.test_http1 import cut, fixed
+from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, EventStreamError
+from tests.wire.http.test_http1 import split_at, reproducible
 
 STREAM = (
     b'data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":null}]}\n\n'
@@ -31,21 +31,21 @@
 TARGET = {"uid": "s-1", "endpoint": "127.0.0.1:5000", "az": "a", "pod_group": 3, "state": "up", "boot_ms": 5}
 
 
-@fixed
+@reproducible
 @given(st.lists(st.integers(0)))
 def test_a_stream_cut_anywhere_reads_alike(cuts: list[int]) -> None:
     stream = EventStream()
-    passed = b"".join(stream.feed(part) for part in cut(STREAM, cuts))
-    assert passed + stream.rest() == STREAM
+    passed = b"".join(stream.feed(part) for part in split_at(STREAM, cuts))
+    assert passed + stream.remainder() == STREAM
     assert (stream.events, stream.done, stream.cached_tokens) == (3, True, 4096)
     assert stream.load == "util=0.61,lat=3"
 
 
-@fixed
+@reproducible
 @given(st.lists(st.binary(max_size=60) | st.sampled_from([b'data: "usage"', b"\n", b'{"usage":[]}'])))
 def test_a_stream_of_garbage_harms_nothing(parts: list[bytes]) -> None:
     stream = EventStream()
-    with contextlib.suppress(StreamError):
+    with contextlib.suppress(EventStreamError):
         for part in parts:
             passed = stream.feed(part)
             assert not passed or passed.endswith(b"\n")
@@ -56,7 +56,7 @@
     stream = EventStream()
     assert stream.feed(b"data: a\n\ndata") == b"data: a\n\n"
     assert stream.feed(b": b\r\n\r\n: c") == b"data: b\r\n\r\n"
-    assert stream.rest() == b": c"
+    assert stream.remainder() == b": c"
 
 
 @pytest.mark.parametrize(
@@ -70,15 +70,15 @@
 )
 def test_what_is_no_stream_of_events_is_told(data: bytes) -> None:
     """Passed on it would reach the client as if a worker had made it, and nothing bounds its size."""
-    with pytest.raises(StreamError):
+    with pytest.raises(EventStreamError):
         EventStream().feed(data)
 
 
 def test_what_is_no_event_is_told_at_the_end_as_well() -> None:
     stream = EventStream()
     assert stream.feed(b"abcde") == b""
-    with pytest.raises(StreamError):
-        stream.rest()
+    with pytest.raises(EventStreamError):
+        stream.remainder()
 
 
 def head(**changes: str) -> Headers:
@@ -213,7 +213,7 @@
     )
 
 
-@fixed
+@reproducible
 @given(
     st.binary(max_size=50)
     | st.recursive(
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -72,7 +72,7 @@
         client.send(request_bytes(1))
         (connection,) = self.gateway.front.listener.connections
         assert isinstance(connection, ClientConnection)
-        connection._take(connection.stream.socket.recv(65536))
+        connection._receive(connection.stream.socket.recv(65536))
 
     def listed_state(self, uid: str) -> ReplicaState:
         """What the list in force says of a replica."""
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -15,7 +15,7 @@
 from lockspoke.balancing.settings import Idempotency, RequestClass
 from lockspoke.core.replica_set import ListedReplica
 from lockspoke.core.totals import RequestOutcome
-from lockspoke.wire.clients.front import LINGER, AdmissionMode, ClientConnection
+from lockspoke.wire.clients.front import LINGER_SECONDS, AdmissionMode, ClientConnection
 from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
 from lockspoke.wire.tcp import dialing
 from lockspoke.wire.tcp.listener import OutgoingBuffer
@@ -62,7 +62,7 @@
 
 def evict_idle_connection(gateway: Gateway) -> None:
     client_connection(gateway).active_at -= 1.0
-    gateway.front.listener._make_room()
+    gateway.front.listener._close_longest_idle()
 
 
 @pytest.mark.parametrize("close", [close_idle_connections, evict_idle_connection])
@@ -85,7 +85,7 @@
         client = await gateway.connect_client()
         await until(lambda: len(gateway.front.listener.connections) == 1)
         client.send(READINESS_CHECK)
-        client_connection(gateway).check(asyncio.get_running_loop().time() + 60)
+        client_connection(gateway).check_timeouts(asyncio.get_running_loop().time() + 60)
         assert b"200 OK" in await client.read_until(b"ready\n")
 
     run_scenario(test)
@@ -111,8 +111,8 @@
         replica.send(STREAM_HEAD + chunk(LONG_EVENT) + chunk(b""))
         await until(lambda: not gateway.core.requests)
         connection = client_connection(gateway)
-        assert connection.outbox.unsent and not connection.outbox.stalled(0, LINGER)
-        connection.check(connection.active_at + 2 * LINGER)
+        assert connection.outgoing.unsent and not connection.outgoing.stalled(0, LINGER_SECONDS)
+        connection.check_timeouts(connection.active_at + 2 * LINGER_SECONDS)
         assert (await client.read_to_end()).endswith(chunk(LONG_EVENT) + chunk(b""))
 
     run_scenario(test)
@@ -129,7 +129,7 @@
         )
         (call,) = gateway.core.requests.values()
         await until(
-            lambda: call.streaming_attempt is not None and not client_connection(gateway).outbox.unsent
+            lambda: call.streaming_attempt is not None and not client_connection(gateway).outgoing.unsent
         )
         client.send(request_bytes(2))
         call.attempts[0].end(Outcome.OK)
@@ -144,7 +144,7 @@
         lazy, slow_replica = await slow_stream(gateway, peer)
         client_connection(gateway).stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         slow_replica.send(STREAM_HEAD + b"".join(chunk(LONG_EVENT) for _ in range(4)))
-        await until(lambda: client_connection(gateway).outbox.unsent > OutgoingBuffer.HIGH)
+        await until(lambda: client_connection(gateway).outgoing.unsent > OutgoingBuffer.HIGH_WATER_MARK)
         client = await gateway.connect_client()
         client.send(request_bytes(2))
         replica = await peer.accept()
@@ -185,7 +185,7 @@
             first.send(late)
         else:
             first.close()
-        taken._take(data)
+        taken._receive(data)
         second = await peer.accept()
         assert b"0000000000000002" in await second.read_until(b"{}"), "it goes over a new connection"
         second.send(STREAM_HEAD + chunk(EVENTS[1]) + chunk(b""))
@@ -299,7 +299,7 @@
         client, replica = await idle_connection_pair(gateway, peer)
         client.send(request_bytes(2) + (request_bytes(3) if pipelined else b""))
         taken = client_connection(gateway)
-        taken._take(taken.stream.socket.recv(65536))
+        taken._receive(taken.stream.socket.recv(65536))
         assert gateway.core.totals.attempts == 2
         client.close()
         time.sleep(BUSY_TIME)
@@ -351,7 +351,7 @@
         gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
         client.send(READINESS_CHECK)
         taken = client_connection(gateway)
-        taken._take(taken.stream.socket.recv(65536))
+        taken._receive(taken.stream.socket.recv(65536))
         client.send(request_bytes(2))  # the last answer is written, and the loop has not gone round
         assert (await client.read_to_end()).count(b"HTTP/1.1") == 1
         assert not gateway.core.totals.requests
