--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -121,7 +121,7 @@
     # Clients of the service address
 
     def _accepted(self, accepted: socket.socket, token: int) -> None:
-        connection = self.clients.listener.adopt(accepted)
+        connection = self.clients.listener.serve_accepted(accepted)
         assert isinstance(connection, ClientConnection)
         # Also what comes later on it counts only while the lease runs.
         connection.lease_is_valid = lambda: (
--- a/lockspoke/batch/listener.py
+++ b/lockspoke/batch/listener.py
@@ -35,7 +35,7 @@
     encode_head,
     encode_response,
 )
-from lockspoke.wire.tcp.listener import READ, Listener
+from lockspoke.wire.tcp.listener import READ_SIZE, Listener
 
 from . import api as api
 from .api import ApiError
@@ -139,7 +139,7 @@
     def run_periodic_checks(self) -> None:
         """Close idle connections, and those whose client neither sends nor takes anything."""
         self.listener.close_idle(IDLE)
-        self.listener.reclaim()
+        self.listener.enforce_limit()
         before = asyncio.get_running_loop().time() - SLOW
         for connection in list(self.listener.connections):
             if not connection.idle and connection.active_at < before:
@@ -462,11 +462,11 @@
         with suppress(TimeoutError):
             async with asyncio.timeout(LINGER):
                 while True:
-                    await self.stream.read_bytes(READ, partial=True)
+                    await self.stream.read_bytes(READ_SIZE, partial=True)
 
     async def _piece(self) -> Piece:
         while not self._pieces:
-            data = await self.stream.read_bytes(READ, partial=True)
+            data = await self.stream.read_bytes(READ_SIZE, partial=True)
             self.active_at = asyncio.get_running_loop().time()
             self._pieces = self._parser.feed(data)
         return self._pieces.pop(0)
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -22,8 +22,8 @@
 from lockspoke.wire.clients.front import AdmissionMode, ClientFront
 from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
 from lockspoke.wire.http.http1 import HttpError
-from lockspoke.wire.operators.api import Ask, OperatorCall
-from lockspoke.wire.operators.front import MOST, OperatorFront
+from lockspoke.wire.operators.api import OperatorCommand, OperatorRequest
+from lockspoke.wire.operators.front import MAX_CONNECTIONS, OperatorFront
 from lockspoke.wire.replicas.transport import ReplicaTransport
 
 from .bans_file import read_bans, write_bans
@@ -86,7 +86,7 @@
         self.bans_file = Path(os.environ.get("TMPDIR") or "/tmp", f"{config.name}.bans.json")
         self.out_of_service = False  # by an operator's word: it answers what comes and asks for no more
         self._others = sum(part.descriptors for part in self.parts)
-        self._others += MOST if self.operators is not None else 0
+        self._others += MAX_CONNECTIONS if self.operators is not None else 0
         most = config.connections(self._others)
         self.transport = ReplicaTransport(
             config.load_names,
@@ -125,25 +125,25 @@
         """
         return self.config.settings.polls_endpoint_list or self.watch.first_poll_finished
 
-    def _operated(self, call: OperatorCall) -> str:
+    def _operated(self, call: OperatorRequest) -> str:
         """Do what an operator asks; raises HttpError for a no."""
-        match call.ask:
-            case Ask.READY:
+        match call.command:
+            case OperatorCommand.READY:
                 if not self._ready:
                     raise HttpError(503, f"not ready: {self.phase.value}")
                 return "ready"
-            case Ask.OFFLINE | Ask.ONLINE:
-                if not self.core.set_banned(call.uid, call.ask is Ask.OFFLINE):
+            case OperatorCommand.OFFLINE | OperatorCommand.ONLINE:
+                if not self.core.set_banned(call.uid, call.command is OperatorCommand.OFFLINE):
                     raise HttpError(404, f"no list has named {call.uid[:200]}")
                 write_bans(self.bans_file, self.replica_set.banned)
-            case Ask.OUT_OF_SERVICE | Ask.IN_SERVICE:
+            case OperatorCommand.OUT_OF_SERVICE | OperatorCommand.IN_SERVICE:
                 if self.phase in (ProgramPhase.DRAINING, ProgramPhase.REJECTING):
                     raise HttpError(409, "the gateway is stopping")
-                self.out_of_service = call.ask is Ask.OUT_OF_SERVICE
+                self.out_of_service = call.command is OperatorCommand.OUT_OF_SERVICE
                 self.clients.admission_mode = (
                     AdmissionMode.ACCEPT_AND_CLOSE if self.out_of_service else AdmissionMode.ACCEPT
                 )
-        log.info("operator_call", asked=call.ask.name.lower(), worker=call.uid)
+        log.info("operator_call", asked=call.command.name.lower(), worker=call.uid)
         return "done"
 
     def _enter(self, phase: ProgramPhase) -> None:
--- a/lockspoke/wire/clients/front.py
+++ b/lockspoke/wire/clients/front.py
@@ -25,7 +25,7 @@
     encode_response,
 )
 from lockspoke.wire.tcp.closing import is_quiet
-from lockspoke.wire.tcp.listener import READ, Listener, OutgoingBuffer, close_if_quiet
+from lockspoke.wire.tcp.listener import READ_SIZE, Listener, OutgoingBuffer, close_if_quiet
 
 from .request_fields import decode_request_fields
 
@@ -39,7 +39,9 @@
 CROWDED = 0.5
 FIRST = 2.25  # seconds a new connection may stand without a byte: it holds a place that others need
 HALF = 2.25  # seconds a request may take to arrive
-LINGER = 1.0  # seconds that a connection stays open once its last answer is sent: clients close before
+LINGER_SECONDS = (
+    1.0  # seconds that a connection stays open once its last answer is sent: clients close before
+)
 LINGER_BYTES = 256 * 1024  # of bad input that are still read: what follows is not worth the CPU
 STALL = 20.0  # seconds a client may take nothing of its answer
 BUSY_RETRY = SECOND  # advice with the overload reply to what would go past the bound on held bytes
@@ -95,7 +97,7 @@
         now = asyncio.get_running_loop().time()
         crowded = len(self.listener.connections) > CROWDED * self.listener.max_connections
         self.listener.close_idle(CROWDED_IDLE if crowded else IDLE)
-        self.listener.reclaim()
+        self.listener.enforce_limit()
         for connection in list(self.listener.connections):
             assert isinstance(connection, ClientConnection)
             connection.check(now)
@@ -123,7 +125,7 @@
     def __init__(self, front: ClientFront, stream: IOStream) -> None:
         self.front = front
         self.stream = stream
-        self.outbox = OutgoingBuffer(stream)
+        self.outgoing = OutgoingBuffer(stream)
         self.ended = asyncio.Event()
         self.opened_at = self.active_at = asyncio.get_running_loop().time()
         self.gatherer = RequestAssembler()
@@ -143,7 +145,7 @@
     def idle(self) -> bool:
         """Between two requests."""
         return (
-            self.open_request is None and not self.waiting and self.gatherer.idle and not self.outbox.unsent
+            self.open_request is None and not self.waiting and self.gatherer.idle and not self.outgoing.unsent
         )
 
     async def run(self) -> None:
@@ -151,9 +153,9 @@
         dropped = 0
         try:
             while True:
-                data = await self.stream.read_bytes(READ, partial=True)
+                data = await self.stream.read_bytes(READ_SIZE, partial=True)
                 if self.phase is ConnectionPhase.SERVING:
-                    self._take(data)
+                    self._receive(data)
                     continue
                 dropped += len(data)
                 if self.phase is ConnectionPhase.ENDING and dropped > LINGER_BYTES:
@@ -169,8 +171,8 @@
 
     def check(self, now: float) -> None:
         """Guards against clients that take or send nothing for ever."""
-        sent_at = self.outbox.ended_at  # until then a slow client still takes its answer
-        if self.outbox.stalled(now, STALL) or (sent_at is not None and now - sent_at > LINGER):
+        sent_at = self.outgoing.ended_at  # until then a slow client still takes its answer
+        if self.outgoing.stalled(now, STALL) or (sent_at is not None and now - sent_at > LINGER_SECONDS):
             self.stream.close()
             self.ended.set()
         elif not self.has_received and now - self.opened_at > FIRST:
@@ -183,14 +185,14 @@
         ):
             self._refuse_input(HttpError(408, "request took too long"))
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         self.has_received = True
         self.active_at = self.active_at if not self.gatherer.idle else asyncio.get_running_loop().time()
         try:
             arrived = self.front.core.clock.earliest_arrival()
             self.waiting.extend(Received(request, arrived) for request in self.gatherer.feed(data))
             if self.gatherer.wants_continue():
-                self.outbox.write(encode_head(100, {}))
+                self.outgoing.write(encode_head(100, {}))
         except HttpError as error:
             self._read_no_more(error)
         if len(self.waiting) > WAITING and self.phase is ConnectionPhase.SERVING:
@@ -300,13 +302,13 @@
         """Give a whole answer in one piece."""
         keep = self.keeps(request)
         body = f"{text}\n".encode()
-        self.outbox.write(encode_response(status, body, _plain(headers), keep, request.head.method))
+        self.outgoing.write(encode_response(status, body, _plain(headers), keep, request.head.method))
         self.answered(keep)
 
     def _refuse_input(self, error: HttpError) -> None:
         """Where a message ends is not known any more, so the connection ends with the answer."""
         headers = {"Retry-After": _seconds(BUSY_RETRY)} if error.status == 503 else None
-        self.outbox.write(encode_response(error.status, f"{error}\n".encode(), _plain(headers), False))
+        self.outgoing.write(encode_response(error.status, f"{error}\n".encode(), _plain(headers), False))
         self.active_at = asyncio.get_running_loop().time()
         self._end()
 
@@ -314,7 +316,7 @@
         """The last answer is written. A request that has crossed it is not run: its client sends it again."""
         self.phase = ConnectionPhase.ENDING
         self.waiting.clear()
-        self.outbox.finish()
+        self.outgoing.finish()
 
     def keeps(self, request: Request) -> bool:
         """Whether the connection goes on after the answer: it ends once all that was read is answered."""
@@ -354,7 +356,7 @@
             self.begun = True
             piece = self._head() + piece
             self.connection.body_sent()
-        return self.connection.outbox.write(piece)
+        return self.connection.outgoing.write(piece)
 
     def _head(self) -> bytes:
         self.keep = self.connection.keeps(self.request) and self.chunked
@@ -368,7 +370,7 @@
     def finish(self) -> None:
         """The stream is whole: the last chunk says so."""
         piece = encode_chunk(b"") if self.chunked else b""
-        self.connection.outbox.write(piece if self.begun else self._head() + piece)
+        self.connection.outgoing.write(piece if self.begun else self._head() + piece)
         self.connection.answered(self.keep)
 
     def abort(self) -> None:
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -76,7 +76,7 @@
                 if len(self._body) > LIST_LIMIT:
                     raise HttpError(502, f"a list of more than {LIST_LIMIT} bytes")
             elif isinstance(piece, MessageEnd) and self._head is not None:
-                self.reusable = self._head.keep_alive and self._parser.clean
+                self.reusable = self._head.keep_alive and self._parser.ended_cleanly
                 if self._head.status != 200:
                     raise EndpointListError(f"status {self._head.status}")
                 return bytes(self._body)
--- a/lockspoke/wire/http/http1.py
+++ b/lockspoke/wire/http/http1.py
@@ -342,7 +342,7 @@
         self._interim = 0
 
     @property
-    def clean(self) -> bool:
+    def ended_cleanly(self) -> bool:
         """Whether the answer is whole and nothing has come behind it."""
         return self._at is _At.DONE and not self._buffer
 
@@ -374,7 +374,7 @@
         else:
             self._frame(length, pieces)
 
-    def closed(self) -> bool:
+    def connection_closed(self) -> bool:
         """The connection has ended: whether that ends the answer as it should."""
         ends = self._at is _At.UNTIL_CLOSE
         self._at = _At.FAILED
--- a/lockspoke/wire/http/sse.py
+++ b/lockspoke/wire/http/sse.py
@@ -48,7 +48,7 @@
         self._read -= whole
         return events
 
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """What stands behind the last whole event at the stream's end."""
         if len(self._held) > self._read:
             self._line(bytes(self._held[self._read :]).rstrip(b"\r"))
--- a/lockspoke/wire/operators/front.py
+++ b/lockspoke/wire/operators/front.py
@@ -10,15 +10,15 @@
 from lockspoke.wire.http.http1 import HttpError, Request, RequestAssembler, encode_response
 from lockspoke.wire.tcp.listener import Listener, OutgoingBuffer
 
-from .api import OperatorCall, decode_operator_call
+from .api import OperatorRequest, decode_operator_request
 
-MOST = 16  # connections; past it the one that has been silent for longest makes room
+MAX_CONNECTIONS = 16  # connections; past it the one that has been silent for longest makes room
 LONGEST = 5.0  # seconds a connection may stand: a call is one small message
 CROWDED = 0.5  # the same, once more than half of the places are taken
 READ = 4096
 PLAIN = {"Content-Type": "text/plain; charset=utf-8"}
 
-Answer = Callable[[OperatorCall], str]  # what to say to yes; raises HttpError for a no
+Answer = Callable[[OperatorRequest], str]  # what to say to yes; raises HttpError for a no
 
 
 class OperatorFront:
@@ -26,11 +26,11 @@
 
     def __init__(self, answer: Answer) -> None:
         self.answer = answer
-        self.listener = Listener(lambda stream: OperatorConnection(self, stream), MOST)
+        self.listener = Listener(lambda stream: OperatorConnection(self, stream), MAX_CONNECTIONS)
 
     def run_periodic_checks(self) -> None:
         """Close what stands for longer than any call takes."""
-        crowded = len(self.listener.connections) > MOST // 2
+        crowded = len(self.listener.connections) > MAX_CONNECTIONS // 2
         before = asyncio.get_running_loop().time() - (CROWDED if crowded else LONGEST)
         for connection in list(self.listener.connections):
             if connection.opened_at < before:
@@ -72,4 +72,4 @@
             pass
 
     def _yes(self, request: Request) -> str:
-        return self.front.answer(decode_operator_call(request))
+        return self.front.answer(decode_operator_request(request))
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -213,7 +213,7 @@
                             whole = isinstance(piece, MessageEnd)
                     if outcome is Outcome.OK:
                         # What came together goes on together: one write where there would be one an event.
-                        data = events.feed(data) + (events.rest() if whole else b"")
+                        data = events.feed(data) + (events.remainder() if whole else b"")
                         if data:
                             opening.reschedule(None)
                             waits = attempt.stream_received(data)
@@ -222,7 +222,7 @@
                     if whole and head is not None:
                         load = events.load or head.headers.get("srv-load")
                         return ReplicaResponse(
-                            outcome, events.cached_tokens, load, head.keep_alive and parser.clean
+                            outcome, events.cached_tokens, load, head.keep_alive and parser.ended_cleanly
                         )
         except (StreamClosedError, HttpError, StreamError, TimeoutError) as error:
             load = events.load or (head.headers.get("srv-load") if head else "")
--- a/lockspoke/wire/tcp/listener.py
+++ b/lockspoke/wire/tcp/listener.py
@@ -15,7 +15,7 @@
 from .closing import is_quiet
 
 BACKLOG = 1024
-READ = 16 * 1024
+READ_SIZE = 16 * 1024
 TELL = 10.0  # seconds between two lines about the limit, however often it is met
 FRESH = 0.25  # seconds in which a new connection does not count as idle
 
@@ -76,7 +76,7 @@
     def _open(self) -> int:
         return sum(not one.stream.closed() for one in self.connections)
 
-    def _make_room(self) -> bool:
+    def _close_longest_idle(self) -> bool:
         """Close the connection that is idle for longest: its client just opens another one."""
         # Not one that has come this moment: its first request may be on its way.
         before = asyncio.get_running_loop().time() - FRESH
@@ -86,26 +86,30 @@
             close_if_quiet(one) for one in sorted(idle, key=lambda one: (one.has_received, one.active_at))
         )
 
-    def reclaim(self) -> None:
+    def enforce_limit(self) -> None:
         """At the bound, look again for a connection that has become idle."""
         if self._socket is not None and self._remove is None and self._open() > self.max_connections:
-            self._make_room()
+            self._close_longest_idle()
 
     def _accepted(self, accepted: socket.socket, _: object) -> None:
-        self.adopt(accepted)
+        self.serve_accepted(accepted)
 
-    def adopt(self, accepted: socket.socket) -> Connection:
+    def serve_accepted(self, accepted: socket.socket) -> Connection:
         """Serve a connection that was accepted, here or at another address that leads here."""
         self.last_accept = asyncio.get_running_loop().time()
         accepted.setblocking(False)
-        stream = IOStream(accepted, max_buffer_size=1024 * 1024, read_chunk_size=READ)
+        stream = IOStream(accepted, max_buffer_size=1024 * 1024, read_chunk_size=READ_SIZE)
         stream.set_nodelay(True)
         connection = self.make(stream)
         self.connections.add(connection)
         task = asyncio.ensure_future(connection.run())
         self._tasks.add(task)
         task.add_done_callback(lambda done: self._ended(connection, done))
-        if self._open() > self.max_connections and not self._make_room() and self._remove is not None:
+        if (
+            self._open() > self.max_connections
+            and not self._close_longest_idle()
+            and self._remove is not None
+        ):
             # One past the bound and none idle: what comes next waits in the machine's queue.
             if self.last_accept - self._told_at > TELL:
                 self._told_at = self.last_accept
@@ -155,7 +159,7 @@
 class OutgoingBuffer:
     """Writes to one client, and tells when it is too slow to take more."""
 
-    HIGH = 32 * 1024  # unsent bytes from which on the source is asked to wait
+    HIGH_WATER_MARK = 32 * 1024  # unsent bytes from which on the source is asked to wait
 
     def __init__(self, stream: IOStream) -> None:
         self.stream = stream
@@ -175,7 +179,7 @@
             self.progress_at = asyncio.get_running_loop().time()
         self.unsent += len(data)
         written.add_done_callback(lambda done: self._sent(len(data), done))
-        return written if self.unsent > self.HIGH else None
+        return written if self.unsent > self.HIGH_WATER_MARK else None
 
     def _sent(self, count: int, done: asyncio.Future[None]) -> None:
         self.unsent -= count
--- a/tests/wire/clients/test_front.py
+++ b/tests/wire/clients/test_front.py
@@ -209,7 +209,7 @@
                     await loop.sock_sendall(pair.client, b"x" * 65536)
                     sent += 65536
         assert clients.LINGER_BYTES <= sent < 8_000_000
-        pair.connection.check(loop.time() + clients.LINGER + 0.1)
+        pair.connection.check(loop.time() + clients.LINGER_SECONDS + 0.1)
         await asyncio.wait_for(pair.task, 30)
 
     play(test)
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -31,7 +31,7 @@
 def test_a_stream_cut_anywhere_reads_alike(cuts: list[int]) -> None:
     stream = EventStream()
     passed = b"".join(stream.feed(part) for part in cut(STREAM, cuts))
-    assert passed + stream.rest() == STREAM
+    assert passed + stream.remainder() == STREAM
     assert (stream.events, stream.done, stream.cached_tokens) == (3, True, 4096)
     assert stream.load == "util=0.61,lat=3"
 
@@ -51,7 +51,7 @@
     stream = EventStream()
     assert stream.feed(b"data: a\n\ndata") == b"data: a\n\n"
     assert stream.feed(b": b\r\n\r\n: c") == b"data: b\r\n\r\n"
-    assert stream.rest() == b": c"
+    assert stream.remainder() == b": c"
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
     stream = EventStream()
     assert stream.feed(b"abcde") == b""
     with pytest.raises(StreamError):
-        stream.rest()
+        stream.remainder()
 
 
 def head(**changes: str) -> Headers:
--- a/tests/wire/http/test_http1.py
+++ b/tests/wire/http/test_http1.py
@@ -74,7 +74,7 @@
         pieces += parser.feed(part)
     assert merged(pieces) == merged(ResponseParser().feed(message))
     assert merged(pieces).count("end") == 1
-    assert parser.clean is not bool(behind)
+    assert parser.ended_cleanly is not bool(behind)
 
 
 @fixed
@@ -176,7 +176,7 @@
     head, data = parser.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")
     assert isinstance(head, http1.ResponseHead) and not head.keep_alive
     assert data == BodyChunk(b"abc")
-    assert parser.closed()
+    assert parser.connection_closed()
 
 
 @fixed
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -71,7 +71,7 @@
         client.send(call_bytes(1))
         (connection,) = self.gateway.front.listener.connections
         assert isinstance(connection, ClientConnection)
-        connection._take(connection.stream.socket.recv(65536))
+        connection._receive(connection.stream.socket.recv(65536))
 
     def state(self, uid: str) -> ReplicaState:
         """What the list in force says of a replica."""
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -14,7 +14,7 @@
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.balancing.settings import Idempotency, RequestClass
 from lockspoke.core.replica_set import ListedReplica
-from lockspoke.wire.clients.front import LINGER, AdmissionMode, ClientConnection
+from lockspoke.wire.clients.front import LINGER_SECONDS, AdmissionMode, ClientConnection
 from lockspoke.wire.replicas import transport as replica_side
 from lockspoke.wire.tcp import dialing
 from lockspoke.wire.tcp.listener import OutgoingBuffer
@@ -57,7 +57,7 @@
 
 def crowd(gateway: Gateway) -> None:
     served(gateway).active_at -= 1.0
-    gateway.front.listener._make_room()
+    gateway.front.listener._close_longest_idle()
 
 
 @pytest.mark.parametrize("close", [sweep, crowd])
@@ -106,8 +106,8 @@
         worker.send(HEAD + chunk(LONG) + chunk(b""))
         await until(lambda: not gateway.core.requests)
         connection = served(gateway)
-        assert connection.outbox.unsent and not connection.outbox.stalled(0, LINGER)
-        connection.check(connection.active_at + 2 * LINGER)
+        assert connection.outgoing.unsent and not connection.outgoing.stalled(0, LINGER_SECONDS)
+        connection.check(connection.active_at + 2 * LINGER_SECONDS)
         assert (await client.rest()).endswith(chunk(LONG) + chunk(b""))
 
     play(test)
@@ -121,7 +121,7 @@
         worker.send(HEAD + chunk(LONG))
         await until(lambda: served(gateway).open_request is not None and gateway.core.totals["attempts"] == 1)
         (call,) = gateway.core.requests.values()
-        await until(lambda: call.streaming_attempt is not None and not served(gateway).outbox.unsent)
+        await until(lambda: call.streaming_attempt is not None and not served(gateway).outgoing.unsent)
         client.send(call_bytes(2))
         call.attempts[0].end(Outcome.OK)
         assert (await client.rest()).endswith(chunk(LONG) + chunk(b""))
@@ -135,7 +135,7 @@
         lazy, slow_worker = await slow_stream(gateway, peer)
         served(gateway).stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         slow_worker.send(HEAD + b"".join(chunk(LONG) for _ in range(4)))
-        await until(lambda: served(gateway).outbox.unsent > OutgoingBuffer.HIGH)
+        await until(lambda: served(gateway).outgoing.unsent > OutgoingBuffer.HIGH_WATER_MARK)
         client = await gateway.client()
         client.send(call_bytes(2))
         worker = await peer.accept()
@@ -176,7 +176,7 @@
             first.send(late)
         else:
             first.close()
-        taken._take(data)
+        taken._receive(data)
         second = await peer.accept()
         assert b"0000000000000002" in await second.read(b"{}"), "it goes over a new connection"
         second.send(HEAD + chunk(EVENTS[1]) + chunk(b""))
@@ -290,7 +290,7 @@
         client, worker = await with_a_kept_connection(gateway, peer)
         client.send(call_bytes(2) + (call_bytes(3) if pipelined else b""))
         taken = served(gateway)
-        taken._take(taken.stream.socket.recv(65536))
+        taken._receive(taken.stream.socket.recv(65536))
         assert gateway.core.totals["attempts"] == 2
         client.close()
         time.sleep(HELD)
@@ -337,7 +337,7 @@
         gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
         client.send(UP)
         taken = served(gateway)
-        taken._take(taken.stream.socket.recv(65536))
+        taken._receive(taken.stream.socket.recv(65536))
         client.send(call_bytes(2))  # the last answer is written, and the loop has not gone round
         assert (await client.rest()).count(b"HTTP/1.1") == 1
         assert not gateway.core.totals["calls"]
