--- a/lockspoke/batch/listener.py
+++ b/lockspoke/batch/listener.py
@@ -29,7 +29,7 @@
     BodyChunk,
     HttpError,
     MessageEnd,
-    Piece,
+    MessagePart,
     RequestHead,
     RequestParser,
     encode_head,
@@ -437,7 +437,7 @@
         self.has_received = True  # few clients, all of them known: none goes before another
         self.idle = True
         self._parser = RequestParser(front.file_limit + FORM_SLACK)
-        self._pieces: list[Piece] = []
+        self._pieces: list[MessagePart] = []
 
     async def run(self) -> None:
         """Serve until the client or an error ends it."""
@@ -464,7 +464,7 @@
                 while True:
                     await self.stream.read_bytes(READ_SIZE, partial=True)
 
-    async def _piece(self) -> Piece:
+    async def _piece(self) -> MessagePart:
         while not self._pieces:
             data = await self.stream.read_bytes(READ_SIZE, partial=True)
             self.active_at = asyncio.get_running_loop().time()
--- a/lockspoke/wire/clients/front.py
+++ b/lockspoke/wire/clients/front.py
@@ -340,7 +340,7 @@
     def __init__(self, connection: ClientConnection, request: Request) -> None:
         self.connection = connection
         self.request = request
-        self.chunked = request.head.minor > 0  # HTTP/1.0 knows no chunks: there the close ends it
+        self.chunked = request.head.minor_version > 0  # HTTP/1.0 knows no chunks: there the close ends it
         self.begun = False
         self.keep = False
 
--- a/lockspoke/wire/http/http1.py
+++ b/lockspoke/wire/http/http1.py
@@ -84,7 +84,7 @@
 
     method: str
     target: str
-    minor: int
+    minor_version: int
     headers: Headers
     keep_alive: bool
 
@@ -120,7 +120,7 @@
     """The message is whole."""
 
 
-Piece = RequestHead | ResponseHead | BodyChunk | MessageEnd
+MessagePart = RequestHead | ResponseHead | BodyChunk | MessageEnd
 
 
 class _At(Enum):
@@ -159,12 +159,12 @@
         """Whether a head has been read whose body has not ended."""
         return self._at not in (_At.HEAD, _At.FAILED)
 
-    def feed(self, data: bytes) -> list[Piece]:
+    def feed(self, data: bytes) -> list[MessagePart]:
         """Take bytes; give what they complete. After an error the parser stays failed."""
         if self._at is _At.FAILED:
             raise HttpError(400, "fed after an error")
         self._buffer += data
-        pieces: list[Piece] = []
+        pieces: list[MessagePart] = []
         try:
             while self._step(pieces):
                 pass
@@ -175,7 +175,7 @@
             raise
         return pieces
 
-    def _step(self, pieces: list[Piece]) -> bool:
+    def _step(self, pieces: list[MessagePart]) -> bool:
         if self._at is _At.HEAD:
             return self._head(pieces)
         if self._at is _At.DONE:
@@ -200,7 +200,7 @@
         del self._buffer[:count]
         return piece
 
-    def _head(self, pieces: list[Piece]) -> bool:
+    def _head(self, pieces: list[MessagePart]) -> bool:
         buffer = self._buffer
         if not self._searched:
             while buffer.startswith(b"\r\n"):  # empty lines before a message are to be skipped
@@ -217,7 +217,7 @@
         self._begin(lines[0], Headers(map(_field, lines[1:])), pieces)
         return True
 
-    def _begin(self, line: bytes, headers: Headers, pieces: list[Piece]) -> None:
+    def _begin(self, line: bytes, headers: Headers, pieces: list[MessagePart]) -> None:
         raise NotImplementedError
 
     def _length(self, headers: Headers) -> int | None:
@@ -240,18 +240,18 @@
         if self.body_limit is not None and size > self.body_limit:
             raise HttpError(413, "body too large")
 
-    def _frame(self, length: int, pieces: list[Piece]) -> None:
+    def _frame(self, length: int, pieces: list[MessagePart]) -> None:
         self._left = length
         if length:
             self._at = _At.SIZED if length > 0 else _At.CHUNK_SIZE
         else:
             self._finish(pieces)
 
-    def _finish(self, pieces: list[Piece]) -> None:
+    def _finish(self, pieces: list[MessagePart]) -> None:
         pieces.append(MessageEnd())
         self._at = _At.HEAD
 
-    def _counted(self, pieces: list[Piece]) -> bool:
+    def _counted(self, pieces: list[MessagePart]) -> bool:
         if not self._buffer:
             return False
         data = self._cut(min(self._left, len(self._buffer)))
@@ -264,7 +264,7 @@
                 self._at = _At.CHUNK_END
         return True
 
-    def _chunk_line(self, pieces: list[Piece]) -> bool:
+    def _chunk_line(self, pieces: list[MessagePart]) -> bool:
         end = self._buffer.find(b"\r\n")
         if end > CHUNK_LINE_LIMIT or (end < 0 and len(self._buffer) > CHUNK_LINE_LIMIT):
             raise HttpError(400, "chunk line too long")
@@ -313,7 +313,7 @@
     def __init__(self, body_limit: int | None = BODY_LIMIT) -> None:
         super().__init__(body_limit)
 
-    def _begin(self, line: bytes, headers: Headers, pieces: list[Piece]) -> None:
+    def _begin(self, line: bytes, headers: Headers, pieces: list[MessagePart]) -> None:
         parts = line.split(b" ")
         if len(parts) != 3 or not _TOKEN.fullmatch(parts[0]) or not _TARGET.fullmatch(parts[1]):
             raise HttpError(400, "bad request line")
@@ -346,17 +346,17 @@
         """Whether the answer is whole and nothing has come behind it."""
         return self._at is _At.DONE and not self._buffer
 
-    def _head(self, pieces: list[Piece]) -> bool:
+    def _head(self, pieces: list[MessagePart]) -> bool:
         # Told at the first bytes: noise that never ends a line would be waited for until the deadline.
         if not b"HTTP/1.".startswith(bytes(self._buffer[:7])):
             raise HttpError(502, "bad status line")
         return super()._head(pieces)
 
-    def _finish(self, pieces: list[Piece]) -> None:
+    def _finish(self, pieces: list[MessagePart]) -> None:
         pieces.append(MessageEnd())
         self._at = _At.DONE
 
-    def _begin(self, line: bytes, headers: Headers, pieces: list[Piece]) -> None:
+    def _begin(self, line: bytes, headers: Headers, pieces: list[MessagePart]) -> None:
         match = _STATUS.fullmatch(line)
         if not match:
             raise HttpError(502, "bad status line")
--- a/lockspoke/wire/http/sse.py
+++ b/lockspoke/wire/http/sse.py
@@ -10,7 +10,7 @@
 _LOAD = b": Srv-Load:"
 
 
-class StreamError(ValueError):
+class EventStreamError(ValueError):
     """What came is no stream of events."""
 
 
@@ -42,7 +42,7 @@
                 whole = self._read
         # Guards memory against a worker that never ends a line or an event.
         if len(held) - self._read > LINE_LIMIT or len(held) - whole > EVENT_LIMIT:
-            raise StreamError("event too large")
+            raise EventStreamError("event too large")
         events = bytes(held[:whole])
         del held[:whole]
         self._read -= whole
@@ -65,7 +65,7 @@
             self.load = line[len(_LOAD) :].decode("latin-1").strip()
         elif line and line[:1] != b":" and line.partition(b":")[0] not in FIELDS:
             # A chunk whose size is wrong shows here: its neighbour's size stands among the events.
-            raise StreamError("no line of an event")
+            raise EventStreamError("no line of an event")
 
 
 def _cached_tokens(text: bytes) -> int:
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -23,7 +23,7 @@
     ResponseParser,
     encode_request,
 )
-from lockspoke.wire.http.sse import EventStream, StreamError
+from lockspoke.wire.http.sse import EventStream, EventStreamError
 from lockspoke.wire.tcp.dialing import Dial, dial
 from lockspoke.wire.tcp.read_ahead import ReadAhead
 
@@ -224,7 +224,7 @@
                         return ReplicaResponse(
                             outcome, events.cached_tokens, load, head.keep_alive and parser.ended_cleanly
                         )
-        except (StreamClosedError, HttpError, StreamError, TimeoutError) as error:
+        except (StreamClosedError, HttpError, EventStreamError, TimeoutError) as error:
             load = events.load or (head.headers.get("srv-load") if head else "")
             if outcome in (Outcome.OK, Outcome.RESET) and not isinstance(error, StreamClosedError):
                 # The replica has run it and answered, if badly; its connections are not to blame.
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -15,7 +15,7 @@
 from lockspoke.wire.clients.request_fields import decode_load_report, decode_request_fields
 from lockspoke.wire.discovery.messages import STATES, EndpointListError, decode_endpoint_list, out_of_use_only
 from lockspoke.wire.http.http1 import Headers, HttpError
-from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, StreamError
+from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, EventStreamError
 from tests.wire.http.test_http1 import cut, fixed
 
 STREAM = (
@@ -40,7 +40,7 @@
 @given(st.lists(st.binary(max_size=60) | st.sampled_from([b'data: "usage"', b"\n", b'{"usage":[]}'])))
 def test_a_stream_of_garbage_harms_nothing(parts: list[bytes]) -> None:
     stream = EventStream()
-    with contextlib.suppress(StreamError):
+    with contextlib.suppress(EventStreamError):
         for part in parts:
             passed = stream.feed(part)
             assert not passed or passed.endswith(b"\n")
@@ -65,14 +65,14 @@
 )
 def test_what_is_no_stream_of_events_is_told(data: bytes) -> None:
     """Passed on it would reach the client as if a worker had made it, and nothing bounds its size."""
-    with pytest.raises(StreamError):
+    with pytest.raises(EventStreamError):
         EventStream().feed(data)
 
 
 def test_what_is_no_event_is_told_at_the_end_as_well() -> None:
     stream = EventStream()
     assert stream.feed(b"abcde") == b""
-    with pytest.raises(StreamError):
+    with pytest.raises(EventStreamError):
         stream.remainder()
 
 
--- a/tests/wire/http/test_http1.py
+++ b/tests/wire/http/test_http1.py
@@ -29,7 +29,7 @@
 FULL = b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 2\r\n\r\nno"
 
 
-def merged(pieces: list[http1.Piece]) -> list[object]:
+def merged(pieces: list[http1.MessagePart]) -> list[object]:
     """Pieces with neighbouring data joined, since cuts split it freely."""
     out: list[object] = []
     for piece in pieces:
