--- a/lockspoke/batch/lines.py
+++ b/lockspoke/batch/lines.py
@@ -12,7 +12,7 @@
 from lockspoke.core.identifiers import key_identifier
 from lockspoke.core.requests import ClientRequest, ResponseWriter
 from lockspoke.units import SECOND
-from lockspoke.wire.http.http1 import BODY_LIMIT
+from lockspoke.wire.http.parser import BODY_LIMIT
 
 from .api import AnswerCollector, Line, LineError, decode_line, line_error, measure, result_line
 
--- a/lockspoke/batch/listener.py
+++ b/lockspoke/batch/listener.py
@@ -25,16 +25,9 @@
 from lockspoke.batch.journal import StoreError
 from lockspoke.batch.runner import BatchRunner
 from lockspoke.batch.store import Batch, BatchStore, File, Upload
-from lockspoke.wire.http.http1 import (
-    BodyChunk,
-    HttpError,
-    MessageEnd,
-    MessagePart,
-    RequestHead,
-    RequestParser,
-    encode_head,
-    encode_response,
-)
+from lockspoke.wire.http.encoding import encode_head, encode_response
+from lockspoke.wire.http.messages import BodyChunk, HttpError, MessageEnd, MessagePart, RequestHead
+from lockspoke.wire.http.request_parser import RequestParser
 from lockspoke.wire.tcp.listener import READ_SIZE, Listener
 
 from . import api as api
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -21,7 +21,7 @@
 from lockspoke.core.replica_set import ReplicaListUpdate, ReplicaSet
 from lockspoke.wire.clients.front import AdmissionMode, ClientFront
 from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
-from lockspoke.wire.http.http1 import HttpError
+from lockspoke.wire.http.messages import HttpError
 from lockspoke.wire.operators.api import OperatorCommand, OperatorRequest
 from lockspoke.wire.operators.front import MAX_CONNECTIONS, OperatorFront
 from lockspoke.wire.replicas.transport import ReplicaTransport
--- a/lockspoke/wire/clients/front.py
+++ b/lockspoke/wire/clients/front.py
@@ -15,15 +15,9 @@
 from lockspoke.core.identifiers import key_identifier
 from lockspoke.core.requests import ClientRequest
 from lockspoke.units import MILLISECOND, SECOND
-from lockspoke.wire.http.http1 import (
-    Headers,
-    HttpError,
-    Request,
-    RequestAssembler,
-    encode_chunk,
-    encode_head,
-    encode_response,
-)
+from lockspoke.wire.http.encoding import encode_chunk, encode_head, encode_response
+from lockspoke.wire.http.messages import Headers, HttpError, Request
+from lockspoke.wire.http.request_assembler import RequestAssembler
 from lockspoke.wire.tcp.closing import is_quiet
 from lockspoke.wire.tcp.listener import READ_SIZE, Listener, OutgoingBuffer, close_if_quiet
 
@@ -191,7 +185,7 @@
         try:
             arrived = self.front.core.clock.earliest_arrival()
             self.waiting.extend(Received(request, arrived) for request in self.gatherer.feed(data))
-            if self.gatherer.wants_continue():
+            if self.gatherer.take_expect_continue():
                 self.outgoing.write(encode_head(100, {}))
         except HttpError as error:
             self._read_no_more(error)
@@ -200,7 +194,7 @@
             while len(self.waiting) > WAITING:
                 self.waiting.pop()
             self._read_no_more(HttpError(503, "too many requests sent ahead"))
-        self._hold(self.gatherer.size + self._waiting_bytes())
+        self._hold(self.gatherer.body_size + self._waiting_bytes())
         if self.front.buffered_bytes > self.front.max_buffered_bytes and self.open_request is None:
             # Guards the memory limit: many large requests at once are turned away, not buffered.
             self._refuse_input(HttpError(503, "too many bytes held"))
@@ -294,7 +288,7 @@
 
     def body_sent(self) -> None:
         """The core needs the request's body no more."""
-        self._hold(self.gatherer.size + self._waiting_bytes())
+        self._hold(self.gatherer.body_size + self._waiting_bytes())
 
     def whole(
         self, request: Request, status: int, text: str, headers: Mapping[str, str] | None = None
@@ -328,7 +322,7 @@
         self._let_go()
         self.active_at = asyncio.get_running_loop().time()
         if keep:
-            self._hold(self.gatherer.size + self._waiting_bytes())
+            self._hold(self.gatherer.body_size + self._waiting_bytes())
             self._next()
         else:
             self._end()
--- a/lockspoke/wire/clients/request_fields.py
+++ b/lockspoke/wire/clients/request_fields.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lockspoke.wire.http.http1 import Headers, HttpError
+from lockspoke.wire.http.messages import Headers, HttpError
 
 LONGEST_DEADLINE_MS = 3_600_000
 LONGEST_NAME = 128
--- a/lockspoke/wire/discovery/connection.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -6,7 +6,8 @@
 
 from tornado.iostream import StreamClosedError
 
-from lockspoke.wire.http.http1 import HttpError, encode_request
+from lockspoke.wire.http.encoding import encode_request
+from lockspoke.wire.http.messages import HttpError
 from lockspoke.wire.tcp.dialing import Address, Dial
 from lockspoke.wire.tcp.read_ahead import ReadAhead
 
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -10,7 +10,8 @@
 
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import UNKNOWN_VERSION, ListedReplica, ReplicaListUpdate
-from lockspoke.wire.http.http1 import BodyChunk, HttpError, MessageEnd, ResponseHead, ResponseParser
+from lockspoke.wire.http.messages import BodyChunk, HttpError, MessageEnd, ResponseHead
+from lockspoke.wire.http.response_parser import ResponseParser
 
 LIST_PATH = "/discovery/hosts"
 LIST_LIMIT = 4 * 1024 * 1024  # bytes
--- a/lockspoke/wire/http/__init__.py
+++ b/lockspoke/wire/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 and server-sent events as state machines fed with bytes; no I/O."""
+"""HTTP/1.1 and server-sent events: parsers that are fed bytes, and encoders; no I/O."""
--- /dev/null
+++ b/lockspoke/wire/http/encoding.py
@@ -0,0 +1,61 @@
+"""Requests, responses and chunks as bytes."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+REASON_PHRASES = {
+    100: "Continue",
+    200: "OK",
+    201: "Created",
+    206: "Partial Content",
+    400: "Bad Request",
+    401: "Unauthorized",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    415: "Unsupported Media Type",
+    416: "Range Not Satisfiable",
+    422: "Unprocessable Content",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
+
+
+def encode_request(method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
+    """Return a request with a body of known length."""
+    if body or method != "GET":
+        headers = {**headers, "Content-Length": str(len(body))}
+    return f"{method} {target} HTTP/1.1\r\n{_encode_fields(headers)}\r\n".encode("latin-1") + body
+
+
+def encode_head(status: int, headers: Mapping[str, str]) -> bytes:
+    """Return the head of a response."""
+    reason = REASON_PHRASES.get(status, "Status")
+    return f"HTTP/1.1 {status} {reason}\r\n{_encode_fields(headers)}\r\n".encode("latin-1")
+
+
+def encode_response(
+    status: int, body: bytes, headers: Mapping[str, str], keep_alive: bool, method: str = "GET"
+) -> bytes:
+    """Return a complete response to a request of that method."""
+    fields = {**headers, "Content-Length": str(len(body))}
+    if not keep_alive:
+        fields["Connection"] = "close"
+    # The client of a HEAD request would take a body for the next response.
+    return encode_head(status, fields) + (b"" if method == "HEAD" else body)
+
+
+def encode_chunk(data: bytes) -> bytes:
+    """Return one chunk; the empty one ends the body."""
+    return b"%x\r\n%b\r\n" % (len(data), data)
+
+
+def _encode_fields(headers: Mapping[str, str]) -> str:
+    return "".join(f"{name}: {value}\r\n" for name, value in headers.items())
--- /dev/null
+++ b/lockspoke/wire/http/parser.py
@@ -0,0 +1,253 @@
+"""The part of an HTTP/1.1 parser that requests and responses share: header fields and body framing.
+
+A parser is a state machine that is fed bytes; it uses no socket and no clock. Where the standard leaves a
+choice it is strict: a gateway that guesses where a message ends lets a client smuggle a second one past it.
+"""
+
+from __future__ import annotations
+
+import re
+from dataclasses import dataclass
+from enum import Enum, auto
+
+from .messages import BodyChunk, Headers, HttpError, MessageEnd, MessagePart
+
+HEAD_LIMIT = 16 * 1024  # bytes
+BODY_LIMIT = 256 * 1024  # bytes of a request's body that the platform's protocol allows
+CHUNK_LINE_LIMIT = 256  # bytes
+
+TOKEN_PATTERN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+FIELD_VALUE_PATTERN = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
+_CONTENT_LENGTH_PATTERN = re.compile(rb"[0-9]{1,15}")
+_CHUNK_SIZE_PATTERN = re.compile(rb"[0-9A-Fa-f]{1,12}")
+
+
+class ParserState(Enum):
+    """What a parser expects next."""
+
+    HEAD = auto()
+    SIZED_BODY = auto()
+    CHUNK_SIZE = auto()
+    CHUNK_DATA = auto()
+    CHUNK_END = auto()
+    TRAILER = auto()
+    BODY_UNTIL_CLOSE = auto()
+    DONE = auto()
+    FAILED = auto()
+
+
+@dataclass(slots=True)
+class BodyFraming:
+    """How the end of a body is found: by its length in bytes, or by its chunks."""
+
+    length: int = 0
+    chunked: bool = False
+
+
+class MessageParser:
+    """Splits bytes into message parts; subclasses read the start line."""
+
+    chunk_limit: int | None = None  # bytes
+
+    def __init__(self, body_limit: int | None) -> None:
+        self.body_limit = body_limit
+        self._state = ParserState.HEAD
+        self._buffer = bytearray()
+        self._searched = 0  # bytes of an incomplete head that hold no end: they are not searched again
+        self._remaining = 0  # bytes of a sized body or a chunk
+        self._body_size = 0  # bytes, the sum of the chunk sizes
+        self._trailer_size = 0  # bytes
+
+    @property
+    def is_between_messages(self) -> bool:
+        """Whether no message has begun."""
+        return self._state is ParserState.HEAD and not self._buffer
+
+    @property
+    def in_body(self) -> bool:
+        """Whether a head has been read whose body has not ended."""
+        return self._state not in (ParserState.HEAD, ParserState.FAILED)
+
+    def feed(self, data: bytes) -> list[MessagePart]:
+        """Take bytes and return the message parts that they complete.
+
+        Raises:
+            HttpError: The message is malformed. The parser stays failed: each further call raises.
+        """
+        if self._state is ParserState.FAILED:
+            raise HttpError(400, "fed after an error")
+        self._buffer += data
+        parts: list[MessagePart] = []
+        try:
+            while self._advance(parts):
+                pass
+        except HttpError as error:
+            self._state = ParserState.FAILED
+            self._buffer.clear()
+            error.parsed = parts
+            raise
+        return parts
+
+    def _advance(self, parts: list[MessagePart]) -> bool:
+        """Parse one element; return whether another may follow in the buffer."""
+        state = self._state
+        if state is ParserState.CHUNK_DATA or state is ParserState.SIZED_BODY:
+            return self._read_counted_data(parts)
+        if state is ParserState.HEAD:
+            return self._read_head(parts)
+        if state is ParserState.CHUNK_SIZE:
+            return self._read_chunk_size()
+        if state is ParserState.CHUNK_END:
+            return self._read_chunk_end()
+        if state is ParserState.TRAILER:
+            return self._read_trailer_line(parts)
+        if state is ParserState.BODY_UNTIL_CLOSE and self._buffer:
+            parts.append(BodyChunk(self._consume(len(self._buffer))))
+        return False
+
+    def _consume(self, count: int) -> bytes:
+        consumed = bytes(self._buffer[:count])
+        del self._buffer[:count]
+        return consumed
+
+    def _read_head(self, parts: list[MessagePart]) -> bool:
+        buffer = self._buffer
+        if not self._searched:
+            while buffer.startswith(b"\r\n"):  # the standard allows empty lines before a message
+                del buffer[:2]
+        end = buffer.find(b"\r\n\r\n", max(0, self._searched - 3))
+        if end + 4 > HEAD_LIMIT or (end < 0 and len(buffer) > HEAD_LIMIT):
+            raise HttpError(431, "head too large")
+        if end < 0:
+            self._searched = len(buffer)
+            return False
+        self._searched = 0
+        lines = self._consume(end + 4)[:-4].split(b"\r\n")
+        self._body_size = 0
+        self._start_message(lines[0], Headers(map(parse_field, lines[1:])), parts)
+        return True
+
+    def _start_message(self, start_line: bytes, headers: Headers, parts: list[MessagePart]) -> None:
+        """Check a head, append it to the parts, and set the state for its body."""
+        raise NotImplementedError
+
+    def _declared_framing(self, headers: Headers) -> BodyFraming | None:
+        """Return the framing that the header fields declare, or None.
+
+        Raises:
+            HttpError: The framing is declared twice, unknown or malformed, or the body is too large.
+        """
+        lengths, codings = headers.all("content-length"), headers.all("transfer-encoding")
+        if len(lengths) + len(codings) > 1:
+            raise HttpError(400, "body framed twice")
+        if codings:
+            if codings[0].lower() != "chunked":
+                raise HttpError(501, "unknown transfer coding")
+            return BodyFraming(chunked=True)
+        if not lengths:
+            return None
+        if not _CONTENT_LENGTH_PATTERN.fullmatch(lengths[0].encode("latin-1")):
+            raise HttpError(400, "bad content length")
+        length = int(lengths[0])
+        self._check_body_size(length)
+        return BodyFraming(length)
+
+    def _check_body_size(self, size: int) -> None:
+        if self.body_limit is not None and size > self.body_limit:
+            raise HttpError(413, "body too large")
+
+    def _start_body(self, framing: BodyFraming, parts: list[MessagePart]) -> None:
+        self._remaining = framing.length
+        if framing.chunked:
+            self._state = ParserState.CHUNK_SIZE
+        elif framing.length:
+            self._state = ParserState.SIZED_BODY
+        else:
+            self._end_message(parts)
+
+    def _end_message(self, parts: list[MessagePart]) -> None:
+        parts.append(MessageEnd())
+        self._state = ParserState.HEAD
+
+    def _read_counted_data(self, parts: list[MessagePart]) -> bool:
+        """Read what the buffer holds of a sized body or a chunk."""
+        if not self._buffer:
+            return False
+        data = self._consume(min(self._remaining, len(self._buffer)))
+        self._remaining -= len(data)
+        parts.append(BodyChunk(data))
+        if self._remaining:
+            return True
+        if self._state is ParserState.SIZED_BODY:
+            self._end_message(parts)
+        else:
+            self._state = ParserState.CHUNK_END
+        return True
+
+    def _read_chunk_end(self) -> bool:
+        if len(self._buffer) < 2:
+            return False
+        if self._consume(2) != b"\r\n":
+            raise HttpError(400, "chunk does not end in CRLF")
+        self._state = ParserState.CHUNK_SIZE
+        return True
+
+    def _read_line(self) -> bytes | None:
+        """Return a line of the chunked framing without its end, or None if it is incomplete."""
+        end = self._buffer.find(b"\r\n")
+        if end > CHUNK_LINE_LIMIT or (end < 0 and len(self._buffer) > CHUNK_LINE_LIMIT):
+            raise HttpError(400, "chunk line too long")
+        return None if end < 0 else self._consume(end + 2)[:-2]
+
+    def _read_chunk_size(self) -> bool:
+        line = self._read_line()
+        if line is None:
+            return False
+        digits, _, extension = line.partition(b";")
+        if not _CHUNK_SIZE_PATTERN.fullmatch(digits.rstrip(b" \t")) or not FIELD_VALUE_PATTERN.fullmatch(
+            extension
+        ):
+            raise HttpError(400, "bad chunk size")
+        self._remaining = int(digits, 16)
+        if self.chunk_limit is not None and self._remaining > self.chunk_limit:
+            raise HttpError(502, "chunk too large")
+        self._body_size += self._remaining
+        self._check_body_size(self._body_size)
+        self._trailer_size = 0
+        self._state = ParserState.CHUNK_DATA if self._remaining else ParserState.TRAILER
+        return True
+
+    def _read_trailer_line(self, parts: list[MessagePart]) -> bool:
+        """Check a trailer field and drop it; the empty line ends the message."""
+        line = self._read_line()
+        if line is None:
+            return False
+        self._trailer_size += len(line)
+        if self._trailer_size > HEAD_LIMIT:
+            raise HttpError(431, "trailer too large")
+        if line:
+            parse_field(line)
+        else:
+            self._end_message(parts)
+        return True
+
+
+def parse_field(line: bytes) -> tuple[str, str]:
+    """Return the lower-case name and the value of a header field.
+
+    Raises:
+        HttpError: The line is malformed.
+    """
+    name, colon, value = line.partition(b":")
+    if not colon or not TOKEN_PATTERN.fullmatch(name):
+        raise HttpError(400, "bad header field")
+    value = value.strip(b" \t")
+    if not FIELD_VALUE_PATTERN.fullmatch(value):
+        raise HttpError(400, "bad header value")
+    return name.decode("ascii").lower(), value.decode("latin-1")
+
+
+def allows_keep_alive(minor_version: int, headers: Headers) -> bool:
+    """Return whether the connection may carry another message: the default depends on the version."""
+    options = headers.tokens("connection")
+    return "close" not in options if minor_version else "keep-alive" in options
--- /dev/null
+++ b/lockspoke/wire/http/request_assembler.py
@@ -0,0 +1,66 @@
+"""Complete requests out of a connection's bytes."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from .messages import BodyChunk, HttpError, MessagePart, Request, RequestHead
+from .request_parser import RequestParser
+
+
+@dataclass(slots=True)
+class RequestAssembler:
+    """Joins the parts of requests, for a front that needs them complete."""
+
+    parser: RequestParser = field(default_factory=RequestParser)
+    head: RequestHead | None = None  # of the incomplete request
+    body_chunks: list[bytes] = field(default_factory=list)
+    body_size: int = 0  # bytes of the incomplete request
+    continue_checked: bool = False
+
+    @property
+    def idle(self) -> bool:
+        """Whether nothing of a next request has come."""
+        return self.head is None and self.parser.is_between_messages
+
+    def take_expect_continue(self) -> bool:
+        """Return whether the client waits for a 100 before it sends the body; true once a request."""
+        if self.head is None or self.continue_checked or self.body_size:
+            return False
+        self.continue_checked = True
+        return self.head.headers.get("expect").lower() == "100-continue"
+
+    def feed(self, data: bytes) -> list[Request]:
+        """Take bytes and return the requests that they complete.
+
+        Raises:
+            HttpError: A request is malformed. Requests that were completed by the same bytes are returned
+                instead, so that they are answered first; then the next call raises.
+        """
+        try:
+            return self._assemble(self.parser.feed(data))
+        except HttpError as error:
+            completed = self._assemble(error.parsed)
+            if not completed:
+                raise
+            return completed
+
+    def _assemble(self, parts: list[MessagePart]) -> list[Request]:
+        completed: list[Request] = []
+        for part in parts:
+            if isinstance(part, RequestHead):
+                self._reset(part)
+            elif isinstance(part, BodyChunk):
+                self.body_chunks.append(part.data)
+                self.body_size += len(part.data)
+            elif self.head is not None:
+                completed.append(Request(self.head, b"".join(self.body_chunks)))
+                self._reset(None)
+        return completed
+
+    def _reset(self, head: RequestHead | None) -> None:
+        self.head = head
+        self.body_chunks = []
+        self.body_size = 0
+        if head is not None:
+            self.continue_checked = False
--- /dev/null
+++ b/lockspoke/wire/http/request_parser.py
@@ -0,0 +1,43 @@
+"""Requests as a server parses them."""
+
+from __future__ import annotations
+
+import re
+
+from .messages import Headers, HttpError, MessagePart, RequestHead
+from .parser import BODY_LIMIT, TOKEN_PATTERN, BodyFraming, MessageParser, allows_keep_alive
+
+_TARGET_PATTERN = re.compile(rb"/[!-~]*")
+_VERSION_PATTERN = re.compile(rb"HTTP/[0-9]\.[0-9]")
+
+
+class RequestParser(MessageParser):
+    """Parses the requests of a connection, one after another."""
+
+    def __init__(self, body_limit: int | None = BODY_LIMIT) -> None:
+        super().__init__(body_limit)
+
+    def _start_message(self, start_line: bytes, headers: Headers, parts: list[MessagePart]) -> None:
+        method, target, minor_version = _parse_request_line(start_line)
+        if len(headers.all("host")) != 1 and (minor_version or "host" in headers):
+            raise HttpError(400, "want one Host")
+        if not minor_version and "transfer-encoding" in headers:
+            raise HttpError(400, "chunks in HTTP/1.0")
+        framing = self._declared_framing(headers)
+        keep_alive = allows_keep_alive(minor_version, headers)
+        parts.append(RequestHead(method, target, minor_version, headers, keep_alive))
+        self._start_body(framing or BodyFraming(), parts)
+
+
+def _parse_request_line(line: bytes) -> tuple[str, str, int]:
+    """Return the method, the target and the minor version."""
+    words = line.split(b" ")
+    if len(words) != 3 or not TOKEN_PATTERN.fullmatch(words[0]) or not _TARGET_PATTERN.fullmatch(words[1]):
+        raise HttpError(400, "bad request line")
+    method, target, version = words
+    if not _VERSION_PATTERN.fullmatch(version):
+        raise HttpError(400, "bad version")
+    if not version.startswith(b"HTTP/1."):
+        raise HttpError(505, "unknown version")
+    minor_version = int(version != b"HTTP/1.0")
+    return method.decode("ascii"), target.decode("ascii"), minor_version
--- a/lockspoke/wire/operators/api.py
+++ b/lockspoke/wire/operators/api.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from lockspoke.wire.http.http1 import HttpError, Request
+from lockspoke.wire.http.messages import HttpError, Request
 
 _PATH = re.compile(r"/control/(?:(?P<word>[a-z-]+)|replicas/(?P<uid>[^/]+)/(?P<to>[a-z]+))")
 
--- a/lockspoke/wire/operators/front.py
+++ b/lockspoke/wire/operators/front.py
@@ -7,7 +7,9 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from lockspoke.wire.http.http1 import HttpError, Request, RequestAssembler, encode_response
+from lockspoke.wire.http.encoding import encode_response
+from lockspoke.wire.http.messages import HttpError, Request
+from lockspoke.wire.http.request_assembler import RequestAssembler
 from lockspoke.wire.tcp.listener import Listener, OutgoingBuffer
 
 from .api import OperatorRequest, decode_operator_request
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -15,14 +15,9 @@
 from lockspoke.core.requests import Attempt, SendPermission
 from lockspoke.units import MILLISECOND
 from lockspoke.wire.clients.request_fields import decode_load_report
-from lockspoke.wire.http.http1 import (
-    BodyChunk,
-    HttpError,
-    MessageEnd,
-    ResponseHead,
-    ResponseParser,
-    encode_request,
-)
+from lockspoke.wire.http.encoding import encode_request
+from lockspoke.wire.http.messages import BodyChunk, HttpError, MessageEnd, ResponseHead
+from lockspoke.wire.http.response_parser import ResponseParser
 from lockspoke.wire.http.sse import EventStream, EventStreamError
 from lockspoke.wire.tcp.dialing import Dial, dial
 from lockspoke.wire.tcp.read_ahead import ReadAhead
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -12,7 +12,7 @@
 
 from lockspoke.lifecycle.config import ConfigError
 from lockspoke.lifecycle.edge_file import read_batch_file
-from lockspoke.wire.http.http1 import encode_request
+from lockspoke.wire.http.encoding import encode_request
 from tests.standins import EVENTS, HEAD, ROOT, TAIL, Client, FakeWorker, Program, call_bytes, chunk, until
 
 LINES = 2000
--- a/tests/lifecycle/test_program.py
+++ b/tests/lifecycle/test_program.py
@@ -18,7 +18,8 @@
 
 import pytest
 
-from lockspoke.wire.http.http1 import BODY_LIMIT, HEAD_LIMIT, Request
+from lockspoke.wire.http.messages import Request
+from lockspoke.wire.http.parser import BODY_LIMIT, HEAD_LIMIT
 from tests.standins import (
     EVENTS,
     HEAD,
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -12,14 +12,10 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.wire.http.http1 import (
-    BodyChunk,
-    Request,
-    RequestAssembler,
-    ResponseHead,
-    ResponseParser,
-    encode_request,
-)
+from lockspoke.wire.http.encoding import encode_request
+from lockspoke.wire.http.messages import BodyChunk, Request, ResponseHead
+from lockspoke.wire.http.request_assembler import RequestAssembler
+from lockspoke.wire.http.response_parser import ResponseParser
 
 ROOT = Path(__file__).resolve().parent.parent
 PATIENCE = float(
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -13,7 +13,7 @@
 from lockspoke.core.replica_set import UNKNOWN_VERSION
 from lockspoke.wire.discovery import connection as discovery_link
 from lockspoke.wire.discovery import watch
-from lockspoke.wire.http.http1 import Request
+from lockspoke.wire.http.messages import Request
 from lockspoke.wire.tcp.dialing import dial
 from tests.peers import Peer
 from tests.standins import FakeDiscovery, FakeWorker, until
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_play.py
@@ -26,7 +26,8 @@
 from lockspoke.core.requests import ClientRequest
 from lockspoke.wire.discovery.connection import GRACE as WATCH_GRACE
 from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
-from lockspoke.wire.http.http1 import Request, RequestAssembler
+from lockspoke.wire.http.messages import Request
+from lockspoke.wire.http.request_assembler import RequestAssembler
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from lockspoke.wire.tcp.dialing import Address
 from tests.balancing.helpers import settings
--- a/tests/wire/http/test_http1.py
+++ b/tests/wire/http/test_http1.py
@@ -8,16 +8,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lockspoke.wire.http import http1
-from lockspoke.wire.http.http1 import (
+from lockspoke.wire.http.encoding import encode_chunk, encode_head, encode_request
+from lockspoke.wire.http.messages import (
     BodyChunk,
     HttpError,
     MessageEnd,
-    RequestAssembler,
+    MessagePart,
     RequestHead,
-    RequestParser,
-    ResponseParser,
+    ResponseHead,
 )
+from lockspoke.wire.http.parser import BODY_LIMIT, HEAD_LIMIT
+from lockspoke.wire.http.request_assembler import RequestAssembler
+from lockspoke.wire.http.request_parser import RequestParser
+from lockspoke.wire.http.response_parser import ResponseParser
 
 fixed = settings(derandomize=True, deadline=None, max_examples=150)
 HOST = b"Host: a\r\n"
@@ -29,7 +32,7 @@
 FULL = b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 2\r\n\r\nno"
 
 
-def merged(pieces: list[http1.MessagePart]) -> list[object]:
+def merged(pieces: list[MessagePart]) -> list[object]:
     """Pieces with neighbouring data joined, since cuts split it freely."""
     out: list[object] = []
     for piece in pieces:
@@ -59,7 +62,7 @@
         pieces += parser.feed(part)
     assert merged(pieces) == merged(RequestParser().feed(data))
     assert merged(pieces).count("end") == len(messages)
-    assert parser.between
+    assert parser.is_between_messages
 
 
 @fixed
@@ -117,7 +120,7 @@
         # Limits, told before the body comes.
         (POST + b"Content-Length: 262145\r\n\r\n", 413),
         (POST + b"Transfer-Encoding: chunked\r\n\r\n40001\r\n", 413),
-        (POST + b"X: " + b"a" * http1.HEAD_LIMIT, 431),
+        (POST + b"X: " + b"a" * HEAD_LIMIT, 431),
         (POST + b"Transfer-Encoding: chunked\r\n\r\n" + b"0" * 300, 400),
     ],
 )
@@ -128,7 +131,7 @@
 
 
 def test_the_largest_body_is_taken() -> None:
-    body = b"x" * http1.BODY_LIMIT
+    body = b"x" * BODY_LIMIT
     (request,) = RequestAssembler().feed(POST + b"Content-Length: %d\r\n\r\n" % len(body) + body)
     assert request.body == body
 
@@ -174,7 +177,7 @@
 def test_an_answer_without_framing_ends_with_the_connection() -> None:
     parser = ResponseParser()
     head, data = parser.feed(b"HTTP/1.1 200 OK\r\n\r\nabc")
-    assert isinstance(head, http1.ResponseHead) and not head.keep_alive
+    assert isinstance(head, ResponseHead) and not head.keep_alive
     assert data == BodyChunk(b"abc")
     assert parser.connection_closed()
 
@@ -184,9 +187,9 @@
 def test_what_is_written_is_read_back(body: bytes, cuts: list[int]) -> None:
     gatherer = RequestAssembler()
     whole = []
-    for part in cut(http1.encode_request("POST", "/a", {"Host": "h"}, body), cuts):
+    for part in cut(encode_request("POST", "/a", {"Host": "h"}, body), cuts):
         whole += gatherer.feed(part)
     assert [request.body for request in whole] == [body]
-    answer = http1.encode_head(200, {"Transfer-Encoding": "chunked"})
-    answer += (http1.encode_chunk(body) if body else b"") + http1.encode_chunk(b"")
+    answer = encode_head(200, {"Transfer-Encoding": "chunked"})
+    answer += (encode_chunk(body) if body else b"") + encode_chunk(b"")
     assert merged(ResponseParser().feed(answer))[1:] == ([body] if body else []) + ["end"]
