--- a/lockspoke/wire/clients/front.py
+++ b/lockspoke/wire/clients/front.py
@@ -94,7 +94,7 @@
         self.listener.enforce_limit()
         for connection in list(self.listener.connections):
             assert isinstance(connection, ClientConnection)
-            connection.check(now)
+            connection.check_timeouts(now)
 
 
 @dataclass(frozen=True, slots=True)
@@ -163,7 +163,7 @@
             if released is not None:
                 self.front.core.client_disconnected(released)
 
-    def check(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Guards against clients that take or send nothing for ever."""
         sent_at = self.outgoing.ended_at  # until then a slow client still takes its answer
         if self.outgoing.stalled(now, STALL) or (sent_at is not None and now - sent_at > LINGER_SECONDS):
--- a/tests/address/test_announcing.py
+++ b/tests/address/test_announcing.py
@@ -22,7 +22,7 @@
     encode_gratuitous_arp,
     encode_vrrp,
 )
-from tests.wire.http.test_http1 import fixed
+from tests.wire.http.test_http1 import reproducible
 
 MAC = bytes.fromhex("020000000001")
 
@@ -42,7 +42,7 @@
             Advertisement(*fields, (source,))
 
 
-@fixed
+@reproducible
 @given(
     st.integers(1, 255),
     st.integers(0, 255),
--- a/tests/address/test_datagram.py
+++ b/tests/address/test_datagram.py
@@ -8,7 +8,7 @@
 
 from lockspoke.address.datagram import LARGEST, Channel, Datagram, DatagramError, check_key, decode, encode
 from lockspoke.address.election import Kind, Message
-from tests.wire.http.test_http1 import fixed
+from tests.wire.http.test_http1 import reproducible
 
 KEYS = [b"k" * 32, b"n" * 32]
 MEMBERS = ("a", "b", "c")
@@ -95,7 +95,7 @@
         check_key(b"short")
 
 
-@fixed
+@reproducible
 @given(st.binary(max_size=200), st.booleans())
 def test_garbage_is_refused_and_nothing_else(body: bytes, proven: bool) -> None:
     """Also where it is under the right key: a member with a fault must not end the others."""
@@ -111,7 +111,7 @@
         assert error.reason in ("too_short", "forged", "malformed")
 
 
-@fixed
+@reproducible
 @given(
     st.text(max_size=16),
     st.text(max_size=16),
--- a/tests/batch/test_api.py
+++ b/tests/batch/test_api.py
@@ -20,7 +20,7 @@
 )
 from lockspoke.batch.form import FormReader
 from tests.standins import EVENTS, TAIL
-from tests.wire.http.test_http1 import cut, fixed
+from tests.wire.http.test_http1 import reproducible, split_at
 
 LINE: dict[str, Any] = {
     "custom_id": "a",
@@ -63,11 +63,11 @@
     assert (prompt.tokens, prompt.prefix_tokens, prompt.max_tokens) == (150.0, 100.0, 50.0)
 
 
-@fixed
+@reproducible
 @given(st.lists(st.integers(0)))
 def test_an_answer_is_assembled_however_it_is_cut(cuts: list[int]) -> None:
     collector = AnswerCollector("m", 7)
-    for part in cut(b": note\n\n" + b"".join(EVENTS) + TAIL, cuts):
+    for part in split_at(b": note\n\n" + b"".join(EVENTS) + TAIL, cuts):
         collector.feed(part)
     body = collector.body()
     assert body is not None and body["choices"] == [
@@ -101,19 +101,19 @@
 )
 
 
-@fixed
+@reproducible
 @given(st.lists(st.integers(0)))
 def test_a_form_cut_anywhere_reads_alike(cuts: list[int]) -> None:
     got: list[bytes] = []
     form = FormReader("multipart/form-data; boundary=b1", "file", got.append)
-    for part in cut(FORM, cuts):
+    for part in split_at(FORM, cuts):
         form.feed(part)
     form.finish()
     assert form.fields == {"purpose": "batch"} and form.filename == "a.jsonl"
     assert b"".join(got) == b"line 1\r\nline 2\r\n"
 
 
-@fixed
+@reproducible
 @given(st.lists(st.binary(max_size=40) | st.sampled_from([FORM, FORM[:60], b"--b1", b"\r\n\r\n"])))
 def test_garbage_forms_give_clean_errors_only(parts: list[bytes]) -> None:
     form = FormReader("multipart/form-data; boundary=b1", "file", lambda _: None)
--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -22,7 +22,7 @@
 from tests.batch.test_api import LINE
 from tests.core.test_core import World
 from tests.standins import EVENTS, TAIL, until
-from tests.wire.http.test_http1 import fixed
+from tests.wire.http.test_http1 import reproducible
 
 ANSWER = b"".join(EVENTS) + TAIL
 
@@ -74,7 +74,7 @@
         list(journal_at(path).load())
 
 
-@fixed
+@reproducible
 @given(st.binary(max_size=200))
 def test_a_journal_of_garbage_is_never_taken_for_records(data: bytes) -> None:
     path = Path("/dev/shm") / "lockspoke-garbage"
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -19,7 +19,7 @@
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import Memory, Reading, Report, take
 from lockspoke.inventory.writing import FORMS, write
-from tests.wire.http.test_http1 import fixed
+from tests.wire.http.test_http1 import reproducible
 
 RULES = Rules(zones=("lis-1", "lis-2"), kinds={"gen-a": 0.7, "gen-b": 1.0, "gen-c": 1.3}, port=5000)
 
@@ -249,7 +249,7 @@
         assert time.monotonic() - began < 20, name
 
 
-@fixed
+@reproducible
 @given(
     st.binary(max_size=120)
     | st.text(alphabet="all:hostsvrcidn_w12 \n{}[]&*,\"'-<~|>!=#;\t\\%@`?", max_size=120).map(str.encode)
@@ -297,7 +297,7 @@
 )
 
 
-@fixed
+@reproducible
 @given(WORKERS, st.sampled_from(FORMS))
 def test_what_is_written_reads_back_the_same(workers: list[WorkerRecord], form: str) -> None:
     report = read(write(workers, form), f"a.{form}", Rules())
--- a/tests/inventory/test_reconcile.py
+++ b/tests/inventory/test_reconcile.py
@@ -14,7 +14,7 @@
 from lockspoke.inventory.reconcile import Act, Caution, Reconciler, Step
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import Reading, take
-from tests.wire.http.test_http1 import fixed
+from tests.wire.http.test_http1 import reproducible
 
 READING = Reading(Rules(zones=("lis-1",), kinds={"gen-a": 0.7, "gen-b": 1.0}, port=5000))
 
@@ -227,7 +227,7 @@
 )
 
 
-@fixed
+@reproducible
 @given(st.lists(st.tuples(STATES, st.integers(1, 100_000)), min_size=1, max_size=8))
 def test_what_holds_for_any_sequence(steps: list[tuple[dict[int, tuple[int, str, str]], int]]) -> None:
     made, now = Reconciler(), 0
--- a/tests/wire/clients/test_front.py
+++ b/tests/wire/clients/test_front.py
@@ -112,7 +112,7 @@
         pair.send(b"GET /up HT")
         await until(lambda: not pair.connection.idle)
         await asyncio.sleep(0.01)
-        pair.connection.check(asyncio.get_running_loop().time())
+        pair.connection.check_timeouts(asyncio.get_running_loop().time())
         assert (await pair.read(b"\r\n\r\n")).startswith(b"HTTP/1.1 408 ")
         await pair.leave()
 
@@ -188,7 +188,7 @@
         pair.send(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         await pair.read(b"ready\n")
         for one in (pair, silent):
-            one.connection.check(late)
+            one.connection.check_timeouts(late)
         await asyncio.wait_for(silent.task, 30)
         assert not pair.task.done()
         await pair.leave()
@@ -209,7 +209,7 @@
                     await loop.sock_sendall(pair.client, b"x" * 65536)
                     sent += 65536
         assert clients.LINGER_BYTES <= sent < 8_000_000
-        pair.connection.check(loop.time() + clients.LINGER_SECONDS + 0.1)
+        pair.connection.check_timeouts(loop.time() + clients.LINGER_SECONDS + 0.1)
         await asyncio.wait_for(pair.task, 30)
 
     play(test)
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -16,7 +16,7 @@
 from lockspoke.wire.discovery.messages import STATES, EndpointListError, decode_endpoint_list, out_of_use_only
 from lockspoke.wire.http.messages import Headers, HttpError
 from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, EventStreamError
-from tests.wire.http.test_http1 import cut, fixed
+from tests.wire.http.test_http1 import reproducible, split_at
 
 STREAM = (
     b'data: {"choices":[{"index":0,"delta":{"content":"oqvh"},"finish_reason":null}]}\n\n'
@@ -26,17 +26,17 @@
 TARGET = {"uid": "s-1", "endpoint": "127.0.0.1:5000", "az": "a", "pod_group": 3, "state": "up", "boot_ms": 5}
 
 
-@fixed
+@reproducible
 @given(st.lists(st.integers(0)))
 def test_a_stream_cut_anywhere_reads_alike(cuts: list[int]) -> None:
     stream = EventStream()
-    passed = b"".join(stream.feed(part) for part in cut(STREAM, cuts))
+    passed = b"".join(stream.feed(part) for part in split_at(STREAM, cuts))
     assert passed + stream.remainder() == STREAM
     assert (stream.events, stream.done, stream.cached_tokens) == (3, True, 4096)
     assert stream.load == "util=0.61,lat=3"
 
 
-@fixed
+@reproducible
 @given(st.lists(st.binary(max_size=60) | st.sampled_from([b'data: "usage"', b"\n", b'{"usage":[]}'])))
 def test_a_stream_of_garbage_harms_nothing(parts: list[bytes]) -> None:
     stream = EventStream()
@@ -206,7 +206,7 @@
     )
 
 
-@fixed
+@reproducible
 @given(
     st.binary(max_size=50)
     | st.recursive(
--- a/tests/wire/http/test_http1.py
+++ b/tests/wire/http/test_http1.py
@@ -22,7 +22,7 @@
 from lockspoke.wire.http.request_parser import RequestParser
 from lockspoke.wire.http.response_parser import ResponseParser
 
-fixed = settings(derandomize=True, deadline=None, max_examples=150)
+reproducible = settings(derandomize=True, deadline=None, max_examples=150)
 HOST = b"Host: a\r\n"
 POST = b"POST /v1/x?y=1 HTTP/1.1\r\n" + HOST
 SIZED = POST + b"Content-Length: 5\r\n\r\nhello"
@@ -48,24 +48,24 @@
     return out
 
 
-def cut(data: bytes, cuts: list[int]) -> list[bytes]:
+def split_at(data: bytes, cuts: list[int]) -> list[bytes]:
     edges = [0, *sorted(c % (len(data) + 1) for c in cuts), len(data)]
     return [data[a:b] for a, b in itertools.pairwise(edges)]
 
 
-@fixed
+@reproducible
 @given(st.lists(st.sampled_from([SIZED, CHUNKED, GET]), min_size=1, max_size=4), st.lists(st.integers(0)))
 def test_requests_cut_anywhere_read_alike(messages: list[bytes], cuts: list[int]) -> None:
     data = b"".join(messages)
     pieces, parser = [], RequestParser()
-    for part in cut(data, cuts):
+    for part in split_at(data, cuts):
         pieces += parser.feed(part)
     assert merged(pieces) == merged(RequestParser().feed(data))
     assert merged(pieces).count("end") == len(messages)
     assert parser.is_between_messages
 
 
-@fixed
+@reproducible
 @given(
     st.sampled_from([OK, FULL]), st.sampled_from([b"", FULL, b"\x00noise\r\n\r\n"]), st.lists(st.integers(0))
 )
@@ -73,14 +73,14 @@
     """One answer is read; what comes behind it neither spoils it nor becomes the next one."""
     data = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + message + behind
     pieces, parser = [], ResponseParser()
-    for part in cut(data, cuts):
+    for part in split_at(data, cuts):
         pieces += parser.feed(part)
     assert merged(pieces) == merged(ResponseParser().feed(message))
     assert merged(pieces).count("end") == 1
     assert parser.ended_cleanly is not bool(behind)
 
 
-@fixed
+@reproducible
 @given(
     st.lists(
         st.binary(max_size=40) | st.sampled_from([SIZED, CHUNKED, OK, b"\r\n", b"\r\n\r\n", b": ", b"0"])
@@ -182,12 +182,12 @@
     assert parser.connection_closed()
 
 
-@fixed
+@reproducible
 @given(st.binary(max_size=2000), st.lists(st.integers(0)))
 def test_what_is_written_is_read_back(body: bytes, cuts: list[int]) -> None:
     gatherer = RequestAssembler()
     whole = []
-    for part in cut(encode_request("POST", "/a", {"Host": "h"}, body), cuts):
+    for part in split_at(encode_request("POST", "/a", {"Host": "h"}, body), cuts):
         whole += gatherer.feed(part)
     assert [request.body for request in whole] == [body]
     answer = encode_head(200, {"Transfer-Encoding": "chunked"})
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -80,7 +80,7 @@
         client = await gateway.client()
         await until(lambda: len(gateway.front.listener.connections) == 1)
         client.send(UP)
-        served(gateway).check(asyncio.get_running_loop().time() + 60)
+        served(gateway).check_timeouts(asyncio.get_running_loop().time() + 60)
         assert b"200 OK" in await client.read(b"ready\n")
 
     play(test)
@@ -107,7 +107,7 @@
         await until(lambda: not gateway.core.requests)
         connection = served(gateway)
         assert connection.outgoing.unsent and not connection.outgoing.stalled(0, LINGER_SECONDS)
-        connection.check(connection.active_at + 2 * LINGER_SECONDS)
+        connection.check_timeouts(connection.active_at + 2 * LINGER_SECONDS)
         assert (await client.rest()).endswith(chunk(LONG) + chunk(b""))
 
     play(test)
