--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -21,7 +21,8 @@
 from lockspoke.core.core import Core
 from lockspoke.lifecycle.config import ConfigError, GatewayConfig
 from lockspoke.lifecycle.subsystems import EndpointListSource, Subsystem, SubsystemContext
-from lockspoke.wire.clients.front import ClientConnection, ClientFront
+from lockspoke.wire.clients.connection import ClientConnection
+from lockspoke.wire.clients.front import ClientFront
 from lockspoke.wire.tcp.listener import close_if_quiet
 
 __all__ = ["AddressSettings", "AddressSubsystem", "create"]
--- a/lockspoke/lifecycle/graceful_shutdown.py
+++ b/lockspoke/lifecycle/graceful_shutdown.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable, Sequence
 
 from lockspoke.core.core import Core
-from lockspoke.wire.clients.front import AdmissionMode, ClientFront
+from lockspoke.wire.clients.admission import AdmissionMode
+from lockspoke.wire.clients.front import ClientFront
 
 from .config import GatewayConfig
 from .phases import ProgramPhase
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -19,7 +19,8 @@
 from lockspoke.core.core import Core
 from lockspoke.core.identifiers import Identifiers
 from lockspoke.core.replica_set import ReplicaListUpdate, ReplicaSet
-from lockspoke.wire.clients.front import AdmissionMode, ClientFront
+from lockspoke.wire.clients.admission import AdmissionMode
+from lockspoke.wire.clients.front import ClientFront
 from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
 from lockspoke.wire.http.messages import HttpError
 from lockspoke.wire.operators.api import OperatorCommand, OperatorRequest
--- a/lockspoke/wire/clients/__init__.py
+++ b/lockspoke/wire/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's front: client connections and the fields of their requests."""
+"""The clients of the platform: the front, its connections, and the requests and responses on them."""
--- /dev/null
+++ b/lockspoke/wire/clients/connection.py
@@ -0,0 +1,280 @@
+"""One client's connection: it reads requests and answers them in order, one at a time."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+from collections.abc import Callable, Mapping
+from enum import Enum
+from typing import TYPE_CHECKING
+
+from tornado.iostream import IOStream, StreamClosedError
+
+from lockspoke.core.requests import ClientRequest
+from lockspoke.units import MILLISECOND, SECOND
+from lockspoke.wire.http.encoding import encode_head
+from lockspoke.wire.http.messages import HttpError, Request
+from lockspoke.wire.http.request_assembler import RequestAssembler
+from lockspoke.wire.tcp.listener import READ_SIZE, close_if_quiet
+from lockspoke.wire.tcp.outgoing import OutgoingBuffer
+
+from .admission import AdmissionMode
+from .forwarding import ReceivedRequest, client_request
+from .request_fields import RequestFields, decode_request_fields
+from .responses import StreamingResponse, encode_text_response, retry_after_header
+
+if TYPE_CHECKING:
+    from .front import ClientFront
+
+COMPLETIONS_PATH = "/v1/chat/completions"
+READINESS_PATH = "/up"
+METHODS = {COMPLETIONS_PATH: "POST", READINESS_PATH: "GET"}  # the allowed method by path
+MAX_PIPELINED_REQUESTS = 4  # read ahead of the response; the platform's clients send one at a time
+FIRST_BYTE_TIMEOUT_SECONDS = 2.25  # for a new connection
+REQUEST_TIMEOUT_SECONDS = 2.25  # from a request's first byte to its last
+LINGER_SECONDS = 1.0  # that a connection stays open after its last response, for the client to close
+LINGER_MAX_BYTES = 256 * 1024  # discarded after a malformed request, past which reading stops
+STALL_TIMEOUT_SECONDS = 20.0  # for a client that takes nothing of its response
+OVERLOAD_RETRY_AFTER = SECOND  # advice when too many bytes are buffered
+MOVED_RETRY_AFTER = 50 * MILLISECOND  # advice when a new connection leads to another instance
+
+
+class ConnectionPhase(Enum):
+    """How far a client's connection is from its end."""
+
+    SERVING = "serving"  # input is parsed and answered
+    LAST_RESPONSES = "last responses"  # input is discarded; requests read before are still answered
+    CLOSING = "closing"  # the last response is written; input is discarded until the client closes
+
+
+class ClientConnection:
+    """One client's connection."""
+
+    def __init__(self, front: ClientFront, stream: IOStream) -> None:
+        self.front = front
+        self.stream = stream
+        self.outgoing = OutgoingBuffer(stream)
+        self.closed_by_timeout = asyncio.Event()
+        self.opened_at = self.active_at = asyncio.get_running_loop().time()
+        self.assembler = RequestAssembler()
+        self.buffered_bytes = 0  # of requests, complete or not
+        self.pipelined: deque[ReceivedRequest | HttpError] = deque()  # to be answered in this order
+        self.open_request: ClientRequest | None = None  # submitted to the core, not answered yet
+        self.has_received = False  # whether a byte has ever come
+        self.phase = ConnectionPhase.SERVING
+        # Set once the service address of the connection has moved to another instance.
+        self.closes_after_response = False
+        # For a connection over the service address: whether this instance still holds its lease.
+        self.lease_is_valid: Callable[[], bool] | None = None
+
+    @property
+    def idle(self) -> bool:
+        """Whether the connection is between two requests."""
+        return (
+            self.open_request is None
+            and not self.pipelined
+            and self.assembler.idle
+            and not self.outgoing.unsent
+        )
+
+    async def run(self) -> None:
+        """Read until the client closes; the read that is always pending notices that at once."""
+        try:
+            await self._read()
+        except StreamClosedError:
+            pass
+        finally:
+            abandoned = self._release_request()
+            self._account_bytes(0)  # after the release: the bytes of the request are given back as well
+            if abandoned is not None:
+                self.front.core.client_disconnected(abandoned)
+
+    async def _read(self) -> None:
+        discarded = 0
+        while True:
+            data = await self.stream.read_bytes(READ_SIZE, partial=True)
+            if self.phase is ConnectionPhase.SERVING:
+                self._receive(data)
+                continue
+            discarded += len(data)
+            if self.phase is ConnectionPhase.CLOSING and discarded > LINGER_MAX_BYTES:
+                # Unread input blocks a client that sends on and on, until the linger timeout closes.
+                await self.closed_by_timeout.wait()
+
+    def check_timeouts(self, now: float) -> None:
+        """Close a connection whose client sends or takes nothing for too long.
+
+        Args:
+            now: Seconds of the event loop's clock.
+        """
+        flushed_at = self.outgoing.ended_at  # a slow client that still takes its response is not timed
+        lingered = flushed_at is not None and now - flushed_at > LINGER_SECONDS
+        if lingered or self.outgoing.stalled(now, STALL_TIMEOUT_SECONDS):
+            self.stream.close()
+            self.closed_by_timeout.set()
+        elif not self.has_received and now - self.opened_at > FIRST_BYTE_TIMEOUT_SECONDS:
+            close_if_quiet(self)
+        elif self._is_amid_request() and now - self.active_at > REQUEST_TIMEOUT_SECONDS:
+            self._reject_and_close(HttpError(408, "request took too long"))
+
+    def _is_amid_request(self) -> bool:
+        """Whether the connection only waits for the rest of a request."""
+        return self.open_request is None and self.phase is ConnectionPhase.SERVING and not self.assembler.idle
+
+    def _receive(self, data: bytes) -> None:
+        """Parse input and answer what it completes."""
+        self.has_received = True
+        if self.assembler.idle:
+            self.active_at = asyncio.get_running_loop().time()
+        self._parse(data)
+        self._limit_pipelining()
+        self._update_buffered_bytes()
+        if self.open_request is not None:
+            return
+        if self.front.buffered_bytes > self.front.max_buffered_bytes:
+            # Enforces the memory limit: many large requests at once are rejected, not buffered.
+            self._reject_and_close(HttpError(503, "too many bytes held"))
+        else:
+            self._answer_pipelined()
+
+    def _parse(self, data: bytes) -> None:
+        try:
+            arrived_at = self.front.core.clock.earliest_arrival()
+            requests = self.assembler.feed(data)
+            self.pipelined.extend(ReceivedRequest(request, arrived_at) for request in requests)
+            if self.assembler.take_expect_continue():
+                self.outgoing.write(encode_head(100, {}))
+        except HttpError as error:
+            self._stop_parsing(error)
+
+    def _limit_pipelining(self) -> None:
+        if len(self.pipelined) <= MAX_PIPELINED_REQUESTS or self.phase is not ConnectionPhase.SERVING:
+            return
+        # The first requests are still answered: closing now would lose one that was accepted.
+        while len(self.pipelined) > MAX_PIPELINED_REQUESTS:
+            self.pipelined.pop()
+        self._stop_parsing(HttpError(503, "too many requests sent ahead"))
+
+    def _stop_parsing(self, error: HttpError) -> None:
+        """Discard further input; the error is the last response, after those that are due already."""
+        self.pipelined.append(error)
+        self.phase = ConnectionPhase.LAST_RESPONSES
+        self.assembler = RequestAssembler()
+
+    def _update_buffered_bytes(self) -> None:
+        waiting = sum(len(one.request.body) for one in self.pipelined if isinstance(one, ReceivedRequest))
+        self._account_bytes(self.assembler.body_size + waiting)
+
+    def _account_bytes(self, size: int) -> None:
+        """Set the bytes that are buffered besides the open request's."""
+        if self.open_request is not None:
+            size += len(self.open_request.body)
+        self.front.buffered_bytes += size - self.buffered_bytes
+        self.buffered_bytes = size
+
+    def _release_request(self) -> ClientRequest | None:
+        """Forget the open request: it is answered, or the client has disconnected."""
+        released, self.open_request = self.open_request, None
+        if released is not None:
+            self.front.open_ids.discard(released.request_id)
+        return released
+
+    def _answer_pipelined(self) -> None:
+        """Answer the requests that wait, up to the first that the core takes."""
+        while self.pipelined and self.open_request is None and self.phase is not ConnectionPhase.CLOSING:
+            received = self.pipelined.popleft()
+            if isinstance(received, HttpError):
+                self._reject_and_close(received)
+                return
+            try:
+                self._answer(received)
+            except HttpError as error:
+                self.send_response(received.request, error.status, str(error))
+
+    def _answer(self, received: ReceivedRequest) -> None:
+        request = received.request
+        head = request.head
+        allowed = METHODS.get(head.path)
+        if allowed is None:
+            raise HttpError(404, "no such path")
+        if head.method != allowed:
+            self.send_response(request, 405, "wrong method", {"Allow": allowed})
+        elif head.path == COMPLETIONS_PATH:
+            self._submit_or_reject(received)
+        elif self.front.is_ready():
+            self.send_response(request, 200, "ready")
+        else:
+            self.send_response(request, 503, "not ready")
+
+    def _submit_or_reject(self, received: ReceivedRequest) -> None:
+        if self.lease_is_valid is not None and not self.lease_is_valid():
+            # Read after a pause longer than the lease: another instance holds the address by now.
+            self.closes_after_response = True
+            self._reject_moved(received.request, "the address has moved")
+        elif self.front.admission_mode is AdmissionMode.REJECT:
+            self._reject_moved(received.request, "stopping")
+        else:
+            self._submit(received, decode_request_fields(received.request.head.headers))
+
+    def _reject_moved(self, request: Request, reason: str) -> None:
+        self.send_response(request, 503, reason, retry_after_header(MOVED_RETRY_AFTER))
+
+    def _submit(self, received: ReceivedRequest, fields: RequestFields) -> None:
+        request_class = self.front.classes.get(fields.kind)
+        if request_class is None:
+            raise HttpError(400, "unknown Req-Kind")
+        if fields.request_id in self.front.open_ids:
+            # A replica would take it for a hedged copy of another client's request.
+            raise HttpError(409, "Req-Id is in use")
+        response = StreamingResponse(self, received.request)
+        request = client_request(received, fields, response, request_class, self.front.tenants)
+        self.open_request = request
+        self.front.open_ids.add(request.request_id)
+        self.front.core.submit(request)
+
+    def release_body(self) -> None:
+        """Give back the bytes of the open request's body, which the core has dropped."""
+        self._update_buffered_bytes()
+
+    def send_response(
+        self, request: Request, status: int, text: str, headers: Mapping[str, str] | None = None
+    ) -> None:
+        """Send a complete response, then go on with the next request or close."""
+        keep_alive = self.stays_open_after(request)
+        method = request.head.method
+        self.outgoing.write(encode_text_response(status, text, keep_alive, headers=headers, method=method))
+        self.response_finished(keep_alive)
+
+    def _reject_and_close(self, error: HttpError) -> None:
+        """Send an error as the last response: where the next message begins is not known any more."""
+        headers = retry_after_header(OVERLOAD_RETRY_AFTER) if error.status == 503 else None
+        self.outgoing.write(encode_text_response(error.status, str(error), keep_alive=False, headers=headers))
+        self.active_at = asyncio.get_running_loop().time()
+        self._close_gracefully()
+
+    def _close_gracefully(self) -> None:
+        """End the sending after the last response.
+
+        A request that crosses that response on its way is not run: its client sends it again.
+        """
+        self.phase = ConnectionPhase.CLOSING
+        self.pipelined.clear()
+        self.outgoing.finish()
+
+    def stays_open_after(self, request: Request) -> bool:
+        """Return whether the connection stays open after a response.
+
+        A connection that is to be closed is closed once all requests that were read are answered.
+        """
+        closing = self.closes_after_response or self.front.admission_mode is not AdmissionMode.ACCEPT
+        return request.head.keep_alive and not (closing and not self.pipelined)
+
+    def response_finished(self, keep_alive: bool) -> None:
+        """Go on with the next request, or close, after a response has been written."""
+        self._release_request()
+        self.active_at = asyncio.get_running_loop().time()
+        if keep_alive:
+            self._update_buffered_bytes()
+            self._answer_pipelined()
+        else:
+            self._close_gracefully()
--- /dev/null
+++ b/lockspoke/wire/clients/forwarding.py
@@ -0,0 +1,77 @@
+"""The request that the core gets: its attributes, and the header fields that replicas get."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from lockspoke.core.identifiers import key_identifier
+from lockspoke.core.requests import ClientRequest
+from lockspoke.units import MILLISECOND
+from lockspoke.wire.http.messages import Headers, Request
+
+from .request_fields import RequestFields
+from .responses import StreamingResponse
+
+DEFAULT_HOST = "origin.svc"  # sent to replicas if an HTTP/1.0 client named no host
+# Fields that concern the client's connection alone, and those that the transport sets for each attempt.
+HEADERS_NOT_FORWARDED = frozenset(
+    {
+        "connection",
+        "content-length",
+        "expect",
+        "keep-alive",
+        "proxy-connection",
+        "req-deadline-ms",
+        "req-id",
+        "te",
+        "trailer",
+        "transfer-encoding",
+        "upgrade",
+    }
+)
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedRequest:
+    """A request that has been read completely."""
+
+    request: Request
+    arrived_at: int  # nanoseconds of the core's clock: the earliest that its last byte can have come
+
+
+def forwarded_headers(headers: Headers) -> dict[str, str]:
+    """Return the header fields that a replica gets."""
+    dropped = HEADERS_NOT_FORWARDED | headers.tokens("connection")
+    forwarded = {name: value for name, value in headers.fields if name not in dropped}
+    return {"host": DEFAULT_HOST, **forwarded}
+
+
+def client_request(
+    received: ReceivedRequest,
+    fields: RequestFields,
+    response: StreamingResponse,
+    request_class: int,
+    tenants: Mapping[str, int],
+) -> ClientRequest:
+    """Return the request in the core's terms."""
+    head = received.request.head
+    return ClientRequest(
+        response=response,
+        request_class=request_class,
+        time_remaining=fields.deadline_ms * MILLISECOND,
+        request_id=fields.request_id,
+        method=head.method,
+        target=head.target,
+        headers=forwarded_headers(head.headers),
+        body=received.request.body,
+        # A tenant that the settings do not name counts as the first one.
+        tenant=tenants.get(fields.tenant, 0),
+        session=key_identifier(fields.key),
+        prefix=key_identifier(fields.prefix),
+        prompt_tokens=fields.prompt_len,
+        prefix_tokens=fields.prefix_len,
+        max_tokens=fields.max_out,
+        client_retry=fields.retry,
+        arrived_at=received.arrived_at,
+    )
--- a/lockspoke/wire/operators/__init__.py
+++ b/lockspoke/wire/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' API and its listener."""
+"""The operators: their requests, and the listener for them."""
--- a/lockspoke/wire/operators/api.py
+++ b/lockspoke/wire/operators/api.py
@@ -1,4 +1,4 @@
-"""What operators call: one call a connection, answered with yes (200) or a no that says why."""
+"""The requests of operators: one a connection, answered with 200 or an error that names the reason."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 
 from lockspoke.wire.http.messages import HttpError, Request
 
-_PATH = re.compile(r"/control/(?:(?P<word>[a-z-]+)|replicas/(?P<uid>[^/]+)/(?P<to>[a-z]+))")
+_PATH_PATTERN = re.compile(
+    r"/control/(?:(?P<command>[a-z-]+)|replicas/(?P<uid>[^/]+)/(?P<replica_command>[a-z]+))"
+)
+_MAX_ECHOED_PATH = 200  # characters of a path that an error repeats
 
 
 class OperatorCommand(Enum):
-    """What a call asks for."""
+    """The operation that an operator requests."""
 
     READY = auto()
     OFFLINE = auto()
@@ -21,30 +24,45 @@
     IN_SERVICE = auto()
 
 
-_WORDS = {
+_GATEWAY_COMMANDS = {
     "ready": OperatorCommand.READY,
     "out-of-service": OperatorCommand.OUT_OF_SERVICE,
     "in-service": OperatorCommand.IN_SERVICE,
 }
-_TO = {"offline": OperatorCommand.OFFLINE, "online": OperatorCommand.ONLINE}
+_REPLICA_COMMANDS = {"offline": OperatorCommand.OFFLINE, "online": OperatorCommand.ONLINE}
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorRequest:
-    """One call, understood."""
+    """A decoded request."""
 
     command: OperatorCommand
-    uid: str = ""  # of the worker, where it is about one
+    uid: str = ""  # of the replica, for a command about one
 
 
 def decode_operator_request(request: Request) -> OperatorRequest:
-    """Read a call. Raises HttpError with 404 or 405 and what is wrong."""
+    """Return the operator's request.
+
+    Raises:
+        HttpError: 404 for an unknown path, 405 for another method than the path's.
+    """
     head = request.head
-    found = _PATH.fullmatch(head.path)
-    ask = (_WORDS.get(found["word"] or "") or _TO.get(found["to"] or "")) if found else None
-    if found is None or ask is None:
-        raise HttpError(404, f"no such call: {head.path[:200]}")
-    wanted = "GET" if ask is OperatorCommand.READY else "POST"
-    if head.method != wanted:
-        raise HttpError(405, f"{head.path[:200]} wants {wanted}")
-    return OperatorRequest(ask, found["uid"] or "")
+    decoded = _decode_path(head.path)
+    if decoded is None:
+        raise HttpError(404, f"no such call: {head.path[:_MAX_ECHOED_PATH]}")
+    method = "GET" if decoded.command is OperatorCommand.READY else "POST"
+    if head.method != method:
+        raise HttpError(405, f"{head.path[:_MAX_ECHOED_PATH]} wants {method}")
+    return decoded
+
+
+def _decode_path(path: str) -> OperatorRequest | None:
+    match = _PATH_PATTERN.fullmatch(path)
+    if match is None:
+        return None
+    uid = match["uid"] or ""
+    if uid:
+        command = _REPLICA_COMMANDS.get(match["replica_command"])
+    else:
+        command = _GATEWAY_COMMANDS.get(match["command"])
+    return None if command is None else OperatorRequest(command, uid)
--- a/lockspoke/wire/operators/front.py
+++ b/lockspoke/wire/operators/front.py
@@ -1,8 +1,9 @@
-"""The operators' front: a listener of its own, so that no crowd of clients stands before a call."""
+"""The operators' front: a listener of its own, which clients cannot crowd."""
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 from collections.abc import Callable
 
 from tornado.iostream import IOStream, StreamClosedError
@@ -10,68 +11,73 @@
 from lockspoke.wire.http.encoding import encode_response
 from lockspoke.wire.http.messages import HttpError, Request
 from lockspoke.wire.http.request_assembler import RequestAssembler
-from lockspoke.wire.tcp.listener import Listener, OutgoingBuffer
+from lockspoke.wire.tcp.listener import Listener
 
 from .api import OperatorRequest, decode_operator_request
 
-MAX_CONNECTIONS = 16  # connections; past it the one that has been silent for longest makes room
-LONGEST = 5.0  # seconds a connection may stand: a call is one small message
-CROWDED = 0.5  # the same, once more than half of the places are taken
-READ = 4096
-PLAIN = {"Content-Type": "text/plain; charset=utf-8"}
+MAX_CONNECTIONS = 16  # past which the connection that is silent for longest is closed
+CONNECTION_TIMEOUT_SECONDS = 5.0  # for a whole connection: a request is one small message
+CROWDED_CONNECTION_TIMEOUT_SECONDS = 0.5  # the same, with more than half of the connections open
+READ_SIZE = 4096  # bytes
+TEXT_HEADERS = {"Content-Type": "text/plain; charset=utf-8"}
 
-Answer = Callable[[OperatorRequest], str]  # what to say to yes; raises HttpError for a no
+OperatorHandler = Callable[[OperatorRequest], str]  # returns the text of a 200; raises HttpError
 
 
 class OperatorFront:
-    """Operators' connections; each carries one call."""
+    """The connections of operators, each of which carries one request."""
 
-    def __init__(self, answer: Answer) -> None:
-        self.answer = answer
-        self.listener = Listener(lambda stream: OperatorConnection(self, stream), MAX_CONNECTIONS)
+    def __init__(self, handler: OperatorHandler) -> None:
+        self.handler = handler
+        self.listener: Listener[OperatorConnection] = Listener(self._create_connection, MAX_CONNECTIONS)
+
+    def _create_connection(self, stream: IOStream) -> OperatorConnection:
+        return OperatorConnection(self.handler, stream)
 
     def run_periodic_checks(self) -> None:
-        """Close what stands for longer than any call takes."""
+        """Close the connections that are open for longer than any request takes."""
         crowded = len(self.listener.connections) > MAX_CONNECTIONS // 2
-        before = asyncio.get_running_loop().time() - (CROWDED if crowded else LONGEST)
+        timeout = CROWDED_CONNECTION_TIMEOUT_SECONDS if crowded else CONNECTION_TIMEOUT_SECONDS
+        before = asyncio.get_running_loop().time() - timeout
         for connection in list(self.listener.connections):
             if connection.opened_at < before:
                 connection.stream.close()
 
 
 class OperatorConnection:
-    """One caller."""
+    """One operator's connection."""
 
-    def __init__(self, front: OperatorFront, stream: IOStream) -> None:
-        self.front = front
+    def __init__(self, handler: OperatorHandler, stream: IOStream) -> None:
         self.stream = stream
-        self.outbox = OutgoingBuffer(stream)
         self.opened_at = self.active_at = asyncio.get_running_loop().time()
         self.has_received = False
-        self.gatherer = RequestAssembler()
+        self._handler = handler
+        self._assembler = RequestAssembler()
 
     @property
     def idle(self) -> bool:
-        """Whether it may make room for others: until its call is whole, it is owed nothing."""
+        """Whether the connection may be closed for another: always, until its request is complete."""
         return not self.stream.closed()
 
     async def run(self) -> None:
-        """Read one call, answer it, close."""
+        """Read one request, answer it, close."""
+        with contextlib.suppress(StreamClosedError):
+            await self.stream.write(await self._response())
+
+    async def _response(self) -> bytes:
         try:
-            while True:
-                data = await self.stream.read_bytes(READ, partial=True)
-                self.has_received = True
-                try:
-                    whole = self.gatherer.feed(data)
-                    if not whole:
-                        continue
-                    status, text = 200, self._yes(whole[0])
-                except HttpError as error:
-                    status, text = error.status, str(error)
-                await self.stream.write(encode_response(status, f"{text}\n".encode(), PLAIN, False))
-                return
-        except StreamClosedError:
-            pass
-
-    def _yes(self, request: Request) -> str:
-        return self.front.answer(decode_operator_request(request))
+            status, text = 200, self._handle(await self._read_request())
+        except HttpError as error:
+            status, text = error.status, str(error)
+        return encode_response(status, f"{text}\n".encode(), TEXT_HEADERS, keep_alive=False)
+
+    async def _read_request(self) -> Request:
+        while True:
+            data = await self.stream.read_bytes(READ_SIZE, partial=True)
+            self.has_received = True
+            requests = self._assembler.feed(data)
+            if requests:
+                return requests[0]
+
+    def _handle(self, request: Request) -> str:
+        return self._handler(decode_operator_request(request))
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -14,7 +14,6 @@
 from lockspoke.core.replica_set import Replica
 from lockspoke.core.requests import Attempt, SendPermission
 from lockspoke.units import MILLISECOND
-from lockspoke.wire.clients.request_fields import decode_load_report
 from lockspoke.wire.http.encoding import encode_request
 from lockspoke.wire.http.messages import BodyChunk, HttpError, MessageEnd, ResponseHead
 from lockspoke.wire.http.response_parser import ResponseParser
@@ -23,6 +22,7 @@
 from lockspoke.wire.tcp.read_ahead import ReadAhead
 
 from .keepalive import SHORTEST, KeepAlive
+from .load_report import decode_load_report
 
 OPENING = 1.0  # seconds from an answer's first byte to its first event: both come with the first token
 SETTLE = 0.01  # seconds in which what a replica sends behind an answer shows, before the connection is reused
--- a/lockspoke/wire/tcp/__init__.py
+++ b/lockspoke/wire/tcp/__init__.py
@@ -1,1 +1,1 @@
-"""TCP connections: listening, dialing, closing, reading ahead."""
+"""TCP connections: listening, dialing, writing with backpressure, closing, reading ahead."""
--- a/lockspoke/wire/tcp/closing.py
+++ b/lockspoke/wire/tcp/closing.py
@@ -1,4 +1,4 @@
-"""The moment in which a connection is used again or closed: what has crossed it on the way."""
+"""The check before an idle connection is reused or closed."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def is_quiet(stream: IOStream) -> bool:
-    """Whether a connection is open and nothing has come on it that the loop has yet to read.
+    """Return whether a connection is open and the kernel holds no unread input of it.
 
-    Guards against what the kernel holds already and the loop has not been told of: a request on a
-    connection that is about to be closed, half an answer or an end on one about to be used again.
+    The kernel may hold input that the event loop has not seen: a request on a connection that is about to be
+    closed; bytes behind a response, or the peer's close, on one that is about to be reused.
     """
     if stream.closed():
         return False
--- a/lockspoke/wire/tcp/read_ahead.py
+++ b/lockspoke/wire/tcp/read_ahead.py
@@ -1,4 +1,4 @@
-"""A connection on which a read is always pending, so that its end is noticed when nobody waits for it."""
+"""A connection on which a read is always pending, so that its end is noticed at any time."""
 
 from __future__ import annotations
 
@@ -11,32 +11,36 @@
 
 
 class ReadAhead:
-    """The receiving side of a connection."""
+    """The receiving side of a connection; `pending` is the read in progress."""
 
     def __init__(self, stream: IOStream) -> None:
         self.stream = stream
-        self.pending = self._begin()
+        self.pending = self._start_read()
 
-    def _begin(self) -> asyncio.Future[bytes]:
+    def _start_read(self) -> asyncio.Future[bytes]:
         try:
             pending: asyncio.Future[bytes] = asyncio.ensure_future(
                 self.stream.read_bytes(READ_SIZE, partial=True)
             )
         except StreamClosedError as error:
-            # Raised here, it would take the bytes before the end with it.
+            # Raised here, it would discard the bytes that came before the end.
             pending = asyncio.get_running_loop().create_future()
             pending.set_exception(error)
-        # An end that nobody waits for is no error that was never looked at.
+        # Retrieves the exception, so that an end that nobody awaits is not logged as an ignored error.
         pending.add_done_callback(lambda done: done.cancelled() or done.exception())
         return pending
 
     @property
     def unread(self) -> bool:
-        """Whether bytes, or the end, have come that `read` has not given out yet."""
+        """Whether bytes, or the end, have come that `read` has not returned."""
         return self.pending.done() or not is_quiet(self.stream)
 
     async def read(self) -> bytes:
-        """The next bytes; raises StreamClosedError at the end."""
+        """Return the next bytes.
+
+        Raises:
+            StreamClosedError: The connection has ended.
+        """
         data = await self.pending
-        self.pending = self._begin()
+        self.pending = self._start_read()
         return data
--- a/tests/wire/clients/test_front.py
+++ b/tests/wire/clients/test_front.py
@@ -11,8 +11,9 @@
 from tornado.iostream import IOStream
 
 from lockspoke.balancing.events import Outcome
-from lockspoke.wire.clients import front as clients
-from lockspoke.wire.clients.front import ClientConnection, ClientFront
+from lockspoke.wire.clients import connection as client_connection
+from lockspoke.wire.clients.connection import ClientConnection
+from lockspoke.wire.clients.front import ClientFront
 from tests.core.test_core import World
 from tests.standins import EVENTS, call_bytes, until
 
@@ -106,7 +107,7 @@
 
 
 def test_a_request_that_never_ends_is_a_408(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "HALF", 0.0)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_SECONDS", 0.0)
 
     async def test(pair: Pair) -> None:
         pair.send(b"GET /up HT")
@@ -122,7 +123,7 @@
 def test_requests_sent_ahead_are_answered_in_order_and_only_so_many() -> None:
     async def test(pair: Pair) -> None:
         pair.send(call_bytes(1) + b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-        await until(lambda: bool(pair.world.started) and bool(pair.connection.waiting))
+        await until(lambda: bool(pair.world.started) and bool(pair.connection.pipelined))
         pair.world.started[0].stream_received(EVENTS[0])
         pair.world.started[0].end(Outcome.OK)
         answer = await pair.read(b"ready\n")
@@ -136,12 +137,14 @@
 
     async def ahead(pair: Pair) -> None:
         pair.send(b"".join(call_bytes(number) for number in range(1, 200)))
-        for number in range(clients.WAITING):
+        for number in range(client_connection.MAX_PIPELINED_REQUESTS):
             await until(lambda number=number: len(pair.world.started) == number + 1)  # type: ignore[misc]
             pair.world.started[number].stream_received(EVENTS[0])
             pair.world.started[number].end(Outcome.OK)
         answer = await pair.read(b"ahead\n")
-        assert answer.count(EVENTS[0]) == clients.WAITING and b"HTTP/1.1 503 " in answer
+        assert (
+            answer.count(EVENTS[0]) == client_connection.MAX_PIPELINED_REQUESTS and b"HTTP/1.1 503 " in answer
+        )
         assert pair.front.buffered_bytes == 0 and not pair.front.open_ids
         await pair.leave()
 
@@ -183,7 +186,7 @@
 
 def test_a_silent_connection_is_closed_and_one_that_has_asked_is_kept() -> None:
     async def test(pair: Pair) -> None:
-        late = asyncio.get_running_loop().time() + clients.FIRST + 0.1
+        late = asyncio.get_running_loop().time() + client_connection.FIRST_BYTE_TIMEOUT_SECONDS + 0.1
         silent = Pair()
         pair.send(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
         await pair.read(b"ready\n")
@@ -208,8 +211,8 @@
                 while True:
                     await loop.sock_sendall(pair.client, b"x" * 65536)
                     sent += 65536
-        assert clients.LINGER_BYTES <= sent < 8_000_000
-        pair.connection.check_timeouts(loop.time() + clients.LINGER_SECONDS + 0.1)
+        assert client_connection.LINGER_MAX_BYTES <= sent < 8_000_000
+        pair.connection.check_timeouts(loop.time() + client_connection.LINGER_SECONDS + 0.1)
         await asyncio.wait_for(pair.task, 30)
 
     play(test)
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -12,10 +12,11 @@
 
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import UNKNOWN_VERSION
-from lockspoke.wire.clients.request_fields import decode_load_report, decode_request_fields
+from lockspoke.wire.clients.request_fields import decode_request_fields
 from lockspoke.wire.discovery.messages import STATES, EndpointListError, decode_endpoint_list, out_of_use_only
 from lockspoke.wire.http.messages import Headers, HttpError
 from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, EventStreamError
+from lockspoke.wire.replicas.load_report import decode_load_report
 from tests.wire.http.test_http1 import reproducible, split_at
 
 STREAM = (
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -10,7 +10,7 @@
 from lockspoke.core.replica_set import Replica
 from lockspoke.core.requests import Attempt, ClientRequest, SendPermission
 from lockspoke.units import MILLISECOND as MS
-from lockspoke.wire.clients.front import StreamingResponse
+from lockspoke.wire.clients.responses import StreamingResponse
 from lockspoke.wire.replicas.keepalive import BACK, SHORTEST, KeepAlive
 from lockspoke.wire.replicas.transport import SETTLE, ReplicaTransport
 from tests.standins import until
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -17,7 +17,7 @@
 from structlog.testing import capture_logs
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.wire.clients.front import ClientConnection
+from lockspoke.wire.clients.connection import ClientConnection
 from lockspoke.wire.discovery import connection as discovery_link
 from lockspoke.wire.discovery.connection import GRACE
 from lockspoke.wire.discovery.messages import LIST_LIMIT
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -14,10 +14,11 @@
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.balancing.settings import Idempotency, RequestClass
 from lockspoke.core.replica_set import ListedReplica
-from lockspoke.wire.clients.front import LINGER_SECONDS, AdmissionMode, ClientConnection
+from lockspoke.wire.clients.admission import AdmissionMode
+from lockspoke.wire.clients.connection import LINGER_SECONDS, ClientConnection
 from lockspoke.wire.replicas import transport as replica_side
 from lockspoke.wire.tcp import dialing
-from lockspoke.wire.tcp.listener import OutgoingBuffer
+from lockspoke.wire.tcp.outgoing import OutgoingBuffer
 from tests.peers import Gateway, Line, Peer
 from tests.standins import EVENTS, HEAD, TAIL, call_bytes, chunk, until
 
