--- a/tests/address/test_announcing.py
+++ b/tests/address/test_announcing.py
@@ -22,7 +22,7 @@
     encode_gratuitous_arp,
     encode_vrrp,
 )
-from tests.wire.http.test_http1 import reproducible
+from tests.properties import reproducible
 
 MAC = bytes.fromhex("020000000001")
 
--- a/tests/address/test_datagram.py
+++ b/tests/address/test_datagram.py
@@ -8,7 +8,7 @@
 
 from lockspoke.address.datagram import LARGEST, Channel, Datagram, DatagramError, check_key, decode, encode
 from lockspoke.address.election import Kind, Message
-from tests.wire.http.test_http1 import reproducible
+from tests.properties import reproducible
 
 KEYS = [b"k" * 32, b"n" * 32]
 MEMBERS = ("a", "b", "c")
--- a/tests/batch/test_api.py
+++ b/tests/batch/test_api.py
@@ -19,8 +19,8 @@
     window_seconds,
 )
 from lockspoke.batch.form import FormReader
+from tests.properties import reproducible, split_at
 from tests.standins import EVENTS, STREAM_TAIL
-from tests.wire.http.test_http1 import reproducible, split_at
 
 LINE: dict[str, Any] = {
     "custom_id": "a",
--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -21,8 +21,8 @@
 from lockspoke.units import SECOND
 from tests.batch.test_api import LINE
 from tests.core.test_core import World
+from tests.properties import reproducible
 from tests.standins import EVENTS, STREAM_TAIL, until
-from tests.wire.http.test_http1 import reproducible
 
 ANSWER = b"".join(EVENTS) + STREAM_TAIL
 
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -19,7 +19,7 @@
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import Memory, Reading, Report, take
 from lockspoke.inventory.writing import FORMS, write
-from tests.wire.http.test_http1 import reproducible
+from tests.properties import reproducible
 
 RULES = Rules(zones=("lis-1", "lis-2"), kinds={"gen-a": 0.7, "gen-b": 1.0, "gen-c": 1.3}, port=5000)
 
--- a/tests/inventory/test_reconcile.py
+++ b/tests/inventory/test_reconcile.py
@@ -14,7 +14,7 @@
 from lockspoke.inventory.reconcile import Act, Caution, Reconciler, Step
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import Reading, take
-from tests.wire.http.test_http1 import reproducible
+from tests.properties import reproducible
 
 READING = Reading(Rules(zones=("lis-1",), kinds={"gen-a": 0.7, "gen-b": 1.0}, port=5000))
 
