--- a/tests/wire/operators/test_front.py
+++ b/tests/wire/operators/test_front.py
@@ -1,4 +1,4 @@
-"""Operators' calls to the program in a process of its own."""
+"""Operators' requests to the program in a process of its own."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 
 
 async def operate(program: Program, path: str, method: str = "POST") -> int:
-    """One call; the status of its answer."""
-    # Both are said after the clients' address, which a program's start waits for.
+    """Send one request; return the status of its response."""
+    # Both are logged after the clients' address, for which the start of a program waits.
     await until(lambda: program.log("operators_listening") is not None)
     await until(lambda: program.log("phase", now="ready") is not None)
     started = program.log("operators_listening")
     assert started is not None
-    async with Client(started["port"]) as caller, asyncio.timeout(10):
+    async with Client(started["port"]) as operator, asyncio.timeout(10):
         raw = f"{method} /control/{path} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
-        status, fields, _, whole = await caller.request(raw.encode())
-        assert whole and fields["connection"] == "close"
+        status, fields, _, complete = await operator.request(raw.encode())
+        assert complete and fields["connection"] == "close"
         return status
 
 
-async def served(program: Program, first: int, count: int = 12) -> None:
+async def send_requests(program: Program, first: int, count: int = 12) -> None:
     async with Client(program.port) as client:
         for number in range(first, first + count):
             assert (await client.request(request_bytes(number)))[0] == 200
 
 
 @run
-async def test_calls_are_answered_while_others_connect_and_finish_none() -> None:
-    async with FakeReplica() as worker, Program(worker, operator=True) as program:
+async def test_requests_are_answered_while_other_connections_stay_incomplete() -> None:
+    async with FakeReplica() as replica, Program(replica, operator=True) as program:
         assert await operate(program, "ready", "GET") == 200
         port = program.log("operators_listening")["port"]  # type: ignore[index]
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(12)]
@@ -48,59 +48,59 @@
             ("in-service", "GET", 405),
             ("replicas/s-none/offline", "POST", 404),
             ("replicas/s-none/sideways", "POST", 404),
-            (f"replicas/s-{worker.port}/online", "POST", 200),
+            (f"replicas/s-{replica.port}/online", "POST", 200),
         ):
             assert await operate(program, path, method) == status, path
         for _, writer in silent:
             writer.close()
-        await served(program, 1)
+        await send_requests(program, 1)
 
 
 @run
-async def test_a_ban_outlives_lists_and_repeats_and_one_call_back_ends_it() -> None:
+async def test_ban_outlives_endpoint_lists_and_repetition_and_one_request_ends_it() -> None:
     async with (
         FakeReplica() as one,
         FakeReplica() as two,
         FakeDiscovery() as discovery,
         Program(one, two, discovery=discovery, operator=True) as program,
     ):
-        await served(program, 1, 30)
+        await send_requests(program, 1, 30)
         uid = f"replicas/s-{one.port}"
         assert [await operate(program, f"{uid}/offline") for _ in range(2)] == [200, 200]
         before = len(one.seen)
         assert before and len(two.seen)
-        await served(program, 100)
-        discovery.change(two)  # the list drops the banned worker, then names it anew
+        await send_requests(program, 100)
+        discovery.change(two)  # the list omits the banned replica, then names it again
         await until(lambda: program.log("registry_changed", rev=discovery.rev) is not None)
         discovery.change(one, two)
         await until(lambda: program.log("registry_changed", rev=discovery.rev) is not None)
-        await served(program, 200)
-        assert len(one.seen) == before, "nothing new goes there"
+        await send_requests(program, 200)
+        assert len(one.seen) == before, "it gets no new request"
         assert await operate(program, f"{uid}/online") == 200
-        await served(program, 300, 30)
+        await send_requests(program, 300, 30)
         assert len(one.seen) > before
 
 
 @run
-async def test_with_every_worker_offline_a_call_is_refused_and_online_serves_again() -> None:
-    async with FakeReplica() as worker, Program(worker, operator=True) as program:
-        assert await operate(program, f"replicas/s-{worker.port}/offline") == 200
+async def test_request_is_rejected_with_every_replica_offline_and_served_once_online() -> None:
+    async with FakeReplica() as replica, Program(replica, operator=True) as program:
+        assert await operate(program, f"replicas/s-{replica.port}/offline") == 200
         async with Client(program.port) as client:
             assert (await client.request(request_bytes(1, deadline=400)))[0] == 503
-        assert await operate(program, f"replicas/s-{worker.port}/online") == 200
-        await served(program, 2)
+        assert await operate(program, f"replicas/s-{replica.port}/online") == 200
+        await send_requests(program, 2)
 
 
 @run
-async def test_out_of_service_answers_what_comes_and_keeps_no_idle_client() -> None:
-    async with FakeReplica() as worker, Program(worker, operator=True) as program:
+async def test_out_of_service_serves_requests_and_closes_idle_connections() -> None:
+    async with FakeReplica() as replica, Program(replica, operator=True) as program:
         up = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
         async with Client(program.port) as idle, Client(program.port) as late:
             assert (await idle.request(up))[0] == 200
             assert await operate(program, "out-of-service") == 200
-            status, fields, _, whole = await late.request(request_bytes(1))
-            assert (status, whole, fields["connection"]) == (200, True, "close")
-            assert await asyncio.wait_for(idle.reader.read(), 10) == b"", "closed while it is idle"
+            status, fields, _, complete = await late.request(request_bytes(1))
+            assert (status, complete, fields["connection"]) == (200, True, "close")
+            assert await asyncio.wait_for(idle.reader.read(), 10) == b"", "the idle connection is closed"
         async with Client(program.port) as client:
             assert (await client.request(up))[0] == 503
         assert await operate(program, "ready", "GET") == 200, "the process still serves"
@@ -112,28 +112,28 @@
 
 
 @run
-async def test_a_new_version_takes_over_under_load_and_keeps_the_bans() -> None:
+async def test_new_version_takes_over_under_load_and_keeps_the_bans() -> None:
     async with FakeReplica() as one, FakeReplica() as two, Program(one, two, operator=True) as old:
-        await served(old, 1, 30)
+        await send_requests(old, 1, 30)
         assert await operate(old, f"replicas/s-{one.port}/offline") == 200
         before = len(one.seen)
         beside = {"NODE_LISTEN": f"127.0.0.1:{old.port}", "TMPDIR": old.folder.name}
         async with Program(one, two, operator=True, env=beside) as new:
             assert await operate(new, "ready", "GET") == 200
-            ending, number, unheard = asyncio.ensure_future(old.terminate()), 100, 0
+            ending, number, unanswered = asyncio.ensure_future(old.terminate()), 100, 0
             while not ending.done():
                 number += 1
-                status = 0  # a connection may come between the last accept and the end of the listening
+                status = 0  # a connection may arrive between the last accept and the close of the listener
                 with contextlib.suppress(ConnectionError):
                     async with Client(old.port) as client:
                         status = (await client.request(request_bytes(number)))[0]
                 assert status in (0, 200)
-                unheard += status == 0
-            assert await ending == 0 and unheard <= 2, "as many as the operators' page leaves free"
-            await served(new, 5000, 30)
-            assert len(one.seen) == before, "the ban holds over the upgrade"
+                unanswered += status == 0
+            assert await ending == 0 and unanswered <= 2, "as many as the documentation allows"
+            await send_requests(new, 5000, 30)
+            assert len(one.seen) == before, "the ban outlives the upgrade"
             assert await operate(new, f"replicas/s-{one.port}/online") == 200
-            await served(new, 6000, 30)
+            await send_requests(new, 6000, 30)
             assert len(one.seen) > before
 
 
