--- a/lockspoke/wire/operators/front.py
+++ b/lockspoke/wire/operators/front.py
@@ -16,7 +16,7 @@
 from .api import OperatorRequest, decode_operator_request
 
 MAX_CONNECTIONS = 16  # past which the connection that is silent for longest is closed
-CONNECTION_TIMEOUT_SECONDS = 5.0  # for a whole connection: a request is one small message
+CONNECTION_TIMEOUT_SECONDS = 5.0  # from accept to close: a request is one small message
 CROWDED_CONNECTION_TIMEOUT_SECONDS = 0.5  # the same, with more than half of the connections open
 READ_SIZE = 4096  # bytes
 TEXT_HEADERS = {"Content-Type": "text/plain; charset=utf-8"}
