--- a/lockspoke/batch/connection.py
+++ b/lockspoke/batch/connection.py
@@ -10,14 +10,9 @@
 import structlog
 from tornado.iostream import IOStream, StreamClosedError
 
-from lockspoke.wire.http.http1 import (
-    HttpError,
-    MessagePart,
-    RequestHead,
-    RequestParser,
-    encode_head,
-    encode_response,
-)
+from lockspoke.wire.http.encoding import encode_head, encode_response
+from lockspoke.wire.http.messages import HttpError, MessagePart, RequestHead
+from lockspoke.wire.http.request_parser import RequestParser
 from lockspoke.wire.tcp.listener import READ_SIZE
 
 from .application import BatchApplication
--- a/lockspoke/batch/input_lines.py
+++ b/lockspoke/batch/input_lines.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Any, BinaryIO
 
-from lockspoke.wire.http.http1 import BODY_LIMIT
+from lockspoke.wire.http.parser import BODY_LIMIT
 
 MAX_ID_LENGTH = 512  # characters of a `custom_id` and of other members that name something
 MAX_REPORTED_ERRORS = 100  # a check stops at so many invalid lines
--- a/lockspoke/batch/messages.py
+++ b/lockspoke/batch/messages.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from lockspoke.wire.http.http1 import BodyChunk, MessageEnd, MessagePart, RequestHead
+from lockspoke.wire.http.messages import BodyChunk, MessageEnd, MessagePart, RequestHead
 
 from .errors import ApiError
 from .validation import ByteRange, decode_json
--- a/lockspoke/lifecycle/graceful_shutdown.py
+++ b/lockspoke/lifecycle/graceful_shutdown.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from lockspoke.wire.clients.front import AdmissionMode
+from lockspoke.wire.clients.admission import AdmissionMode
 
 from .composition import Gateway
 from .phases import ProgramPhase
--- a/lockspoke/lifecycle/operator_commands.py
+++ b/lockspoke/lifecycle/operator_commands.py
@@ -7,8 +7,9 @@
 import structlog
 
 from lockspoke.core.core import Core
-from lockspoke.wire.clients.front import AdmissionMode, ClientFront
-from lockspoke.wire.http.http1 import HttpError
+from lockspoke.wire.clients.admission import AdmissionMode
+from lockspoke.wire.clients.front import ClientFront
+from lockspoke.wire.http.messages import HttpError
 from lockspoke.wire.operators.api import OperatorCommand, OperatorRequest
 
 from .bans_file import write_bans
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass
 
 from lockspoke.core.replica_set import UNKNOWN_VERSION
-from lockspoke.wire.http.http1 import BodyChunk, HttpError, MessageEnd, ResponseHead, ResponseParser
+from lockspoke.wire.http.messages import BodyChunk, HttpError, MessageEnd, ResponseHead
+from lockspoke.wire.http.response_parser import ResponseParser
 
 from .endpoint_list import EndpointListError
 
--- a/lockspoke/wire/replicas/exchange.py
+++ b/lockspoke/wire/replicas/exchange.py
@@ -10,14 +10,9 @@
 from lockspoke.balancing.events import Outcome
 from lockspoke.core.requests import Attempt
 from lockspoke.units import MILLISECOND
-from lockspoke.wire.http.http1 import (
-    BodyChunk,
-    HttpError,
-    MessageEnd,
-    ResponseHead,
-    ResponseParser,
-    encode_request,
-)
+from lockspoke.wire.http.encoding import encode_request
+from lockspoke.wire.http.messages import BodyChunk, HttpError, MessageEnd, ResponseHead
+from lockspoke.wire.http.response_parser import ResponseParser
 from lockspoke.wire.http.sse import EventStream, EventStreamError
 
 from .connection import ReplicaConnection
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -10,7 +10,7 @@
 from lockspoke.balancing.events import Outcome
 from lockspoke.core.replica_set import Replica
 from lockspoke.core.requests import Attempt, SendPermission
-from lockspoke.wire.clients.request_fields import decode_load_report
+from lockspoke.wire.replicas.load_report import decode_load_report
 from lockspoke.wire.tcp.dialing import Dial, dial
 
 from .connection import ReplicaConnection
--- a/tests/batch/api_client.py
+++ b/tests/batch/api_client.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.wire.http.http1 import encode_request
+from lockspoke.wire.http.encoding import encode_request
 from tests.standins import Client, Program, until
 
 from .harness import ENDPOINT
--- a/tests/batch/test_chat_completion.py
+++ b/tests/batch/test_chat_completion.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from lockspoke.batch.chat_completion import ChatCompletionAssembler, measure_prompt
+from tests.properties import reproducible, split_at
 from tests.standins import EVENTS, STREAM_TAIL
-from tests.wire.http.test_http1 import split_at, reproducible
 
 
 def test_a_prompt_is_measured_in_tokens_of_four_characters() -> None:
--- a/tests/batch/test_form.py
+++ b/tests/batch/test_form.py
@@ -8,7 +8,7 @@
 
 from lockspoke.batch.errors import ApiError
 from lockspoke.batch.form import FormReader
-from tests.wire.http.test_http1 import split_at, reproducible
+from tests.properties import reproducible, split_at
 
 FORM = (
     b'--b1\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n'
--- a/tests/batch/test_journal.py
+++ b/tests/batch/test_journal.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from lockspoke.batch.journal import Journal, StoreError
-from tests.wire.http.test_http1 import reproducible
+from tests.properties import reproducible
 
 
 def open_journal(path: Path) -> Journal:
--- a/tests/lifecycle/test_connections.py
+++ b/tests/lifecycle/test_connections.py
@@ -6,7 +6,7 @@
 import contextlib
 import socket
 
-from lockspoke.wire.http.http1 import Request
+from lockspoke.wire.http.messages import Request
 from tests.standins import (
     EVENTS,
     ROOT,
--- a/tests/lifecycle/test_requests.py
+++ b/tests/lifecycle/test_requests.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from lockspoke.wire.http.http1 import BODY_LIMIT, HEAD_LIMIT
+from lockspoke.wire.http.parser import BODY_LIMIT, HEAD_LIMIT
 from tests.standins import (
     EVENTS,
     STREAM_HEAD,
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -17,7 +17,7 @@
 from structlog.testing import capture_logs
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.wire.clients.front import ClientConnection
+from lockspoke.wire.clients.connection import ClientConnection
 from lockspoke.wire.discovery import connection as discovery_connection
 from lockspoke.wire.discovery.connection import WATCH_GRACE
 from lockspoke.wire.discovery.follower import UNCHANGED_PAUSE
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -15,10 +15,11 @@
 from lockspoke.balancing.settings import Idempotency, RequestClass
 from lockspoke.core.replica_set import ListedReplica
 from lockspoke.core.totals import RequestOutcome
-from lockspoke.wire.clients.front import LINGER_SECONDS, AdmissionMode, ClientConnection
+from lockspoke.wire.clients.admission import AdmissionMode
+from lockspoke.wire.clients.connection import LINGER_SECONDS, ClientConnection
 from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
 from lockspoke.wire.tcp import dialing
-from lockspoke.wire.tcp.listener import OutgoingBuffer
+from lockspoke.wire.tcp.outgoing import OutgoingBuffer
 from tests.peers import Gateway, RawConnection, ScriptedServer
 from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk, request_bytes, until
 
