--- a/tests/wire/discovery/test_endpoint_list.py
+++ b/tests/wire/discovery/test_endpoint_list.py
@@ -11,7 +11,12 @@
 
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import UNKNOWN_VERSION
-from lockspoke.wire.discovery.messages import STATES, EndpointListError, decode_endpoint_list, out_of_use_only
+from lockspoke.wire.discovery.endpoint_list import (
+    STATES,
+    EndpointListError,
+    decode_endpoint_list,
+    without_ready_replicas,
+)
 from tests.properties import reproducible
 
 TARGET = {"uid": "s-1", "endpoint": "127.0.0.1:5000", "az": "a", "pod_group": 3, "state": "up", "boot_ms": 5}
@@ -29,10 +34,10 @@
         ("s-2", ReplicaState.READY),
     ]
     with pytest.raises(EndpointListError, match="uid 's-1' is listed twice; name each replica once"):
-        answer.complete()
+        answer.require_complete()
     both = decode_endpoint_list(a_list(TARGET, TARGET))
     assert both.faults and not both.update.entries and both.update.unreadable == {"s-1"}
-    changes = decode_endpoint_list(a_list(*twice[:2], whole=False)).complete()
+    changes = decode_endpoint_list(a_list(*twice[:2], whole=False)).require_complete()
     assert [entry.state for entry in changes.entries] == [
         ReplicaState.READY,
         ReplicaState.DRAINING,
@@ -40,17 +45,17 @@
 
 
 def test_lists_are_read() -> None:
-    update = decode_endpoint_list(a_list(TARGET, whole=False)).complete()
+    update = decode_endpoint_list(a_list(TARGET, whole=False)).require_complete()
     assert (update.version, update.complete) == (4, False)
     entry = update.entries[0]
     assert (entry.uid, entry.endpoint, entry.cell, entry.boot_ms) == ("s-1", ("127.0.0.1", 5000), 3, 5)
     gone = {"uid": "s-1", "state": "removed"}  # what is gone needs no address
-    assert decode_endpoint_list(a_list(gone)).complete().entries[0].state is ReplicaState.REMOVED
+    assert decode_endpoint_list(a_list(gone)).require_complete().entries[0].state is ReplicaState.REMOVED
 
 
 def test_a_list_tells_the_kind_of_machine_where_it_is_a_name() -> None:
     for given_kind, kind in (("m2", "m2"), (7, ""), (None, "")):
-        update = decode_endpoint_list(a_list(TARGET | {"model": given_kind})).complete()
+        update = decode_endpoint_list(a_list(TARGET | {"model": given_kind})).require_complete()
         assert update.entries[0].machine_kind == kind
 
 
@@ -69,7 +74,7 @@
     answer = decode_endpoint_list(a_list(TARGET | change, TARGET | {"uid": "s-2"}))
     assert [entry.uid for entry in answer.update.entries] == ["s-2"]
     with pytest.raises(EndpointListError, match="|".join([*map(re.escape, change), "nowhere", "a:0"])):
-        answer.complete()
+        answer.require_complete()
     # The replica stays as it is: by its uid, or since nothing is concluded from what the list doesn't name.
     assert answer.update.unreadable == {"s-1"} if "uid" not in change else not answer.update.complete
 
@@ -82,8 +87,10 @@
 
 
 def test_of_an_older_answer_only_what_takes_replicas_out_of_use_is_kept() -> None:
-    update = decode_endpoint_list(a_list(TARGET, TARGET | {"uid": "s-2", "state": "draining"})).complete()
-    kept = out_of_use_only(update)
+    update = decode_endpoint_list(
+        a_list(TARGET, TARGET | {"uid": "s-2", "state": "draining"})
+    ).require_complete()
+    kept = without_ready_replicas(update)
     assert (
         [entry.uid for entry in kept.entries] == ["s-2"]
         and not kept.complete
