--- a/tests/lifecycle/test_connections.py
+++ b/tests/lifecycle/test_connections.py
@@ -62,13 +62,13 @@
     async with FakeReplica() as old, FakeReplica() as new, UnavailableDiscovery() as discovery:
         discovery.change(old)
         async with Program(old, discovery=discovery, sockets=120) as program:
-            await until(lambda: program.log("registry_changed") is not None)
+            await until(lambda: program.log("endpoint_list_changed") is not None)
             discovery.become_unavailable()
             await until(lambda: program.log("discovery_failing") is not None)
             idle = [socket.create_connection(("127.0.0.1", program.port)) for _ in range(300)]
             discovery.down = False
             discovery.change(new)
-            await until(lambda: program.log("discovery_back") is not None)
+            await until(lambda: program.log("discovery_recovered") is not None)
             async with Client(program.port) as client:
                 assert (await client.request(request_bytes(1)))[0] == 200
             assert (len(old.seen), len(new.seen)) == (0, 1)
--- a/tests/lifecycle/test_endpoint_list.py
+++ b/tests/lifecycle/test_endpoint_list.py
@@ -21,7 +21,7 @@
             assert (await client.request(request_bytes(1)))[0] == 200  # the old list holds
             assert len(old.seen) == 1
             discovery.change(new)
-            await until(lambda: program.log("registry_changed") is not None)
+            await until(lambda: program.log("endpoint_list_changed") is not None)
             await until(lambda: f"from={discovery.rev}&" in discovery.seen[-1].head.query)
             assert (await client.request(request_bytes(2)))[0] == 200
             assert len(new.seen) == 1 and len(old.seen) == 1
@@ -38,7 +38,7 @@
             async with Program(replica, discovery=discovery) as program, Client(program.port) as client:
                 await until(lambda now=program: now.log("discovery_failing") is not None)  # type: ignore[misc]  # mypy infers no lambda with a default
                 assert (await client.request(request_bytes(1)))[0] == 200
-                await until(lambda now=program: now.log("discovery_back") is not None)  # type: ignore[misc]  # mypy infers no lambda with a default
+                await until(lambda now=program: now.log("discovery_recovered") is not None)  # type: ignore[misc]  # mypy infers no lambda with a default
                 assert (await client.request(request_bytes(2)))[0] == 200
 
 
@@ -50,7 +50,7 @@
             discovery.rev = 9
             discovery.targets = [target(replica), target(replica, "draining")] if twice else []
             async with Program(replica, discovery=discovery) as program, Client(program.port) as client:
-                await until(lambda now=program: now.log("registry_changed") is not None)  # type: ignore[misc]  # mypy infers no lambda with a default
+                await until(lambda now=program: now.log("endpoint_list_changed") is not None)  # type: ignore[misc]  # mypy infers no lambda with a default
                 assert (await client.request(request_bytes(1, deadline=300)))[0] != 200
             assert not replica.seen
 
--- a/tests/wire/operators/test_front.py
+++ b/tests/wire/operators/test_front.py
@@ -71,9 +71,9 @@
         assert before and len(two.seen)
         await send_requests(program, 100)
         discovery.change(two)  # the list omits the banned replica, then names it again
-        await until(lambda: program.log("registry_changed", rev=discovery.rev) is not None)
+        await until(lambda: program.log("endpoint_list_changed", rev=discovery.rev) is not None)
         discovery.change(one, two)
-        await until(lambda: program.log("registry_changed", rev=discovery.rev) is not None)
+        await until(lambda: program.log("endpoint_list_changed", rev=discovery.rev) is not None)
         await send_requests(program, 200)
         assert len(one.seen) == before, "it gets no new request"
         assert await operate(program, f"{uid}/online") == 200
