--- a/lockspoke/address/control.py
+++ b/lockspoke/address/control.py
@@ -11,15 +11,15 @@
 from pathlib import Path
 from typing import Any
 
-LARGEST = 4096  # bytes of a word
-PATIENCE = 2.0  # seconds for a word to come whole
+MAX_COMMAND_BYTES = 4096  # bytes of a word
+COMMAND_TIMEOUT = 2.0  # seconds for a word to come whole
 
 
-class Control:
+class ControlServer:
     """The instance's end. `obey` gets a word and gives its answer; a ValueError is told to the operator."""
 
-    def __init__(self, path: Path, obey: Callable[[dict[str, Any]], dict[str, Any]]) -> None:
-        self.path, self.obey = path, obey
+    def __init__(self, path: Path, handle: Callable[[dict[str, Any]], dict[str, Any]]) -> None:
+        self.path, self.handle = path, handle
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
@@ -28,24 +28,24 @@
             if not self.path.is_socket():
                 raise FileExistsError(f"{self.path} is there and no socket")
             with socket.socket(socket.AF_UNIX) as probe:
-                probe.settimeout(PATIENCE)
+                probe.settimeout(COMMAND_TIMEOUT)
                 if probe.connect_ex(str(self.path)) == 0:
                     raise FileExistsError(f"{self.path}: another instance listens there")
             self.path.unlink()
         before = os.umask(0o177)  # only its own user may speak to it
         try:
-            self._server = await asyncio.start_unix_server(self._serve, self.path, limit=LARGEST)
+            self._server = await asyncio.start_unix_server(self._serve, self.path, limit=MAX_COMMAND_BYTES)
         finally:
             os.umask(before)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(COMMAND_TIMEOUT):
                 line = await reader.readuntil()
             word = json.loads(line)
             if not isinstance(word, dict):
                 raise ValueError("want an object")
-            answer = self.obey(word)
+            answer = self.handle(word)
         except ValueError as error:
             answer = {"error": str(error)}
         except (TimeoutError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError):
@@ -63,12 +63,12 @@
             self.path.unlink(missing_ok=True)
 
 
-def ask(path: Path, word: dict[str, Any], patience: float = 5.0) -> dict[str, Any]:
+def send_command(path: Path, command: dict[str, Any], timeout: float = 5.0) -> dict[str, Any]:
     """Say a word to a running instance. Raises OSError where none listens, ValueError for what it refuses."""
     with socket.socket(socket.AF_UNIX) as made:
-        made.settimeout(patience)
+        made.settimeout(timeout)
         made.connect(str(path))
-        made.sendall(json.dumps(word).encode() + b"\n")
+        made.sendall(json.dumps(command).encode() + b"\n")
         data = b""
         while part := made.recv(65536):
             data += part
--- a/lockspoke/address/datagram.py
+++ b/lockspoke/address/datagram.py
@@ -26,17 +26,17 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from .election import Kind, Message
+from .election import MessageKind, ElectionMessage
 
 MAGIC = b"LSA"
 VERSION = 1
-LARGEST = 512  # bytes; a longer datagram is not looked at
-NAME = 64  # bytes of a member's name
-WINDOW = 64  # sequences behind the latest that may still come, each once
+MAX_DATAGRAM_BYTES = 512  # bytes; a longer datagram is not looked at
+MAX_NAME_BYTES = 64  # bytes of a member's name
+REPLAY_WINDOW = 64  # sequences behind the latest that may still come, each once
 HELLO = 0  # beside the election's kinds: it tells an epoch and nothing else
-_HEAD = struct.Struct("!3sB4s")
+_HEADER = struct.Struct("!3sB4s")
 _BODY = struct.Struct("!QQQBQQQIII")
-_MAC = 32
+_MAC_BYTES = 32
 
 
 class DatagramError(ValueError):
@@ -53,10 +53,10 @@
 
     sender: str
     receiver: str
-    epoch: int  # of the sender
-    meant: int  # the receiver's epoch as the sender knows it; 0: not at all
+    sender_epoch: int  # of the sender
+    receiver_epoch: int  # the receiver's epoch as the sender knows it; 0: not at all
     sequence: int
-    message: Message | None
+    message: ElectionMessage | None
 
 
 def check_key(key: bytes) -> bytes:
@@ -73,36 +73,36 @@
 
 def encode(datagram: Datagram, key: bytes) -> bytes:
     """A datagram's bytes under a key. Raises ValueError for a name that is too long."""
-    message = datagram.message or Message(Kind.ASK, 0)
+    message = datagram.message or ElectionMessage(MessageKind.PREVOTE_REQUEST, 0)
     kind = HELLO if datagram.message is None else int(message.kind)
     body = _BODY.pack(
-        datagram.epoch,
-        datagram.meant,
+        datagram.sender_epoch,
+        datagram.receiver_epoch,
         datagram.sequence,
         kind,
         message.term,
         message.serial,
-        message.span,
+        message.duration,
         message.generation,
-        message.settled,
-        message.digest,
+        message.settled_generation,
+        message.members_digest,
     )
     for name in (datagram.sender, datagram.receiver, message.holder):
         raw = name.encode()
-        if len(raw) > NAME:
-            raise ValueError(f"the name {name!r} has more than {NAME} bytes")
+        if len(raw) > MAX_NAME_BYTES:
+            raise ValueError(f"the name {name!r} has more than {MAX_NAME_BYTES} bytes")
         body += bytes([len(raw)]) + raw
-    data = _HEAD.pack(MAGIC, VERSION, fingerprint(key)) + body
+    data = _HEADER.pack(MAGIC, VERSION, fingerprint(key)) + body
     return data + hmac.digest(key, data, "sha256")
 
 
 def decode(data: bytes, keys: Sequence[bytes]) -> Datagram:
     """Read a datagram under any of the keys. Raises DatagramError; nothing counts before its proof."""
-    if len(data) > LARGEST:
+    if len(data) > MAX_DATAGRAM_BYTES:
         raise DatagramError("too_large")
-    if len(data) < _HEAD.size + _BODY.size + 3 + _MAC:
+    if len(data) < _HEADER.size + _BODY.size + 3 + _MAC_BYTES:
         raise DatagramError("too_short")
-    magic, version, under = _HEAD.unpack_from(data)
+    magic, version, under = _HEADER.unpack_from(data)
     if magic != MAGIC:
         raise DatagramError("foreign")
     if version != VERSION:
@@ -110,22 +110,22 @@
     key = next((one for one in keys if fingerprint(one) == under), None)
     if key is None:
         raise DatagramError("unknown_key")
-    if not hmac.compare_digest(hmac.digest(key, data[:-_MAC], "sha256"), data[-_MAC:]):
+    if not hmac.compare_digest(hmac.digest(key, data[:-_MAC_BYTES], "sha256"), data[-_MAC_BYTES:]):
         raise DatagramError("forged")
-    epoch, meant, sequence, kind, *numbers = _BODY.unpack_from(data, _HEAD.size)
+    epoch, meant, sequence, kind, *numbers = _BODY.unpack_from(data, _HEADER.size)
     term, serial, span, generation, settled, digest = numbers
-    names, at, end = [], _HEAD.size + _BODY.size, len(data) - _MAC
+    names, at, end = [], _HEADER.size + _BODY.size, len(data) - _MAC_BYTES
     try:
         for _ in range(3):
             size = data[at]
-            if size > NAME or at + 1 + size > end:
+            if size > MAX_NAME_BYTES or at + 1 + size > end:
                 raise DatagramError("malformed")
             names.append(data[at + 1 : at + 1 + size].decode())
             at += 1 + size
         message = (
             None
             if kind == HELLO
-            else Message(Kind(kind), term, serial, span, names[2], generation, settled, digest)
+            else ElectionMessage(MessageKind(kind), term, serial, span, names[2], generation, settled, digest)
         )
     except (UnicodeDecodeError, ValueError, IndexError):
         raise DatagramError("malformed") from None
@@ -135,31 +135,35 @@
 
 
 @dataclass(slots=True)
-class _Peer:
+class _PeerState:
     """What is known of another member."""
 
     epoch: int = 0
-    latest: int = 0  # the highest sequence that was taken
-    seen: int = 0  # a bit for each of the WINDOW sequences up to it
+    last_sequence: int = 0  # the highest sequence that was taken
+    received_bits: int = 0  # a bit for each of the WINDOW sequences up to it
 
-    def fresh(self, epoch: int, sequence: int) -> bool:
+    def accept(self, epoch: int, sequence: int) -> bool:
         """Whether a sequence has not been taken yet; notes it."""
         if epoch != self.epoch:
-            self.epoch, self.latest, self.seen = epoch, sequence, 1
+            self.epoch, self.last_sequence, self.received_bits = epoch, sequence, 1
             return True
-        ahead = sequence - self.latest
+        ahead = sequence - self.last_sequence
         if ahead > 0:
-            self.seen = ((self.seen << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
-            self.latest = sequence
+            self.received_bits = (
+                ((self.received_bits << ahead) | 1) & ((1 << REPLAY_WINDOW) - 1)
+                if ahead < REPLAY_WINDOW
+                else 1
+            )
+            self.last_sequence = sequence
             return True
-        if -ahead >= WINDOW or self.seen >> -ahead & 1:
+        if -ahead >= REPLAY_WINDOW or self.received_bits >> -ahead & 1:
             return False
-        self.seen |= 1 << -ahead
+        self.received_bits |= 1 << -ahead
         return True
 
 
 @dataclass(slots=True)
-class Channel:
+class DatagramChannel:
     """One instance's end of the wire to all others.
 
     `epoch` is above 0 and higher at each start, such as the wall clock in nanoseconds. `keys`: the first is
@@ -169,19 +173,21 @@
     name: str
     epoch: int
     keys: list[bytes]
-    peers: dict[str, _Peer] = field(default_factory=dict)
+    peers: dict[str, _PeerState] = field(default_factory=dict)
     sequence: int = 0
-    refused: Counter[str] = field(default_factory=Counter)  # by reason, what was not taken
+    rejected: Counter[str] = field(default_factory=Counter)  # by reason, what was not taken
 
-    def seal(self, to: str, message: Message) -> bytes:
+    def seal(self, to: str, message: ElectionMessage) -> bytes:
         """A message's bytes for a member."""
-        return self._seal(to, self.peers.setdefault(to, _Peer()).epoch, message)
+        return self._seal(to, self.peers.setdefault(to, _PeerState()).epoch, message)
 
-    def _seal(self, to: str, meant: int, message: Message | None) -> bytes:
+    def _seal(self, to: str, receiver_epoch: int, message: ElectionMessage | None) -> bytes:
         self.sequence += 1
-        return encode(Datagram(self.name, to, self.epoch, meant, self.sequence, message), self.keys[0])
+        return encode(
+            Datagram(self.name, to, self.epoch, receiver_epoch, self.sequence, message), self.keys[0]
+        )
 
-    def open(self, data: bytes, members: Sequence[str]) -> tuple[str, Message | None, bytes | None]:
+    def open(self, data: bytes, members: Sequence[str]) -> tuple[str, ElectionMessage | None, bytes | None]:
         """The sender, its message if it is to be acted on, and a datagram to answer with, if any.
 
         Raises DatagramError where it is to be ignored; the reason is counted.
@@ -189,10 +195,10 @@
         try:
             return self._open(data, members)
         except DatagramError as error:
-            self.refused[error.reason] += 1
+            self.rejected[error.reason] += 1
             raise
 
-    def _open(self, data: bytes, members: Sequence[str]) -> tuple[str, Message | None, bytes | None]:
+    def _open(self, data: bytes, members: Sequence[str]) -> tuple[str, ElectionMessage | None, bytes | None]:
         datagram = decode(data, self.keys)
         sender = datagram.sender
         if sender == self.name:
@@ -201,13 +207,13 @@
             raise DatagramError("not_for_us")
         if sender not in members:
             raise DatagramError("no_member")
-        peer = self.peers.setdefault(sender, _Peer())
-        if datagram.epoch < peer.epoch:
+        peer = self.peers.setdefault(sender, _PeerState())
+        if datagram.sender_epoch < peer.epoch:
             raise DatagramError("old_epoch")  # from before the sender's latest start
-        if datagram.meant != self.epoch:
+        if datagram.receiver_epoch != self.epoch:
             # Its sender does not know this start yet, or it was recorded before. Nothing of it is kept; the
             # HELLO repeats the epoch that it names, which proves to that sender that the HELLO is of now.
-            return sender, None, self._seal(sender, datagram.epoch, None)
-        if not peer.fresh(datagram.epoch, datagram.sequence):
+            return sender, None, self._seal(sender, datagram.sender_epoch, None)
+        if not peer.accept(datagram.sender_epoch, datagram.sequence):
             raise DatagramError("repeated")
         return sender, datagram.message, None
--- a/lockspoke/address/election.py
+++ b/lockspoke/address/election.py
@@ -20,35 +20,55 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from .roster import Roster
-from .terms import Action, Hold, Kind, Lose, Message, Role, Send, Terms
-
-__all__ = ["Action", "Election", "Hold", "Kind", "Lose", "Message", "Role", "Send", "Terms"]
-
-GIVES = 5  # times that a lease is given, `answer / 4` apart, where the heir doesn't show that it has it
+from .roster import Membership
+from .terms import (
+    Action,
+    HoldLease,
+    MessageKind,
+    LoseLease,
+    ElectionMessage,
+    ElectionRole,
+    SendMessage,
+    ElectionConfig,
+)
+
+__all__ = [
+    "Action",
+    "Election",
+    "HoldLease",
+    "MessageKind",
+    "LoseLease",
+    "ElectionMessage",
+    "ElectionRole",
+    "SendMessage",
+    "ElectionConfig",
+]
+
+# times that a lease is given, `answer / 4` apart, where the heir doesn't show that it has it
+MAX_TRANSFER_ATTEMPTS = 5
 
 
 @dataclass(slots=True)
-class _Question:
+class _VoteRound:
     """A question that is out: when it was asked, and who has said yes."""
 
-    kind: Kind
+    kind: MessageKind
     serial: int
-    asked_at: int
+    started_at: int
     term: int = 0
-    yes: set[str] = field(default_factory=set)
+    voters: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
-class _Gift:
+class _LeaseTransfer:
     """A lease that was given to an heir: what is said again until the heir shows that it has it."""
 
-    heir: str
+    successor: str
     serial: int
     token: int
     until: int
-    left: int = GIVES
-    said_at: int = 0
+    attempts_left: int = MAX_TRANSFER_ATTEMPTS
+    sent_at: int = 0
 
 
 class Election:
@@ -64,155 +84,185 @@
     def __init__(
         self,
         name: str,
-        terms: Terms,
+        config: ElectionConfig,
         now: int,
         first_term: int = 0,
-        record_clean: bool = False,
-        chance: Callable[[], float] = lambda: 0.0,
+        no_earlier_votes: bool = False,
+        random: Callable[[], float] = lambda: 0.0,
         priority: int = 100,
-        take_back: int | None = None,
+        preempt_after: int | None = None,
     ) -> None:
-        if name not in terms.members:
+        if name not in config.members:
             raise ValueError(f"{name} is no member")
         self.name = name
-        self.roster = Roster(name, terms, now)
+        self.membership = Membership(name, config, now)
         self.term = first_term
-        self.chance = chance  # from 0 to below 1, for members that would stand at one moment
-        self.priority, self.take_back = priority, take_back
+        self.random = random  # from 0 to below 1, for members that would stand at one moment
+        self.priority, self.preempt_after = priority, preempt_after
         self.healthy = False
         self.healthy_since = now
-        self.role = Role.FOLLOWING if record_clean else Role.SILENT
-        self.silent_until = now if record_clean else now + terms.bound
-        self.granted_to = ""
-        self.granted_until = now
-        self.granted_serial: dict[str, int] = {}  # by candidate, the latest question that was seen
-        self.granted_term = first_term  # the highest that was granted, and to whom: no token is given twice
-        self.granted_term_to = ""
-        self.question: _Question | None = None
-        self.hold_until = 0
-        self.hold_term = 0
+        self.role = ElectionRole.FOLLOWER if no_earlier_votes else ElectionRole.SILENT
+        self.silent_until = now if no_earlier_votes else now + config.voter_lease
+        self.voted_for = ""
+        self.vote_until = now
+        self.last_serials: dict[str, int] = {}  # by candidate, the latest question that was seen
+        self.voted_term = first_term  # the highest that was granted, and to whom: no token is given twice
+        self.voted_term_for = ""
+        self.vote_round: _VoteRound | None = None
+        self.lease_until = 0
+        self.lease_term = 0
         self.token = 0
-        self.outbid = False  # some voter has granted its term to another
-        self.borrowed = False  # the lease is what an earlier holder gave: no grants of its own yet
-        self.heir, self.heir_until, self.heir_serial = "", now, 0  # who is to have it next, tried until when
-        self.heirs: list[str] | None = None  # whom else to try; a list, even an empty one: it leaves then
-        self.gift: _Gift | None = None
-        self.ready: dict[
+        self.term_is_taken = False  # some voter has granted its term to another
+        # the lease is what an earlier holder gave: no grants of its own yet
+        self.lease_is_transferred = False
+        # who is to have it next, tried until when
+        self.successor, self.successor_deadline, self.successor_serial = "", now, 0
+        # whom else to try; a list, even an empty one: it leaves then
+        self.remaining_successors: list[str] | None = None
+        self.transfer: _LeaseTransfer | None = None
+        self.transfer_offers: dict[
             str, tuple[int, int]
         ] = {}  # as an heir, by holder: its question, when first answered
-        self.taken: dict[str, int] = {}  # by holder, the question whose lease was taken: once, whatever comes
-        self.stand_at = self.silent_until
-        self.wanted_at = now
-        self.votes: tuple[str, ...] = ()  # who granted at the latest majority
+        # by holder, the question whose lease was taken: once, whatever comes
+        self.accepted_transfers: dict[str, int] = {}
+        self.candidacy_at = self.silent_until
+        self.preempt_at = now
+        self.lease_voters: tuple[str, ...] = ()  # who granted at the latest majority
         self._serial = now  # grows over restarts of the process too, as long as the clock does
 
     @property
-    def terms(self) -> Terms:
+    def config(self) -> ElectionConfig:
         """The list and the times in force."""
-        return self.roster.terms
+        return self.membership.config
 
     @property
     def holding(self) -> bool:
         """Whether it has the address as far as its latest call knows; ask `holds` with the time."""
-        return self.role is Role.HOLDING
+        return self.role is ElectionRole.HOLDER
 
     def holds(self, now: int) -> bool:
         """Whether the address is its own at this time."""
-        return self.role is Role.HOLDING and now < self.hold_until
+        return self.role is ElectionRole.HOLDER and now < self.lease_until
 
     @property
     def may_hold(self) -> bool:
         """Whether it ever stands."""
-        return self.terms.may_hold(self.name)
+        return self.config.may_hold(self.name)
 
-    def _pause(self) -> int:
+    def _candidacy_delay(self) -> int:
         """How long to leave the others before standing: VRRP's skew by priority, and chance."""
-        share = (255 - self.priority) / 256 / 2 + self.chance() / 2
-        return int(share * self.terms.answer)
+        share = (255 - self.priority) / 256 / 2 + self.random() / 2
+        return int(share * self.config.vote_timeout)
 
     # Events
 
-    def next_at(self, now: int) -> int:
+    def next_tick_at(self, now: int) -> int:
         """When `tick` is wanted next, on its clock; `now` where it is due."""
-        times = [now + self.terms.span]
-        asked = self.question
-        if self.role is Role.SILENT:
+        times = [now + self.config.lease_duration]
+        asked = self.vote_round
+        if self.role is ElectionRole.SILENT:
             times.append(self.silent_until)
-        elif self.role is Role.HOLDING:
-            times += [self.hold_until, asked.asked_at + self.terms.renew if asked is not None else now]
-            if self.heir:
-                times.append(self.heir_until)
+        elif self.role is ElectionRole.HOLDER:
+            times += [
+                self.lease_until,
+                asked.started_at + self.config.renew_interval if asked is not None else now,
+            ]
+            if self.successor:
+                times.append(self.successor_deadline)
         elif asked is not None:
-            times.append(asked.asked_at + self.terms.answer)
-        elif self.role is Role.FOLLOWING and self.healthy and self.may_hold:
-            free = now if self.granted_to == self.name else self.granted_until
-            times.append(max(self.stand_at, min(free, self.granted_until)))
-        if self.gift is not None:
-            times.append(self.gift.said_at + self.terms.answer // 4)
+            times.append(asked.started_at + self.config.vote_timeout)
+        elif self.role is ElectionRole.FOLLOWER and self.healthy and self.may_hold:
+            free = now if self.voted_for == self.name else self.vote_until
+            times.append(max(self.candidacy_at, min(free, self.vote_until)))
+        if self.transfer is not None:
+            times.append(self.transfer.sent_at + self.config.vote_timeout // 4)
         return max(now, min(times))
 
     def tick(self, now: int) -> list[Action]:
         """Time has passed."""
         out: list[Action] = []
-        if self.role is Role.HOLDING and now >= self.hold_until:
-            self._drop(now, "its lease has run out", out, release=False)
-        if self.role is Role.SILENT and now >= self.silent_until:
-            self.role, self.stand_at = Role.FOLLOWING, now + self._pause()
-        if self.heirs is not None and self.role is not Role.HOLDING:
-            self.heirs = None  # it lost the address before an heir was ready
+        if self.role is ElectionRole.HOLDER and now >= self.lease_until:
+            self._give_up(now, "its lease has run out", out, release=False)
+        if self.role is ElectionRole.SILENT and now >= self.silent_until:
+            self.role, self.candidacy_at = ElectionRole.FOLLOWER, now + self._candidacy_delay()
+        if self.remaining_successors is not None and self.role is not ElectionRole.HOLDER:
+            self.remaining_successors = None  # it lost the address before an heir was ready
             out += self.stop(now)
-        asked = self.question
-        if self.role is Role.HOLDING:
-            if self.heir and now >= self.heir_until:
-                self._next_heir(now, out)
-            if self.role is Role.HOLDING and (asked is None or now >= asked.asked_at + self.terms.renew):
-                self._ask(Kind.CLAIM, now, out)
-                if self.heir:
-                    out.append(self._hand(now))  # the first one was lost, or the heir was busy asking
-        elif asked is not None and now >= asked.asked_at + self.terms.answer:
+        asked = self.vote_round
+        if self.role is ElectionRole.HOLDER:
+            if self.successor and now >= self.successor_deadline:
+                self._try_next_successor(now, out)
+            if self.role is ElectionRole.HOLDER and (
+                asked is None or now >= asked.started_at + self.config.renew_interval
+            ):
+                self._start_round(MessageKind.VOTE_REQUEST, now, out)
+                if self.successor:
+                    # the first one was lost, or the heir was busy asking
+                    out.append(self._prepare_successor(now))
+        elif asked is not None and now >= asked.started_at + self.config.vote_timeout:
             # No majority in time. Who has granted must not stay bound for nothing.
-            if asked.kind is Kind.CLAIM:
-                self._release(now, out)
-            self.question = None  # from here on, nothing that comes late can make it the holder
-            self.role, self.stand_at = Role.FOLLOWING, now + self.terms.answer + self._pause()
-        if self.gift is not None and now >= self.gift.said_at + self.terms.answer // 4:
-            self._give(now, out)
-        if self._stands(now):
-            self.role = Role.ASKING
-            self._ask(Kind.ASK, now, out)
-        self._want(now, out)
+            if asked.kind is MessageKind.VOTE_REQUEST:
+                self._release_votes(now, out)
+            self.vote_round = None  # from here on, nothing that comes late can make it the holder
+            self.role, self.candidacy_at = (
+                ElectionRole.FOLLOWER,
+                now + self.config.vote_timeout + self._candidacy_delay(),
+            )
+        if self.transfer is not None and now >= self.transfer.sent_at + self.config.vote_timeout // 4:
+            self._send_transfer(now, out)
+        if self._should_stand(now):
+            self.role = ElectionRole.PRE_CANDIDATE
+            self._start_round(MessageKind.PREVOTE_REQUEST, now, out)
+        self._request_preemption(now, out)
         return out
 
-    def _stands(self, now: int) -> bool:
-        if self.role is not Role.FOLLOWING or not self.healthy or not self.may_hold or now < self.stand_at:
+    def _should_stand(self, now: int) -> bool:
+        if (
+            self.role is not ElectionRole.FOLLOWER
+            or not self.healthy
+            or not self.may_hold
+            or now < self.candidacy_at
+        ):
             return False
         # While it is bound to another it can't grant itself, and a majority knows of that other.
-        return now >= self.granted_until or self.granted_to == self.name
+        return now >= self.vote_until or self.voted_for == self.name
 
     def set_health(self, healthy: bool, now: int) -> list[Action]:
         """Whether it can serve; one that can't gives the address up in good order and does not stand."""
         out: list[Action] = []
-        if self.healthy and not healthy and self.role in (Role.HOLDING, Role.ASKING, Role.CLAIMING):
-            self._drop(now, "it can't serve", out, release=True)
+        if (
+            self.healthy
+            and not healthy
+            and self.role in (ElectionRole.HOLDER, ElectionRole.PRE_CANDIDATE, ElectionRole.CANDIDATE)
+        ):
+            self._give_up(now, "it can't serve", out, release=True)
         if healthy and not self.healthy:
-            self.stand_at, self.healthy_since = max(self.stand_at, now + self._pause()), now
+            self.candidacy_at, self.healthy_since = max(self.candidacy_at, now + self._candidacy_delay()), now
         self.healthy = healthy
         return out
 
-    def move(self, heir: str, now: int) -> list[Action]:
+    def move(self, successor: str, now: int) -> list[Action]:
         """Hand the address over: the heir gets ready, then this one lets go and gives it its lease."""
-        if heir == self.name or not self.terms.may_hold(heir):
-            raise ValueError(f"{heir} can't be handed the address")
+        if successor == self.name or not self.config.may_hold(successor):
+            raise ValueError(f"{successor} can't be handed the address")
         if not self.holds(now):
             raise ValueError(f"{self.name} does not hold the address")
-        self.heir, self.heir_until, self.heir_serial = heir, now + 4 * self.terms.span, 0
-        return [self._hand(now)]
-
-    def _hand(self, now: int) -> Send:
-        if not self.heir_serial:
+        self.successor, self.successor_deadline, self.successor_serial = (
+            successor,
+            now + 4 * self.config.lease_duration,
+            0,
+        )
+        return [self._prepare_successor(now)]
+
+    def _prepare_successor(self, now: int) -> SendMessage:
+        if not self.successor_serial:
             self._serial += 1
-            self.heir_serial = self._serial
-        return self._send(self.heir, Message(Kind.HAND, self.term, self.heir_serial, 0, self.name), now)
+            self.successor_serial = self._serial
+        return self._send(
+            self.successor,
+            ElectionMessage(MessageKind.TRANSFER_PREPARE, self.term, self.successor_serial, 0, self.name),
+            now,
+        )
 
     def leave(self, now: int) -> list[Action]:
         """Stop, but hand the address to some member that is ready first; `LEAVING` when that is done."""
@@ -220,299 +270,354 @@
             return self.stop(now)
         out: list[Action] = []
         # Who has granted of late is there.
-        there = [name for name in self.votes if name != self.name and self.terms.may_hold(name)]
-        self.heirs = there
-        self._next_heir(now, out)
+        there = [name for name in self.lease_voters if name != self.name and self.config.may_hold(name)]
+        self.remaining_successors = there
+        self._try_next_successor(now, out)
         return out
 
-    def _next_heir(self, now: int, out: list[Action]) -> None:
-        self.heir = ""
-        if self.heirs is None:
+    def _try_next_successor(self, now: int, out: list[Action]) -> None:
+        self.successor = ""
+        if self.remaining_successors is None:
             return
         # The list may have changed since.
-        self.heirs = [name for name in self.heirs if self.terms.may_hold(name)]
-        if not self.heirs or not self.holds(now):
+        self.remaining_successors = [name for name in self.remaining_successors if self.config.may_hold(name)]
+        if not self.remaining_successors or not self.holds(now):
             out += self.stop(now)
             return
-        out += self.move(self.heirs.pop(0), now)
-        self.heir_until = now + self.terms.renew + self.terms.answer
+        out += self.move(self.remaining_successors.pop(0), now)
+        self.successor_deadline = now + self.config.renew_interval + self.config.vote_timeout
 
     def stop(self, now: int) -> list[Action]:
         """Leave for good: let go at once, so that nobody has to wait for the lease."""
         out: list[Action] = []
-        if self.role in (Role.HOLDING, Role.ASKING, Role.CLAIMING):
-            self._drop(now, "it stops", out, release=True)
-        self.role = Role.LEAVING
+        if self.role in (ElectionRole.HOLDER, ElectionRole.PRE_CANDIDATE, ElectionRole.CANDIDATE):
+            self._give_up(now, "it stops", out, release=True)
+        self.role = ElectionRole.LEAVING
         return out
 
-    def change(self, terms: Terms, now: int) -> list[Action]:
+    def change_config(self, config: ElectionConfig, now: int) -> list[Action]:
         """Take up another list of members; raises ValueError where that is not safe now."""
-        self.roster.check(terms, now)
+        self.membership.check_change(config, now)
         held = self.holds(now)
-        self.roster.take_up(terms, now)
+        self.membership.adopt(config, now)
         out: list[Action] = []
-        if not self.may_hold and self.role in (Role.HOLDING, Role.ASKING, Role.CLAIMING):
-            self._drop(now, "it is a witness now", out, release=True)
-        elif self.question is not None and not held:
-            self._drop(now, "the members have changed", out, release=True)
-        self.question = None  # its answers were counted by the old list
+        if not self.may_hold and self.role in (
+            ElectionRole.HOLDER,
+            ElectionRole.PRE_CANDIDATE,
+            ElectionRole.CANDIDATE,
+        ):
+            self._give_up(now, "it is a witness now", out, release=True)
+        elif self.vote_round is not None and not held:
+            self._give_up(now, "the members have changed", out, release=True)
+        self.vote_round = None  # its answers were counted by the old list
         return out
 
-    def receive(self, sender: str, message: Message, now: int) -> list[Action]:
+    def receive(self, sender: str, message: ElectionMessage, now: int) -> list[Action]:
         """A message has come, proven to be the sender's."""
         out = self.tick(now)
-        if sender not in self.terms.members or sender == self.name:
+        if sender not in self.config.members or sender == self.name:
             return out
-        self.roster.hear(sender, message, now)
+        self.membership.observe(sender, message, now)
         self.term = max(self.term, message.term)
         match message.kind:
-            case Kind.ASK:
-                yes = self._free_for(sender, now) and self.roster.grants(message, now)
-                self._answer(sender, Kind.WOULD if yes else Kind.DENY, message, now, out)
-            case Kind.CLAIM:
-                self._claimed(sender, message, now, out)
-            case Kind.RELEASE:
-                self._released(sender, message, now)
-            case Kind.WOULD | Kind.GRANT:
-                self._yes(sender, message, now, out)
-            case Kind.DENY:
-                self._denied(message, now, out)
-            case Kind.OUTBID:
-                asked = self.question
+            case MessageKind.PREVOTE_REQUEST:
+                yes = self._may_vote_for(sender, now) and self.membership.may_grant(message, now)
+                self._reply(
+                    sender, MessageKind.PREVOTE_GRANTED if yes else MessageKind.VOTE_DENIED, message, now, out
+                )
+            case MessageKind.VOTE_REQUEST:
+                self._on_vote_request(sender, message, now, out)
+            case MessageKind.RELEASE:
+                self._on_release(sender, message, now)
+            case MessageKind.PREVOTE_GRANTED | MessageKind.VOTE_GRANTED:
+                self._on_vote(sender, message, now, out)
+            case MessageKind.VOTE_DENIED:
+                self._on_denied(message, now, out)
+            case MessageKind.TERM_TAKEN:
+                asked = self.vote_round
                 if asked is not None and message.serial == asked.serial:
-                    self.outbid = True  # its own next claim is above what that voter knows
-            case Kind.HAND:
-                if self.role is Role.HOLDING:
-                    self._handed(sender, message, now, out)
+                    self.term_is_taken = True  # its own next claim is above what that voter knows
+            case MessageKind.TRANSFER_PREPARE:
+                if self.role is ElectionRole.HOLDER:
+                    self._on_successor_ready(sender, message, now, out)
                 else:
-                    self._invited(sender, message, now, out)
-            case Kind.GIVE:
-                self._given(sender, message, now, out)
-            case Kind.WANT:
-                better = message.span > self.priority and self.terms.may_hold(sender)
-                if better and self.holds(now) and not self.heir and not self.borrowed:
+                    self._on_transfer_prepare(sender, message, now, out)
+            case MessageKind.TRANSFER_LEASE:
+                self._on_transfer_lease(sender, message, now, out)
+            case MessageKind.PREEMPT_REQUEST:
+                better = message.duration > self.priority and self.config.may_hold(sender)
+                if better and self.holds(now) and not self.successor and not self.lease_is_transferred:
                     out += self.move(sender, now)
         return out
 
-    def _send(self, to: str, message: Message, now: int) -> Send:
-        return Send(to, self.roster.stamp(message, now))
+    def _send(self, to: str, message: ElectionMessage, now: int) -> SendMessage:
+        return SendMessage(to, self.membership.stamp(message, now))
 
-    def _send_all(self, message: Message, now: int, out: list[Action]) -> None:
-        stamped = self.roster.stamp(message, now)
-        out.extend(Send(other, stamped) for other in self.terms.members if other != self.name)
+    def _send_all(self, message: ElectionMessage, now: int, out: list[Action]) -> None:
+        stamped = self.membership.stamp(message, now)
+        out.extend(SendMessage(other, stamped) for other in self.config.members if other != self.name)
 
     # As a voter
 
-    def _free_for(self, sender: str, now: int) -> bool:
-        if self.role in (Role.SILENT, Role.LEAVING):
+    def _may_vote_for(self, sender: str, now: int) -> bool:
+        if self.role in (ElectionRole.SILENT, ElectionRole.LEAVING):
             return False
-        return self.granted_to == sender or now >= self.granted_until
+        return self.voted_for == sender or now >= self.vote_until
 
-    def _claimed(self, sender: str, message: Message, now: int, out: list[Action]) -> None:
-        if message.serial <= self.granted_serial.get(sender, -1):
+    def _on_vote_request(self, sender: str, message: ElectionMessage, now: int, out: list[Action]) -> None:
+        if message.serial <= self.last_serials.get(sender, -1):
             return  # late or repeated: granted anew, it would bind this voter for nothing
-        self.granted_serial[sender] = message.serial
-        if self.gift is not None and self.gift.heir == sender:
-            self.gift = None  # it has what it was given
-        fits = self.roster.grants(message, now) and message.span == self.terms.span
+        self.last_serials[sender] = message.serial
+        if self.transfer is not None and self.transfer.successor == sender:
+            self.transfer = None  # it has what it was given
+        fits = self.membership.may_grant(message, now) and message.duration == self.config.lease_duration
         if fits:
             self._yield_to(sender, message.term, now, out)
-        if not fits or not self._free_for(sender, now):
-            self._answer(sender, Kind.DENY, message, now, out)
+        if not fits or not self._may_vote_for(sender, now):
+            self._reply(sender, MessageKind.VOTE_DENIED, message, now, out)
             return
         if not self._term_is_free(sender, message.term):
-            self._answer(sender, Kind.OUTBID, message, now, out)
+            self._reply(sender, MessageKind.TERM_TAKEN, message, now, out)
             return
-        self._grant(sender, message.term, now)
-        if self.question is not None and self.role is not Role.HOLDING:
-            self.question, self.role = None, Role.FOLLOWING
-        self._answer(sender, Kind.GRANT, message, now, out)
+        self._vote_for(sender, message.term, now)
+        if self.vote_round is not None and self.role is not ElectionRole.HOLDER:
+            self.vote_round, self.role = None, ElectionRole.FOLLOWER
+        self._reply(sender, MessageKind.VOTE_GRANTED, message, now, out)
 
     def _yield_to(self, sender: str, term: int, now: int, out: list[Action]) -> None:
         """Of two that claim at one moment, each bound to itself, let one give way instead of neither win."""
-        asked = self.question
-        if self.role is not Role.CLAIMING or asked is None or self.granted_to != self.name:
+        asked = self.vote_round
+        if self.role is not ElectionRole.CANDIDATE or asked is None or self.voted_for != self.name:
             return
         if (term, sender) <= (asked.term, self.name):
             return
         # Its own claim is over: whatever grants still come for it, they find no question. So it never holds
         # by that term, and may grant it.
-        self.question, self.role = None, Role.FOLLOWING
-        self._release(now, out)
-        if self.granted_term_to == self.name and self.granted_term == asked.term:
-            self.granted_term_to = sender
+        self.vote_round, self.role = None, ElectionRole.FOLLOWER
+        self._release_votes(now, out)
+        if self.voted_term_for == self.name and self.voted_term == asked.term:
+            self.voted_term_for = sender
 
     def _term_is_free(self, sender: str, term: int) -> bool:
-        return term > self.granted_term or (term == self.granted_term and sender == self.granted_term_to)
+        return term > self.voted_term or (term == self.voted_term and sender == self.voted_term_for)
 
-    def _grant(self, to: str, term: int, now: int) -> None:
-        self.granted_term, self.granted_term_to = term, to
-        self.granted_to, self.granted_until = to, now + self.terms.bound
-        self.stand_at = max(self.stand_at, self.granted_until + self._pause())
+    def _vote_for(self, to: str, term: int, now: int) -> None:
+        self.voted_term, self.voted_term_for = term, to
+        self.voted_for, self.vote_until = to, now + self.config.voter_lease
+        self.candidacy_at = max(self.candidacy_at, self.vote_until + self._candidacy_delay())
 
-    def _released(self, sender: str, message: Message, now: int) -> None:
+    def _on_release(self, sender: str, message: ElectionMessage, now: int) -> None:
         # An old one that was overtaken by a claim must not undo that.
-        if self.granted_to != sender or message.serial < self.granted_serial.get(sender, 0):
+        if self.voted_for != sender or message.serial < self.last_serials.get(sender, 0):
             return
-        self.granted_serial[sender] = message.serial
+        self.last_serials[sender] = message.serial
         if message.holder not in ("", sender):
             # Bound for as long as before, also to one that this member's list doesn't have yet.
-            self.granted_to = message.holder
+            self.voted_for = message.holder
             if message.holder == self.name:
                 # Should what was given not arrive, it claims by itself.
-                self.stand_at = now + self.terms.answer
+                self.candidacy_at = now + self.config.vote_timeout
         else:
-            self.granted_until = now
+            self.vote_until = now
             # Others who were told so may stand now as well.
-            self.stand_at = now + self._pause()
+            self.candidacy_at = now + self._candidacy_delay()
 
-    def _answer(self, to: str, kind: Kind, message: Message, now: int, out: list[Action]) -> None:
-        busy = max(0, max(self.granted_until, self.silent_until) - now) if kind is Kind.DENY else 0
-        holder = self.granted_to if now < self.granted_until else ""
-        out.append(self._send(to, Message(kind, self.term, message.serial, busy, holder), now))
+    def _reply(
+        self, to: str, kind: MessageKind, message: ElectionMessage, now: int, out: list[Action]
+    ) -> None:
+        busy = max(0, max(self.vote_until, self.silent_until) - now) if kind is MessageKind.VOTE_DENIED else 0
+        holder = self.voted_for if now < self.vote_until else ""
+        out.append(self._send(to, ElectionMessage(kind, self.term, message.serial, busy, holder), now))
 
     # As a candidate
 
-    def _ask(self, kind: Kind, now: int, out: list[Action]) -> None:
+    def _start_round(self, kind: MessageKind, now: int, out: list[Action]) -> None:
         """Put a question to all voters, itself among them. The lease counts from this moment."""
         self._serial = max(self._serial + 1, now)
-        self.question = _Question(kind, self._serial, now)
+        self.vote_round = _VoteRound(kind, self._serial, now)
         term = self.term
-        if kind is Kind.CLAIM:
+        if kind is MessageKind.VOTE_REQUEST:
             # A holder renews by its term, unless some voter has granted a higher one meanwhile: that one
             # would stay outside, and stand against it again and again.
-            renews = self.role is Role.HOLDING and self.hold_term == self.term
-            term = self.hold_term if renews and not self.borrowed and not self.outbid else self.term + 1
-            self.term, self.outbid = term, False
-        self.question.term = term
-        self._send_all(Message(kind, term, self._serial, self.terms.span, self.name), now, out)
-        if self._free_for(self.name, now) and (kind is Kind.ASK or self._term_is_free(self.name, term)):
-            if kind is Kind.CLAIM:
-                self._grant(self.name, term, now)
-            yes = Message(Kind.WOULD if kind is Kind.ASK else Kind.GRANT, 0, self._serial)
-            self._yes(self.name, yes, now, out)
-
-    def _yes(self, sender: str, message: Message, now: int, out: list[Action]) -> None:
-        asked = self.question
-        wanted = Kind.WOULD if asked is not None and asked.kind is Kind.ASK else Kind.GRANT
+            renews = self.role is ElectionRole.HOLDER and self.lease_term == self.term
+            term = (
+                self.lease_term
+                if renews and not self.lease_is_transferred and not self.term_is_taken
+                else self.term + 1
+            )
+            self.term, self.term_is_taken = term, False
+        self.vote_round.term = term
+        self._send_all(
+            ElectionMessage(kind, term, self._serial, self.config.lease_duration, self.name), now, out
+        )
+        if self._may_vote_for(self.name, now) and (
+            kind is MessageKind.PREVOTE_REQUEST or self._term_is_free(self.name, term)
+        ):
+            if kind is MessageKind.VOTE_REQUEST:
+                self._vote_for(self.name, term, now)
+            yes = ElectionMessage(
+                MessageKind.PREVOTE_GRANTED
+                if kind is MessageKind.PREVOTE_REQUEST
+                else MessageKind.VOTE_GRANTED,
+                0,
+                self._serial,
+            )
+            self._on_vote(self.name, yes, now, out)
+
+    def _on_vote(self, sender: str, message: ElectionMessage, now: int, out: list[Action]) -> None:
+        asked = self.vote_round
+        wanted = (
+            MessageKind.PREVOTE_GRANTED
+            if asked is not None and asked.kind is MessageKind.PREVOTE_REQUEST
+            else MessageKind.VOTE_GRANTED
+        )
         if asked is None or message.serial != asked.serial or message.kind is not wanted:
             return
-        asked.yes.add(sender)
-        if len(asked.yes) < self.terms.majority:
+        asked.voters.add(sender)
+        if len(asked.voters) < self.config.quorum:
             return
-        if asked.kind is Kind.ASK:
-            self.role = Role.CLAIMING
-            self._ask(Kind.CLAIM, now, out)
+        if asked.kind is MessageKind.PREVOTE_REQUEST:
+            self.role = ElectionRole.CANDIDATE
+            self._start_round(MessageKind.VOTE_REQUEST, now, out)
             return
-        until = asked.asked_at + self.terms.held
+        until = asked.started_at + self.config.holder_lease
         if now >= until:
             return  # answers so late that what they grant may have run out
-        if self.role is not Role.HOLDING:
-            self.role, self.hold_until = Role.HOLDING, 0
-        self.hold_term, self.borrowed, self.votes = asked.term, False, tuple(sorted(asked.yes))
+        if self.role is not ElectionRole.HOLDER:
+            self.role, self.lease_until = ElectionRole.HOLDER, 0
+        self.lease_term, self.lease_is_transferred, self.lease_voters = (
+            asked.term,
+            False,
+            tuple(sorted(asked.voters)),
+        )
         # Twice the term: the odd ones are for leases that were given.
-        self._hold(2 * asked.term, until, out)
+        self._extend_lease(2 * asked.term, until, out)
 
-    def _hold(self, token: int, until: int, out: list[Action]) -> None:
-        if until > self.hold_until or token != self.token:
-            self.token, self.hold_until = token, max(until, self.hold_until)
-            out.append(Hold(token, self.hold_until))
+    def _extend_lease(self, token: int, until: int, out: list[Action]) -> None:
+        if until > self.lease_until or token != self.token:
+            self.token, self.lease_until = token, max(until, self.lease_until)
+            out.append(HoldLease(token, self.lease_until))
 
-    def _denied(self, message: Message, now: int, out: list[Action]) -> None:
-        asked = self.question
-        if asked is None or message.serial != asked.serial or self.role is Role.HOLDING:
+    def _on_denied(self, message: ElectionMessage, now: int, out: list[Action]) -> None:
+        asked = self.vote_round
+        if asked is None or message.serial != asked.serial or self.role is ElectionRole.HOLDER:
             return  # a holder goes on until its lease ends: a majority may yet renew it
-        wait = min(message.span, self.terms.bound) + self._pause()
-        self.stand_at = max(self.stand_at, now + wait)
+        wait = min(message.duration, self.config.voter_lease) + self._candidacy_delay()
+        self.candidacy_at = max(self.candidacy_at, now + wait)
 
-    def _want(self, now: int, out: list[Action]) -> None:
+    def _request_preemption(self, now: int, out: list[Action]) -> None:
         """Ask the holder for the address, where this instance is set to."""
         if (
-            self.take_back is not None
-            and self.role is Role.FOLLOWING
+            self.preempt_after is not None
+            and self.role is ElectionRole.FOLLOWER
             and self.healthy
             and self.may_hold
-            and self.granted_to not in ("", self.name)
-            and now < self.granted_until
-            and now >= self.healthy_since + self.take_back
-            and now >= self.wanted_at
+            and self.voted_for not in ("", self.name)
+            and now < self.vote_until
+            and now >= self.healthy_since + self.preempt_after
+            and now >= self.preempt_at
         ):
-            self.wanted_at = now + 2 * self.terms.span
+            self.preempt_at = now + 2 * self.config.lease_duration
             out.append(
-                self._send(self.granted_to, Message(Kind.WANT, self.term, 0, self.priority, self.name), now)
+                self._send(
+                    self.voted_for,
+                    ElectionMessage(MessageKind.PREEMPT_REQUEST, self.term, 0, self.priority, self.name),
+                    now,
+                )
             )
 
     # A planned move
 
-    def _invited(self, sender: str, message: Message, now: int, out: list[Action]) -> None:
+    def _on_transfer_prepare(
+        self, sender: str, message: ElectionMessage, now: int, out: list[Action]
+    ) -> None:
         """The holder wants this instance to follow it. What it gives later counts from this answer."""
-        if not self.healthy or not self.may_hold or self.role is not Role.FOLLOWING:
+        if not self.healthy or not self.may_hold or self.role is not ElectionRole.FOLLOWER:
             return
-        asked, _ = self.ready.get(sender, (0, 0))
-        if message.serial < asked or message.serial <= self.taken.get(sender, 0):
+        asked, _ = self.transfer_offers.get(sender, (0, 0))
+        if message.serial < asked or message.serial <= self.accepted_transfers.get(sender, 0):
             return
         if message.serial > asked:
-            self.ready[sender] = message.serial, now  # the first answer: earlier than any gift for it
-        out.append(self._send(sender, Message(Kind.HAND, self.term, message.serial, 0, self.name), now))
+            # the first answer: earlier than any gift for it
+            self.transfer_offers[sender] = message.serial, now
+        out.append(
+            self._send(
+                sender,
+                ElectionMessage(MessageKind.TRANSFER_PREPARE, self.term, message.serial, 0, self.name),
+                now,
+            )
+        )
 
-    def _handed(self, sender: str, message: Message, now: int, out: list[Action]) -> None:
+    def _on_successor_ready(self, sender: str, message: ElectionMessage, now: int, out: list[Action]) -> None:
         """The heir is ready: let go, and give it what is left of the lease."""
-        if sender != self.heir or message.serial != self.heir_serial or not self.holds(now):
+        if sender != self.successor or message.serial != self.successor_serial or not self.holds(now):
             return
-        if self.borrowed:
+        if self.lease_is_transferred:
             return  # it has none of its own to give yet; the heir is asked again
         self._serial = max(self._serial + 1, now)
-        self.gift = _Gift(sender, message.serial, self.token + 1, self.hold_until)
-        leaving, self.heirs, self.heir = self.heirs is not None, None, ""
-        self._drop(now, f"handed to {sender}", out, release=False)
-        self._give(now, out)
-        if self.granted_to == self.name:
-            self.granted_to = sender
+        self.transfer = _LeaseTransfer(sender, message.serial, self.token + 1, self.lease_until)
+        leaving, self.remaining_successors, self.successor = self.remaining_successors is not None, None, ""
+        self._give_up(now, f"handed to {sender}", out, release=False)
+        self._send_transfer(now, out)
+        if self.voted_for == self.name:
+            self.voted_for = sender
         # The voters stay bound, but to the heir.
-        self._send_all(Message(Kind.RELEASE, self.term, self._serial, 0, sender), now, out)
-        self.stand_at = now + self.terms.bound + self._pause()
+        self._send_all(ElectionMessage(MessageKind.RELEASE, self.term, self._serial, 0, sender), now, out)
+        self.candidacy_at = now + self.config.voter_lease + self._candidacy_delay()
         if leaving:
-            self.role = Role.LEAVING
+            self.role = ElectionRole.LEAVING
 
-    def _give(self, now: int, out: list[Action]) -> None:
-        gift = self.gift
+    def _send_transfer(self, now: int, out: list[Action]) -> None:
+        gift = self.transfer
         assert gift is not None
-        if not gift.left or now >= gift.until:
-            self.gift = None
+        if not gift.attempts_left or now >= gift.until:
+            self.transfer = None
             return
-        gift.left, gift.said_at = gift.left - 1, now
-        message = Message(Kind.GIVE, gift.token // 2, gift.serial, gift.until - now, self.name)
-        out.append(self._send(gift.heir, message, now))
+        gift.attempts_left, gift.sent_at = gift.attempts_left - 1, now
+        message = ElectionMessage(
+            MessageKind.TRANSFER_LEASE, gift.token // 2, gift.serial, gift.until - now, self.name
+        )
+        out.append(self._send(gift.successor, message, now))
 
-    def _given(self, sender: str, message: Message, now: int, out: list[Action]) -> None:
+    def _on_transfer_lease(self, sender: str, message: ElectionMessage, now: int, out: list[Action]) -> None:
         """Hold by what is left of another's lease, until grants of its own come."""
-        serial, ready_at = self.ready.get(sender, (0, 0))
-        if serial != message.serial or serial <= self.taken.get(sender, 0):
+        serial, ready_at = self.transfer_offers.get(sender, (0, 0))
+        if serial != message.serial or serial <= self.accepted_transfers.get(sender, 0):
             return
-        drift = self.terms.drift
+        drift = self.config.max_clock_drift
         # By a giver's clock that may run fast and its own that may run slow.
-        until = ready_at + int(min(message.span, self.terms.held) * (1.0 - drift) / (1.0 + drift))
-        if not self.healthy or self.role is not Role.FOLLOWING or now >= until:
+        until = ready_at + int(
+            min(message.duration, self.config.holder_lease) * (1.0 - drift) / (1.0 + drift)
+        )
+        if not self.healthy or self.role is not ElectionRole.FOLLOWER or now >= until:
             return
-        self.taken[sender] = serial
-        self.granted_to = self.name if self.granted_to in (sender, self.name) else self.granted_to
-        self.role, self.hold_until, self.borrowed, self.votes = Role.HOLDING, 0, True, ()
-        self.hold_term = message.term
-        self._hold(2 * message.term + 1, until, out)
-        self._ask(Kind.CLAIM, now, out)
-
-    def _drop(self, now: int, reason: str, out: list[Action], release: bool) -> None:
-        if self.role is Role.HOLDING:
-            out.append(Lose(reason))
-        self.hold_until, self.borrowed = 0, False
+        self.accepted_transfers[sender] = serial
+        self.voted_for = self.name if self.voted_for in (sender, self.name) else self.voted_for
+        self.role, self.lease_until, self.lease_is_transferred, self.lease_voters = (
+            ElectionRole.HOLDER,
+            0,
+            True,
+            (),
+        )
+        self.lease_term = message.term
+        self._extend_lease(2 * message.term + 1, until, out)
+        self._start_round(MessageKind.VOTE_REQUEST, now, out)
+
+    def _give_up(self, now: int, reason: str, out: list[Action], release: bool) -> None:
+        if self.role is ElectionRole.HOLDER:
+            out.append(LoseLease(reason))
+        self.lease_until, self.lease_is_transferred = 0, False
         if release:
-            self._release(now, out)
-        self.question = None
-        self.role, self.stand_at = Role.FOLLOWING, max(self.stand_at, now + self.terms.answer + self._pause())
-
-    def _release(self, now: int, out: list[Action]) -> None:
+            self._release_votes(now, out)
+        self.vote_round = None
+        self.role, self.candidacy_at = (
+            ElectionRole.FOLLOWER,
+            max(self.candidacy_at, now + self.config.vote_timeout + self._candidacy_delay()),
+        )
+
+    def _release_votes(self, now: int, out: list[Action]) -> None:
         """Set all voters free of a claim that is given up, this one among them."""
-        if self.granted_to == self.name:
-            self.granted_until = now
+        if self.voted_for == self.name:
+            self.vote_until = now
         self._serial += 1
-        self._send_all(Message(Kind.RELEASE, self.term, self._serial, 0, self.name), now, out)
+        self._send_all(ElectionMessage(MessageKind.RELEASE, self.term, self._serial, 0, self.name), now, out)
--- a/lockspoke/address/frames.py
+++ b/lockspoke/address/frames.py
@@ -62,12 +62,18 @@
     return source.packed + target.packed + struct.pack("!I3xB", length, VRRP_PROTOCOL)
 
 
-def encode_vrrp(one: Advertisement, source: IPAddress) -> bytes:
+def encode_vrrp(advertisement: Advertisement, source: IPAddress) -> bytes:
     """The payload of an IP packet from `source` to the VRRP group of its version."""
-    if source.version != one.addresses[0].version:
+    if source.version != advertisement.addresses[0].version:
         raise FrameError("source and addresses are of two versions")
-    rest = b"".join(address.packed for address in one.addresses)
-    head = [3 << 4 | 1, one.router, one.priority, len(one.addresses), one.interval]
+    rest = b"".join(address.packed for address in advertisement.addresses)
+    head = [
+        3 << 4 | 1,
+        advertisement.router,
+        advertisement.priority,
+        len(advertisement.addresses),
+        advertisement.interval,
+    ]
     data = _VRRP.pack(*head, 0) + rest
     total = checksum(_pseudo(source, VRRP_GROUPS[source.version], len(data)) + data)
     return _VRRP.pack(*head, total) + rest
--- a/lockspoke/address/health.py
+++ b/lockspoke/address/health.py
@@ -13,106 +13,110 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Vitals:
+class HealthMetrics:
     """How an instance is, as it measures itself; shares are from 0 to 1."""
 
-    ready_workers: int
+    ready_replicas: int
     loop_lag: float  # seconds by which timers fired late, of late
-    failing: float  # share of calls that failed or had an overload reply, of late
-    calls: int  # how many that share stands for
-    sockets: float  # share of the descriptors in use
-    memory: float  # share of the memory in use
+    failure_share: float  # share of calls that failed or had an overload reply, of late
+    requests: int  # how many that share stands for
+    descriptor_share: float  # share of the descriptors in use
+    memory_share: float  # share of the memory in use
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class HealthLimits:
     """From where on an instance is sick, and how it is held down. Times in nanoseconds."""
 
-    least_workers: int = 1
-    loop_lag: float = 0.25
-    failing: float = 0.5
-    calls_enough: int = 20  # fewer say nothing about a share that fails
-    sockets: float = 0.95
-    memory: float = 0.95
-    sick_after: int = 300_000_000  # a bound must be passed for so long: one late timer is no illness
-    well_after: int = 2_000_000_000  # and kept for so long
-    penalty: float = 1_000.0  # of each time that it gives the address up
-    hold_down: float = 1_500.0
-    stand_again: float = 750.0
+    min_ready_replicas: int = 1
+    max_loop_lag: float = 0.25
+    max_failure_share: float = 0.5
+    min_requests: int = 20  # fewer say nothing about a share that fails
+    max_descriptor_share: float = 0.95
+    max_memory_share: float = 0.95
+    unhealthy_after: int = 300_000_000  # a bound must be passed for so long: one late timer is no illness
+    healthy_after: int = 2_000_000_000  # and kept for so long
+    penalty_per_loss: float = 1_000.0  # of each time that it gives the address up
+    suppress_threshold: float = 1_500.0
+    reuse_threshold: float = 750.0
     half_life: int = 15_000_000_000
-    longest: int = 300_000_000_000  # that it is held down, whatever the penalty
+    max_suppress_time: int = 300_000_000_000  # that it is held down, whatever the penalty
 
     def __post_init__(self) -> None:
         """Check what would hold an instance down for ever, or never."""
-        if not 0 < self.stand_again < self.hold_down:
+        if not 0 < self.reuse_threshold < self.suppress_threshold:
             raise ValueError("stand_again is not between 0 and hold_down")
-        if self.half_life <= 0 or self.penalty <= 0:
+        if self.half_life <= 0 or self.penalty_per_loss <= 0:
             raise ValueError("half_life and penalty must be above 0")
-        if self.ceiling < self.hold_down:
+        if self.max_penalty < self.suppress_threshold:
             raise ValueError("longest is so short beside half_life that no penalty would reach hold_down")
 
     @property
-    def ceiling(self) -> float:
+    def max_penalty(self) -> float:
         """The highest penalty: one that has decayed to `stand_again` after `longest` (RFC 2439, 4.2)."""
-        return float(self.stand_again * 2.0 ** (self.longest / self.half_life))
+        return float(self.reuse_threshold * 2.0 ** (self.max_suppress_time / self.half_life))
 
 
 @dataclass(slots=True)
-class Health:
+class HealthTracker:
     """Judges vitals over time."""
 
-    bounds: Bounds = field(default_factory=Bounds)
-    fit: bool = False  # what the election is told
+    limits: HealthLimits = field(default_factory=HealthLimits)
+    healthy: bool = False  # what the election is told
     reasons: tuple[str, ...] = ()  # why it is not
-    held_down: bool = False
+    suppressed: bool = False
     _penalty: float = 0.0
     _penalty_at: int = 0
-    _since: int | None = None  # since when the vitals have said otherwise than `_well`
-    _well: bool = False
+    _differs_since: int | None = None  # since when the vitals have said otherwise than `_well`
+    _within_limits: bool = False
 
     def penalty(self, now: int) -> float:
         """The penalty as it has decayed until now."""
-        return float(self._penalty * 2.0 ** (-max(0, now - self._penalty_at) / self.bounds.half_life))
+        return float(self._penalty * 2.0 ** (-max(0, now - self._penalty_at) / self.limits.half_life))
 
-    def gave_up(self, now: int) -> None:
+    def record_loss(self, now: int) -> None:
         """The instance had the address and gave it up, or lost it, because it was sick."""
-        value = min(self.penalty(now) + self.bounds.penalty, self.bounds.ceiling)
+        value = min(self.penalty(now) + self.limits.penalty_per_loss, self.limits.max_penalty)
         self._penalty, self._penalty_at = value, now
-        self.held_down = self.held_down or value >= self.bounds.hold_down
+        self.suppressed = self.suppressed or value >= self.limits.suppress_threshold
 
-    def judge(self, vitals: Vitals, now: int) -> bool:
+    def update(self, metrics: HealthMetrics, now: int) -> bool:
         """Whether the instance is fit, by its vitals at this time; `reasons` says why not."""
-        found = _complaints(vitals, self.bounds)
+        found = _exceeded_limits(metrics, self.limits)
         well = not found
-        if well == self._well:
-            self._since = None
+        if well == self._within_limits:
+            self._differs_since = None
         else:
-            self._since = now if self._since is None else self._since
-            if now - self._since >= (self.bounds.well_after if well else self.bounds.sick_after):
-                self._well, self._since = well, None
-        if self.held_down and self.penalty(now) < self.bounds.stand_again:
-            self.held_down = False
-        self.fit = self._well and not self.held_down
+            self._differs_since = now if self._differs_since is None else self._differs_since
+            if now - self._differs_since >= (
+                self.limits.healthy_after if well else self.limits.unhealthy_after
+            ):
+                self._within_limits, self._differs_since = well, None
+        if self.suppressed and self.penalty(now) < self.limits.reuse_threshold:
+            self.suppressed = False
+        self.healthy = self._within_limits and not self.suppressed
         self.reasons = (
-            found if not self._well else ("held down after giving the address up too often",) * self.held_down
+            found
+            if not self._within_limits
+            else ("held down after giving the address up too often",) * self.suppressed
         )
-        return self.fit
+        return self.healthy
 
     def status(self, now: int) -> Mapping[str, object]:
         """As plain values, for operators."""
-        return {"fit": self.fit, "reasons": list(self.reasons), "penalty": round(self.penalty(now), 1)}
+        return {"fit": self.healthy, "reasons": list(self.reasons), "penalty": round(self.penalty(now), 1)}
 
 
-def _complaints(vitals: Vitals, bounds: Bounds) -> tuple[str, ...]:
+def _exceeded_limits(metrics: HealthMetrics, limits: HealthLimits) -> tuple[str, ...]:
     found = []
-    if vitals.ready_workers < bounds.least_workers:
-        found.append(f"{vitals.ready_workers} ready workers, want {bounds.least_workers}")
-    if vitals.loop_lag > bounds.loop_lag:
-        found.append(f"timers fire {vitals.loop_lag:.2f} s late")
-    if vitals.calls >= bounds.calls_enough and vitals.failing > bounds.failing:
-        found.append(f"{vitals.failing:.0%} of {vitals.calls} calls fail")
-    if vitals.sockets > bounds.sockets:
-        found.append(f"{vitals.sockets:.0%} of the descriptors are in use")
-    if vitals.memory > bounds.memory:
-        found.append(f"{vitals.memory:.0%} of the memory is in use")
+    if metrics.ready_replicas < limits.min_ready_replicas:
+        found.append(f"{metrics.ready_replicas} ready workers, want {limits.min_ready_replicas}")
+    if metrics.loop_lag > limits.max_loop_lag:
+        found.append(f"timers fire {metrics.loop_lag:.2f} s late")
+    if metrics.requests >= limits.min_requests and metrics.failure_share > limits.max_failure_share:
+        found.append(f"{metrics.failure_share:.0%} of {metrics.requests} calls fail")
+    if metrics.descriptor_share > limits.max_descriptor_share:
+        found.append(f"{metrics.descriptor_share:.0%} of the descriptors are in use")
+    if metrics.memory_share > limits.max_memory_share:
+        found.append(f"{metrics.memory_share:.0%} of the memory is in use")
     return tuple(found)
--- a/lockspoke/address/keys.py
+++ b/lockspoke/address/keys.py
@@ -8,7 +8,7 @@
 
 from .datagram import check_key
 
-LARGEST = 4096  # bytes of a key file
+MAX_KEY_FILE_BYTES = 4096  # bytes of a key file
 
 
 def read_keys(paths: Sequence[str]) -> list[bytes]:
@@ -17,7 +17,7 @@
     for path in paths:
         try:
             with Path(path).open("rb") as file:
-                raw = file.read(LARGEST)
+                raw = file.read(MAX_KEY_FILE_BYTES)
             mode = Path(path).stat().st_mode
         except OSError as error:
             raise ValueError(f"keys names {path}, which can't be read: {error.strerror}") from None
--- a/lockspoke/address/listening.py
+++ b/lockspoke/address/listening.py
@@ -8,22 +8,22 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-BACKLOG = 1024
-AT_ONCE = 64  # connections that are accepted before the loop goes on
+LISTEN_BACKLOG = 1024
+MAX_ACCEPTS_PER_WAKEUP = 64  # connections that are accepted before the loop goes on
 
 
 def steady_clock() -> int:
     """Nanoseconds that go on while the machine is suspended, where the system has such a clock."""
-    return time.clock_gettime_ns(_CLOCK)
+    return time.clock_gettime_ns(_CLOCK_ID)
 
 
-_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 class Announcer(Protocol):
     """Makes the address this instance's, and takes it back. Neither may wait."""
 
-    def claim(self, token: int, until: Callable[[], int]) -> None:
+    def claim(self, token: int, lease_until: Callable[[], int]) -> None:
         """The address is ours; raises OSError where it is not to be had.
 
         `until` gives, at any moment, when the lease ends on the instance's clock. Called again with a higher
@@ -34,7 +34,7 @@
         """It is not any more: nothing may be accepted from here on."""
 
 
-class LoopbackListener:
+class ServiceListener:
     """Holds the address by listening there; `accepted` gets each connection that came while the lease ran.
 
     A process that was paused past its lease finds connections in its backlog that came before or after it
@@ -46,19 +46,19 @@
     def __init__(
         self,
         address: tuple[str, int],
-        accepted: Callable[[socket.socket, int], None],
+        on_accepted: Callable[[socket.socket, int], None],
         clock: Callable[[], int] = steady_clock,
     ) -> None:
-        self.address, self.accepted, self.clock = address, accepted, clock
-        self.taken = 0  # connections that counted
-        self.refused = 0  # connections that were closed unread, for the lease had ended
+        self.address, self.on_accepted, self.clock = address, on_accepted, clock
+        self.accepted_count = 0  # connections that counted
+        self.rejected_count = 0  # connections that were closed unread, for the lease had ended
         self._socket: socket.socket | None = None
         self._token = 0
-        self._until: Callable[[], int] = lambda: 0
+        self._lease_until: Callable[[], int] = lambda: 0
 
-    def claim(self, token: int, until: Callable[[], int]) -> None:
+    def claim(self, token: int, lease_until: Callable[[], int]) -> None:
         """Listen."""
-        self._token, self._until = token, until
+        self._token, self._lease_until = token, lease_until
         if self._socket is not None:
             return
         family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
@@ -67,7 +67,7 @@
             made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             made.setblocking(False)
             made.bind(self.address)
-            made.listen(BACKLOG)
+            made.listen(LISTEN_BACKLOG)
         except OSError:
             made.close()
             raise
@@ -75,19 +75,19 @@
         asyncio.get_running_loop().add_reader(made.fileno(), self._accept)
 
     def _accept(self) -> None:
-        for _ in range(AT_ONCE):
+        for _ in range(MAX_ACCEPTS_PER_WAKEUP):
             if self._socket is None:
                 return
             try:
                 connection, _ = self._socket.accept()
             except OSError:
                 return
-            if self.clock() >= self._until():
-                self.refused += 1
+            if self.clock() >= self._lease_until():
+                self.rejected_count += 1
                 connection.close()
                 continue
-            self.taken += 1
-            self.accepted(connection, self._token)
+            self.accepted_count += 1
+            self.on_accepted(connection, self._token)
 
     def withdraw(self, reason: str) -> None:
         """Stop listening; what waits in the backlog is reset by the system, unread."""
@@ -97,23 +97,23 @@
             self._socket = None
 
 
-class Announcers:
+class AnnouncerGroup:
     """Several in one: claimed in this order, withdrawn in the other."""
 
-    def __init__(self, several: Sequence[Announcer]) -> None:
-        self.several = list(several)
+    def __init__(self, announcers: Sequence[Announcer]) -> None:
+        self.announcers = list(announcers)
 
-    def claim(self, token: int, until: Callable[[], int]) -> None:
+    def claim(self, token: int, lease_until: Callable[[], int]) -> None:
         """Claim with each; where one can't, those before it are withdrawn."""
-        for at, one in enumerate(self.several):
+        for at, one in enumerate(self.announcers):
             try:
-                one.claim(token, until)
+                one.claim(token, lease_until)
             except OSError as error:
-                for earlier in reversed(self.several[:at]):
+                for earlier in reversed(self.announcers[:at]):
                     earlier.withdraw(str(error))
                 raise
 
     def withdraw(self, reason: str) -> None:
         """Withdraw with each."""
-        for one in reversed(self.several):
+        for one in reversed(self.announcers):
             one.withdraw(reason)
--- a/lockspoke/address/record.py
+++ b/lockspoke/address/record.py
@@ -11,22 +11,22 @@
 import os
 from pathlib import Path
 
-NAME = "address.json"
-RESERVE = 1_000  # terms that a write covers ahead
+FILE_NAME = "address.json"
+TERMS_AHEAD = 1_000  # terms that a write covers ahead
 
 
 class RecordError(ValueError):
     """A record that can't be gone on from; the text says why, and the mend."""
 
 
-class Record:
+class TermRecord:
     """The file, and what it holds."""
 
     def __init__(self, folder: Path, name: str, generation: int) -> None:
         """Read it. Raises RecordError where it is spoilt, another's, or from a later list of members."""
-        self.path, self.name = folder / NAME, name
+        self.path, self.name = folder / FILE_NAME, name
         self.term, self.generation = 0, generation
-        self.failing = ""  # why it is not kept at present
+        self.write_error = ""  # why it is not kept at present
         try:
             raw = json.loads(self.path.read_text())
             member, term, kept = str(raw["name"]), int(raw["term"]), int(raw["generation"])
@@ -49,17 +49,17 @@
             )
         self.term = term
 
-    def wants(self, term: int, generation: int) -> bool:
+    def needs_write(self, term: int, generation: int) -> bool:
         """Whether it has to be written."""
-        return term > self.term or generation != self.generation or bool(self.failing)
+        return term > self.term or generation != self.generation or bool(self.write_error)
 
     def write(self, term: int, generation: int) -> None:
         """Write it whole, beside and renamed. Takes as long as the disk does; called off the loop.
 
         A disk that is full or gone doesn't end a lease: `failing` tells, and the next call tries again.
         """
-        ahead = max(self.term, term + RESERVE)
-        beside = self.path.with_name(f".{NAME}.{os.getpid()}")
+        ahead = max(self.term, term + TERMS_AHEAD)
+        beside = self.path.with_name(f".{FILE_NAME}.{os.getpid()}")
         try:
             self.path.parent.mkdir(parents=True, exist_ok=True)
             with beside.open("w") as file:
@@ -73,6 +73,6 @@
             finally:
                 os.close(folder)
         except OSError as error:
-            self.failing = f"{self.path}: {error.strerror}"
+            self.write_error = f"{self.path}: {error.strerror}"
             return
-        self.term, self.generation, self.failing = ahead, generation, ""
+        self.term, self.generation, self.write_error = ahead, generation, ""
--- a/lockspoke/address/roster.py
+++ b/lockspoke/address/roster.py
@@ -14,88 +14,100 @@
 
 from dataclasses import replace
 
-from .terms import Message, Terms
+from .terms import ElectionMessage, ElectionConfig
 
 
-class Roster:
+class Membership:
     """The list in force at one member, and what it knows of the others' lists. Times on its own clock."""
 
-    def __init__(self, name: str, terms: Terms, now: int) -> None:
-        self.name, self.terms = name, terms
-        self.taken_up_at = now
-        self.settled = 0  # the latest generation that is known to have settled
-        self.heard: dict[str, tuple[int, int]] = {}  # by member, its generation and since when it is known
-        self.strangers: dict[str, str] = {}  # by member, why its list does not go with this one
+    def __init__(self, name: str, terms: ElectionConfig, now: int) -> None:
+        self.name, self.config = name, terms
+        self.adopted_at = now
+        self.known_settled = 0  # the latest generation that is known to have settled
+        # by member, its generation and since when it is known
+        self.peer_generations: dict[str, tuple[int, int]] = {}
+        self.mismatches: dict[str, str] = {}  # by member, why its list does not go with this one
 
-    def hear(self, sender: str, message: Message, now: int) -> None:
+    def observe(self, sender: str, message: ElectionMessage, now: int) -> None:
         """Note what a message tells of its sender's list."""
-        before = self.heard.get(sender)
+        before = self.peer_generations.get(sender)
         if before is None or before[0] != message.generation:
-            self.heard[sender] = message.generation, now
-        self.settled = max(self.settled, message.settled)
-        own = self.terms
-        if message.generation == own.generation and message.digest != own.digest:
-            self.strangers[sender] = f"has other members, span or drift in generation {own.generation}"
+            self.peer_generations[sender] = message.generation, now
+        self.known_settled = max(self.known_settled, message.settled_generation)
+        own = self.config
+        if message.generation == own.generation and message.members_digest != own.members_digest:
+            self.mismatches[sender] = f"has other members, span or drift in generation {own.generation}"
         elif abs(message.generation - own.generation) > 1:
-            self.strangers[sender] = f"is at generation {message.generation}, here is {own.generation}"
+            self.mismatches[sender] = f"is at generation {message.generation}, here is {own.generation}"
         else:
-            self.strangers.pop(sender, None)
+            self.mismatches.pop(sender, None)
 
-    def grants(self, message: Message, now: int) -> bool:
+    def may_grant(self, message: ElectionMessage, now: int) -> bool:
         """Whether a candidate with its list may be granted at all."""
-        own = self.terms
+        own = self.config
         if message.generation == own.generation:
-            return message.digest == own.digest
+            return message.members_digest == own.members_digest
         if message.generation == own.generation - 1:
-            return now < self.taken_up_at + own.settle
+            return now < self.adopted_at + own.settle_time
         return message.generation == own.generation + 1
 
-    def look(self, now: int) -> int:
+    def settled_generation(self, now: int) -> int:
         """The latest generation that is known to have settled by now."""
-        own = self.terms
-        if self.settled < own.generation:
+        own = self.config
+        if self.known_settled < own.generation:
             # By clocks that may run fast here and slow there.
-            wait = int((own.settle + own.bound) * (1.0 + own.drift) / (1.0 - own.drift))
-            since = [self.taken_up_at]
+            wait = int(
+                (own.settle_time + own.voter_lease)
+                * (1.0 + own.max_clock_drift)
+                / (1.0 - own.max_clock_drift)
+            )
+            since = [self.adopted_at]
             since += [
                 at
-                for name, (generation, at) in self.heard.items()
+                for name, (generation, at) in self.peer_generations.items()
                 if generation >= own.generation and name in own.members and name != self.name
             ]
-            if sum(now - at >= wait for at in since) >= own.majority:
-                self.settled = own.generation
-        return self.settled
+            if sum(now - at >= wait for at in since) >= own.quorum:
+                self.known_settled = own.generation
+        return self.known_settled
 
-    def check(self, terms: Terms, now: int) -> None:
+    def check_change(self, candidate: ElectionConfig, now: int) -> None:
         """Whether another list may be taken up now; raises ValueError that says what to do."""
-        own = self.terms
-        if terms.generation == own.generation:
-            if terms.digest != own.digest:
+        own = self.config
+        if candidate.generation == own.generation:
+            if candidate.members_digest != own.members_digest:
                 raise ValueError(f"generation is still {own.generation}; a changed list wants the next")
             return
-        if terms.generation != own.generation + 1:
-            raise ValueError(f"generation is {terms.generation}, want {own.generation} or the next")
-        if (terms.span, terms.drift) != (own.span, own.drift):
+        if candidate.generation != own.generation + 1:
+            raise ValueError(f"generation is {candidate.generation}, want {own.generation} or the next")
+        if (candidate.lease_duration, candidate.max_clock_drift) != (own.lease_duration, own.max_clock_drift):
             raise ValueError("span can't change while members run, nor can drift; stop all of them first")
-        if self.name not in terms.members:
+        if self.name not in candidate.members:
             raise ValueError(f"members lacks {self.name}, this instance; stop it instead")
-        changed = set(terms.members) ^ set(own.members)
+        changed = set(candidate.members) ^ set(own.members)
         if len(changed) > 1:
             raise ValueError(f"members changes by {', '.join(sorted(changed))}; one at a time is safe")
-        if self.look(now) < own.generation:
+        if self.settled_generation(now) < own.generation:
             raise ValueError(
                 f"generation {own.generation} has not settled; wait until `lockspoke address status` says so"
             )
 
-    def take_up(self, terms: Terms, now: int) -> None:
+    def adopt(self, config: ElectionConfig, now: int) -> None:
         """Have another list in force; it has been checked."""
-        if terms.generation != self.terms.generation:
-            self.taken_up_at = now
-        self.terms = terms
-        self.heard = {name: known for name, known in self.heard.items() if name in terms.members}
-        self.strangers.clear()
+        if config.generation != self.config.generation:
+            self.adopted_at = now
+        self.config = config
+        self.peer_generations = {
+            name: known for name, known in self.peer_generations.items() if name in config.members
+        }
+        self.mismatches.clear()
 
-    def stamp(self, message: Message, now: int) -> Message:
+    def stamp(self, message: ElectionMessage, now: int) -> ElectionMessage:
         """A message with this member's list named in it."""
-        own = self.terms
-        return replace(message, generation=own.generation, digest=own.digest, settled=self.look(now))
+        own = self.config
+        return replace(
+            message,
+            generation=own.generation,
+            members_digest=own.members_digest,
+            settled_generation=self.settled_generation(now),
+        )
--- a/lockspoke/address/settings.py
+++ b/lockspoke/address/settings.py
@@ -9,16 +9,16 @@
 
 from lockspoke.units import SECOND
 
-from .datagram import NAME
-from .health import Bounds
-from .terms import Terms
+from .datagram import MAX_NAME_BYTES
+from .health import HealthLimits
+from .terms import ElectionConfig
 
-Port = tuple[str, int]
+HostPort = tuple[str, int]
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
 Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=86400.0)]
 
 
-def endpoint(text: str) -> Port:
+def parse_endpoint(text: str) -> HostPort:
     """`host:port` or `[host]:port` with a literal address. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
@@ -45,24 +45,24 @@
 
     def __post_init__(self) -> None:
         """Check what types do not tell."""
-        self.bounds()
+        self.limits()
 
-    def bounds(self) -> Bounds:
+    def limits(self) -> HealthLimits:
         """As the judge of health takes them."""
-        return Bounds(
-            least_workers=self.least_workers,
-            loop_lag=self.loop_lag,
-            failing=self.failing,
-            calls_enough=self.calls_enough,
-            sockets=self.sockets,
-            memory=self.memory,
-            sick_after=int(self.sick_after * SECOND),
-            well_after=int(self.well_after * SECOND),
-            penalty=self.penalty,
-            hold_down=self.hold_down,
-            stand_again=self.stand_again,
+        return HealthLimits(
+            min_ready_replicas=self.least_workers,
+            max_loop_lag=self.loop_lag,
+            max_failure_share=self.failing,
+            min_requests=self.calls_enough,
+            max_descriptor_share=self.sockets,
+            max_memory_share=self.memory,
+            unhealthy_after=int(self.sick_after * SECOND),
+            healthy_after=int(self.well_after * SECOND),
+            penalty_per_loss=self.penalty,
+            suppress_threshold=self.hold_down,
+            reuse_threshold=self.stand_again,
             half_life=int(self.half_life * SECOND),
-            longest=int(self.longest * SECOND),
+            max_suppress_time=int(self.longest * SECOND),
         )
 
 
@@ -97,12 +97,12 @@
     def __post_init__(self) -> None:
         """Check what types do not tell."""
         for name, text in self.members.items():
-            if not name or len(name.encode()) > NAME:
-                raise ValueError(f"members has the name {name!r}; want 1 to {NAME} bytes")
-            self._port(f"members.{name}", text)
+            if not name or len(name.encode()) > MAX_NAME_BYTES:
+                raise ValueError(f"members has the name {name!r}; want 1 to {MAX_NAME_BYTES} bytes")
+            self._check_endpoint(f"members.{name}", text)
         for key in ("service", "listen", "metrics", "bind"):
             if getattr(self, key):
-                self._port(key, getattr(self, key))
+                self._check_endpoint(key, getattr(self, key))
         if not self.service:
             raise ValueError("service is empty, want host:port")
         if not 1 <= len(self.keys) <= 2:
@@ -115,28 +115,28 @@
             raise ValueError("take_back is below 0")
         if len(set(self.members.values())) != len(self.members):
             raise ValueError("members has one host:port twice")
-        self.terms()
+        self.election_config()
 
-    def _port(self, key: str, text: str) -> None:
+    def _check_endpoint(self, key: str, text: str) -> None:
         try:
-            endpoint(text)
+            parse_endpoint(text)
         except ValueError as error:
             raise ValueError(f"{key} is wrong: {error}") from None
 
-    def terms(self) -> Terms:
+    def election_config(self) -> ElectionConfig:
         """What all members have to agree on."""
-        return Terms(
+        return ElectionConfig(
             tuple(self.members),
             frozenset(self.witnesses),
-            span=int(self.span * SECOND),
-            renew=int(self.renew * SECOND),
-            answer=int(self.answer * SECOND),
-            drift=self.drift,
-            reserve=int(self.reserve * SECOND),
+            lease_duration=int(self.span * SECOND),
+            renew_interval=int(self.renew * SECOND),
+            vote_timeout=int(self.answer * SECOND),
+            max_clock_drift=self.drift,
+            release_margin=int(self.reserve * SECOND),
             generation=self.generation,
-            settle=int(self.settle * SECOND),
+            settle_time=int(self.settle * SECOND),
         )
 
-    def book(self) -> dict[str, Port]:
+    def peer_addresses(self) -> dict[str, HostPort]:
         """By name, where each member is."""
-        return {name: endpoint(text) for name, text in self.members.items()}
+        return {name: parse_endpoint(text) for name, text in self.members.items()}
--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -14,10 +14,10 @@
 import structlog
 
 from lockspoke.address.command import CommandAnnouncer
-from lockspoke.address.health import Vitals
-from lockspoke.address.listening import Announcer, Announcers, LoopbackListener, steady_clock
+from lockspoke.address.health import HealthMetrics
+from lockspoke.address.listening import Announcer, AnnouncerGroup, ServiceListener, steady_clock
 from lockspoke.address.member import Member
-from lockspoke.address.settings import AddressSettings, endpoint
+from lockspoke.address.settings import AddressSettings, parse_endpoint
 from lockspoke.core.core import Core
 from lockspoke.lifecycle.config import ConfigError, GatewayConfig
 from lockspoke.lifecycle.subsystems import EndpointListSource, Subsystem, SubsystemContext
@@ -26,11 +26,12 @@
 
 __all__ = ["AddressSettings", "AddressSubsystem", "create"]
 
-PULSE = 0.1  # seconds between two looks at how late the loop is
-RESOURCES = 1.0  # seconds between two looks at descriptors and memory, which cost more
-WINDOW = 5.0  # seconds over which calls that fail are counted
-QUIET = 0.3  # seconds that a connection of an address that has gone may be idle before it is closed
-PAGE = os.sysconf("SC_PAGE_SIZE")
+MEASURE_INTERVAL = 0.1  # seconds between two looks at how late the loop is
+RESOURCE_INTERVAL = 1.0  # seconds between two looks at descriptors and memory, which cost more
+FAILURE_WINDOW = 5.0  # seconds over which calls that fail are counted
+# seconds that a connection of an address that has gone may be idle before it is closed
+IDLE_BEFORE_CLOSE = 0.3
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 log = structlog.get_logger()
 
@@ -38,9 +39,9 @@
 settings_type = AddressSettings
 
 
-def create(settings: AddressSettings, around: SubsystemContext) -> Subsystem:
+def create(settings: AddressSettings, context: SubsystemContext) -> Subsystem:
     """The moving address."""
-    return AddressSubsystem(settings, around)
+    return AddressSubsystem(settings, context)
 
 
 class AddressSubsystem:
@@ -50,23 +51,23 @@
     endpoint_list_source: EndpointListSource | None = None
     descriptors = 16  # the datagrams' socket, the listener, control, metrics, a command's pipes
 
-    def __init__(self, settings: AddressSettings, around: SubsystemContext) -> None:
-        self.gateway = around.gateway
-        listen = endpoint(settings.listen or settings.service)
-        self.listener = LoopbackListener(listen, self._accepted)
+    def __init__(self, settings: AddressSettings, context: SubsystemContext) -> None:
+        self.gateway = context.gateway
+        listen = parse_endpoint(settings.listen or settings.service)
+        self.listener = ServiceListener(listen, self._on_accepted)
         announcers: list[Announcer] = [self.listener]
         if settings.announce == "command":
             announcers.append(
                 CommandAnnouncer(settings.command, settings.service, settings.command_limit, steady_clock)
             )
-        announcers.append(_Withdrawal(self._withdrawn))
+        announcers.append(_WithdrawalCallback(self._on_withdrawn))
         try:
-            self.member = Member(settings, settings.name or around.gateway.name, Announcers(announcers))
+            self.member = Member(settings, settings.name or context.gateway.name, AnnouncerGroup(announcers))
         except (ValueError, OSError) as error:
             raise ConfigError(f"address.{error}") from None
         self.connections: set[ClientConnection] = set()
         self._samples: deque[tuple[float, int, int]] = deque()
-        self._lag = 0.0
+        self._loop_lag = 0.0
         self._resources, self._looked_at = (0.0, 0.0), float("-inf")  # shares in use, and when that was seen
         self._tasks: set[asyncio.Task[None]] = set()
         self._draining = False
@@ -77,10 +78,10 @@
 
     def start(self) -> None:
         """Begin."""
-        self._keep(self._start())
+        self._start_task(self._start())
 
-    def _keep(self, work: Any) -> None:
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine: Any) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -92,35 +93,40 @@
             log.error("address_not_started", reason=str(error))
             self.member.stop()
             return
-        await self._pulse()
+        await self._measure_health()
 
-    async def _pulse(self) -> None:
+    async def _measure_health(self) -> None:
         """See how late timers fire, and judge by that and the rest how this instance is."""
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + PULSE
-            await asyncio.sleep(PULSE)
+            due = loop.time() + MEASURE_INTERVAL
+            await asyncio.sleep(MEASURE_INTERVAL)
             # The latest lag counts, and what was before it fades.
-            self._lag = max(loop.time() - due, self._lag * 0.7)
+            self._loop_lag = max(loop.time() - due, self._loop_lag * 0.7)
             if not self._draining:
-                self.member.judge(self._vitals(loop.time()))
-            self.member.keep_record()
+                self.member.update_health(self._read_metrics(loop.time()))
+            self.member.save_record()
 
-    def _vitals(self, now: float) -> Vitals:
+    def _read_metrics(self, now: float) -> HealthMetrics:
         totals = self.core.totals
         failed = totals["failed"] + totals["refused"]
         self._samples.append((now, totals["served"] + failed, failed))
-        while self._samples[0][0] < now - WINDOW:
+        while self._samples[0][0] < now - FAILURE_WINDOW:
             self._samples.popleft()
         calls = self._samples[-1][1] - self._samples[0][1]
         failing = (self._samples[-1][2] - self._samples[0][2]) / calls if calls else 0.0
-        if now - self._looked_at >= RESOURCES:
-            self._resources, self._looked_at = (_sockets(self.gateway), _memory(self.gateway)), now
-        return Vitals(self.core.replica_set.ready_count, self._lag, failing, calls, *self._resources)
+        if now - self._looked_at >= RESOURCE_INTERVAL:
+            self._resources, self._looked_at = (
+                (descriptor_share(self.gateway), memory_share(self.gateway)),
+                now,
+            )
+        return HealthMetrics(
+            self.core.replica_set.ready_count, self._loop_lag, failing, calls, *self._resources
+        )
 
     # Clients of the service address
 
-    def _accepted(self, accepted: socket.socket, token: int) -> None:
+    def _on_accepted(self, accepted: socket.socket, token: int) -> None:
         connection = self.clients.listener.adopt(accepted)
         assert isinstance(connection, ClientConnection)
         # Also what comes later on it counts only while the lease runs.
@@ -129,26 +135,26 @@
         )
         self.connections.add(connection)
 
-    def _withdrawn(self, reason: str) -> None:
+    def _on_withdrawn(self, reason: str) -> None:
         """The address has gone: finish what is open, then hand over, as at a stop."""
         leaving, self.connections = self.connections, set()
         if leaving and not self._draining:
-            self._keep(self._finish(leaving))
+            self._start_task(self._drain_connections(leaving))
 
-    async def _finish(self, leaving: set[ClientConnection]) -> None:
+    async def _drain_connections(self, connections: set[ClientConnection]) -> None:
         loop = asyncio.get_running_loop()
-        for connection in leaving:
+        for connection in connections:
             connection.closes_after_response = True
         end = loop.time() + self.gateway.stop_time
-        while leaving:
-            before = loop.time() - QUIET
-            for connection in list(leaving):
+        while connections:
+            before = loop.time() - IDLE_BEFORE_CLOSE
+            for connection in list(connections):
                 if connection.idle and connection.active_at <= before:
                     close_if_quiet(connection)
                 if connection.stream.closed():
-                    leaving.discard(connection)
-            if leaving and self.gateway.resumes and loop.time() >= end:
-                open_requests = [one.open_request for one in leaving if one.open_request is not None]
+                    connections.discard(connection)
+            if connections and self.gateway.resumes and loop.time() >= end:
+                open_requests = [one.open_request for one in connections if one.open_request is not None]
                 self.core.hand_off(open_requests)
                 end = float("inf")
             await asyncio.sleep(0.05)
@@ -160,7 +166,7 @@
     def prepare_reload(self, settings: AddressSettings, gateway: GatewayConfig) -> Callable[[], None]:
         """Members one at a time, keys, priority and health may change while it runs."""
         try:
-            commit = self.member.prepare(settings)
+            commit = self.member.prepare_reload(settings)
         except ValueError as error:
             raise ConfigError(f"address.{error}") from None
 
@@ -173,7 +179,7 @@
     async def drain(self) -> None:
         """Hand the address over; what came by it ends with all other connections."""
         self._draining = True
-        await self.member.leave(patience=1.0)
+        await self.member.leave(timeout=1.0)
         self.listener.withdraw("it stops")
 
     def stop(self) -> None:
@@ -187,7 +193,7 @@
         return {**self.member.status(), "connections": len(self.connections)}
 
 
-class _Withdrawal:
+class _WithdrawalCallback:
     """Tells the part when the address goes."""
 
     def __init__(self, withdrawn: Callable[[str], None]) -> None:
@@ -201,7 +207,7 @@
         self.withdrawn(reason)
 
 
-def _sockets(gateway: GatewayConfig) -> float:
+def descriptor_share(gateway: GatewayConfig) -> float:
     """The share of its descriptors that the process uses; 0 where the system doesn't tell."""
     try:
         used = len(os.listdir("/proc/self/fd"))
@@ -210,10 +216,10 @@
     return used / min(gateway.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
 
 
-def _memory(gateway: GatewayConfig) -> float:
+def memory_share(gateway: GatewayConfig) -> float:
     """The share of its memory that the process uses; 0 where the system doesn't tell."""
     try:
         pages = int(Path("/proc/self/statm").read_text().split()[1])
     except (OSError, IndexError, ValueError):
         return 0.0
-    return pages * PAGE / (gateway.memory_mb * 1024 * 1024)
+    return pages * PAGE_BYTES / (gateway.memory_mb * 1024 * 1024)
--- a/lockspoke/address/terms.py
+++ b/lockspoke/address/terms.py
@@ -8,49 +8,50 @@
 from enum import Enum, IntEnum
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """What a message says."""
 
-    ASK = 1  # would you grant me? binds nobody
-    WOULD = 2  # yes, as things stand
-    CLAIM = 3  # grant me, from now for `span`
-    GRANT = 4  # granted; I grant nobody else meanwhile
-    DENY = 5  # no: bound to another for `span` more, just started, or by a list that doesn't go with mine
+    PREVOTE_REQUEST = 1  # would you grant me? binds nobody
+    PREVOTE_GRANTED = 2  # yes, as things stand
+    VOTE_REQUEST = 3  # grant me, from now for `span`
+    VOTE_GRANTED = 4  # granted; I grant nobody else meanwhile
+    # no: bound to another for `span` more, just started, or by a list that doesn't go with mine
+    VOTE_DENIED = 5
     RELEASE = 6  # I am not to be granted any more; where `holder` is named, that one is in my place
-    HAND = 7  # holder to heir: get ready; heir to holder: I am
-    GIVE = 8  # holder to heir: I have let go; what is left of my lease, `span`, is yours
-    OUTBID = 10  # no: I have granted that term, or a higher one, to another
-    WANT = 9  # to the holder: I am preferred, by priority `span`, and well
+    TRANSFER_PREPARE = 7  # holder to heir: get ready; heir to holder: I am
+    TRANSFER_LEASE = 8  # holder to heir: I have let go; what is left of my lease, `span`, is yours
+    TERM_TAKEN = 10  # no: I have granted that term, or a higher one, to another
+    PREEMPT_REQUEST = 9  # to the holder: I am preferred, by priority `span`, and well
 
 
 @dataclass(frozen=True, slots=True)
-class Message:
+class ElectionMessage:
     """One message. `serial` grows with each question of a sender; answers repeat the question's.
 
     `term` is the highest that the sender knows; `span` in nanoseconds. `generation` and `digest` name the
     sender's list of members, `settled` the latest generation that it knows to be safe to go on from.
     """
 
-    kind: Kind
+    kind: MessageKind
     term: int
     serial: int = 0
-    span: int = 0
+    duration: int = 0
     holder: str = ""
     generation: int = 1
-    settled: int = 0
-    digest: int = 0
+    settled_generation: int = 0
+    members_digest: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendMessage:
     """Send a message to a member."""
 
     to: str
-    message: Message
+    message: ElectionMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Hold:
+class HoldLease:
     """The address is this instance's until `until` on its own clock; nothing may be done for it after."""
 
     token: int
@@ -58,28 +59,28 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lose:
+class LoseLease:
     """The address is not this instance's any more."""
 
     reason: str
 
 
-Action = Send | Hold | Lose
+Action = SendMessage | HoldLease | LoseLease
 
 
-class Role(Enum):
+class ElectionRole(Enum):
     """Where an instance stands."""
 
     SILENT = "silent"  # just started: it may be bound by grants it has forgotten
-    FOLLOWING = "following"
-    ASKING = "asking"
-    CLAIMING = "claiming"
-    HOLDING = "holding"
+    FOLLOWER = "following"
+    PRE_CANDIDATE = "asking"
+    CANDIDATE = "claiming"
+    HOLDER = "holding"
     LEAVING = "leaving"  # gives no grant and stands no more, for it stops
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class ElectionConfig:
     """What all members have to agree on. Times in nanoseconds, `drift` a share.
 
     `span` is how long a grant lasts at the candidate; a voter is bound for longer by the drift of both.
@@ -89,14 +90,16 @@
 
     members: tuple[str, ...]
     witnesses: frozenset[str] = frozenset()  # vote and never hold
-    span: int = 400_000_000
-    renew: int = 100_000_000
-    answer: int = 40_000_000  # that a question waits for its answers
-    drift: float = 0.01
-    reserve: int = 20_000_000  # that the holder lets go before its lease ends: for timers that fire late
+    lease_duration: int = 400_000_000
+    renew_interval: int = 100_000_000
+    vote_timeout: int = 40_000_000  # that a question waits for its answers
+    max_clock_drift: float = 0.01
+    # that the holder lets go before its lease ends: for timers that fire late
+    release_margin: int = 20_000_000
     generation: int = 1
-    settle: int = 5_000_000_000
-    digest: int = field(init=False, default=0)  # of what must be the same at all members of a generation
+    settle_time: int = 5_000_000_000
+    # of what must be the same at all members of a generation
+    members_digest: int = field(init=False, default=0)
 
     def __post_init__(self) -> None:
         """Check what would make the lease unsafe or useless."""
@@ -106,38 +109,45 @@
             raise ValueError(f"witnesses has {min(unknown)}, which is no member")
         if self.witnesses == set(self.members):
             raise ValueError("witnesses has all members; one must be able to hold")
-        if not 0.0 <= self.drift < 0.1:
+        if not 0.0 <= self.max_clock_drift < 0.1:
             raise ValueError("drift is not from 0 to below 0.1")
-        if not 0 < self.answer <= self.renew < self.held // 2:
+        if not 0 < self.vote_timeout <= self.renew_interval < self.holder_lease // 2:
             raise ValueError("renew is not between answer and half of what a lease surely lasts")
         if not 0 < self.generation < 1 << 32:
             raise ValueError("generation is not above 0")
-        words = [*sorted(self.members), "", *sorted(self.witnesses), "", str(self.span), str(self.drift)]
+        words = [
+            *sorted(self.members),
+            "",
+            *sorted(self.witnesses),
+            "",
+            str(self.lease_duration),
+            str(self.max_clock_drift),
+        ]
         (digest,) = struct.unpack("!I", hashlib.sha256("\n".join(words).encode()).digest()[:4])
-        object.__setattr__(self, "digest", digest)
+        object.__setattr__(self, "members_digest", digest)
 
     @property
-    def majority(self) -> int:
+    def quorum(self) -> int:
         """Votes that are needed: two sets of so many share a member."""
         return len(self.members) // 2 + 1
 
     @property
-    def held(self) -> int:
+    def holder_lease(self) -> int:
         """How long a candidate may count on grants, by its own clock, from before it asked."""
-        return int(self.span * (1.0 - self.drift)) - self.reserve
+        return int(self.lease_duration * (1.0 - self.max_clock_drift)) - self.release_margin
 
     @property
-    def bound(self) -> int:
+    def voter_lease(self) -> int:
         """How long a voter is bound, by its own clock, from when it granted."""
-        return int(self.span * (1.0 + self.drift)) + 1
+        return int(self.lease_duration * (1.0 + self.max_clock_drift)) + 1
 
     def may_hold(self, name: str) -> bool:
         """Whether a member ever holds."""
         return name in self.members and name not in self.witnesses
 
-    def survives(self) -> str:
+    def describe_fault_tolerance(self) -> str:
         """What so many members live through, in words."""
-        lost = len(self.members) - self.majority
+        lost = len(self.members) - self.quorum
         holders = len(self.members) - len(self.witnesses)
         if lost == 0:
             return f"{len(self.members)} members: the address is nobody's as soon as one is lost or cut off"
--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -13,8 +13,8 @@
 import click
 from rich.table import Table
 
-from lockspoke.address.control import ask
-from lockspoke.address.health import Vitals
+from lockspoke.address.control import send_command
+from lockspoke.address.health import HealthMetrics
 from lockspoke.address.member import Member
 from lockspoke.address.settings import AddressSettings
 from lockspoke.lifecycle.config import ConfigError
@@ -23,7 +23,7 @@
 
 from .reading import console
 
-PULSE = 0.1  # seconds between two looks of a witness
+HEALTH_INTERVAL = 0.1  # seconds between two looks of a witness
 
 
 @click.group()
@@ -31,7 +31,7 @@
     """The service address that moves between instances."""
 
 
-def _settings(edge: Path) -> AddressSettings:
+def _read_settings(edge: Path) -> AddressSettings:
     try:
         found = [section.settings for section in read_edge(edge) if section.name == "address"]
     except ConfigError as error:
@@ -41,29 +41,29 @@
     return found[0]  # type: ignore[no-any-return]
 
 
-def _ask(edge: Path | None, control: Path | None, word: dict[str, Any]) -> dict[str, Any]:
+def _send_command(edge: Path | None, control: Path | None, command: dict[str, Any]) -> dict[str, Any]:
     if control is None:
         if edge is None:
             raise click.UsageError("name --edge or --control")
-        settings = _settings(edge)
+        settings = _read_settings(edge)
         if not settings.control:
             raise click.UsageError(f"{edge}: address.control names no socket, so nobody listens to this")
         control = Path(settings.control)
     try:
-        return ask(control, word)
+        return send_command(control, command)
     except OSError as error:
         raise click.UsageError(f"{control}: no instance listens there ({error.strerror or error})") from None
     except ValueError as error:
         raise click.ClickException(str(error)) from None
 
 
-_edge = click.option("--edge", type=click.Path(path_type=Path), help="the instance's edge file")
-_control = click.option("--control", type=click.Path(path_type=Path), help="the socket that it names")
+_edge_option = click.option("--edge", type=click.Path(path_type=Path), help="the instance's edge file")
+_control_option = click.option("--control", type=click.Path(path_type=Path), help="the socket that it names")
 
 
 @address.command()
-@_edge
-@_control
+@_edge_option
+@_control_option
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
 def status(edge: Path | None, control: Path | None, as_json: bool) -> int:
     """Show who holds the address, by which token and votes, and why not this instance.
@@ -74,7 +74,7 @@
     Example:
       lockspoke address status --edge deploy/edge.toml
     """
-    found = _ask(edge, control, {"do": "status"})
+    found = _send_command(edge, control, {"do": "status"})
     code = 0 if found["holder"] else 1
     if as_json:
         click.echo(json.dumps(found, indent=2))
@@ -106,8 +106,8 @@
 
 
 @address.command()
-@_edge
-@_control
+@_edge_option
+@_control_option
 @click.option("--to", "heir", required=True, help="the member that is to have it")
 def move(edge: Path | None, control: Path | None, heir: str) -> None:
     """Hand the address from this instance, which holds it, to another that is ready.
@@ -116,12 +116,12 @@
     Example:
       lockspoke address move --to gw2 --edge deploy/edge.toml
     """
-    click.echo(_ask(edge, control, {"do": "move", "to": heir})["done"])
+    click.echo(_send_command(edge, control, {"do": "move", "to": heir})["done"])
 
 
 @address.command("hold-down")
-@_edge
-@_control
+@_edge_option
+@_control_option
 @click.option("--for", "seconds", type=click.FloatRange(0, 86400), default=3600.0, show_default=True)
 @click.option("--off", is_flag=True, help="let it stand again")
 def hold_down(edge: Path | None, control: Path | None, seconds: float, off: bool) -> None:
@@ -131,7 +131,7 @@
     Example:
       lockspoke address hold-down --for 600 --edge deploy/edge.toml
     """
-    click.echo(_ask(edge, control, {"do": "hold-down", "seconds": 0 if off else seconds})["done"])
+    click.echo(_send_command(edge, control, {"do": "hold-down", "seconds": 0 if off else seconds})["done"])
 
 
 @address.command()
@@ -145,7 +145,7 @@
     click.echo(secrets.token_hex(32))
 
 
-class _Nothing:
+class _WitnessAnnouncer:
     """A witness announces nothing, for it never holds."""
 
     def claim(self, token: int, until: Any) -> None:
@@ -167,28 +167,28 @@
     Example:
       lockspoke address witness --edge deploy/witness.toml --name third
     """
-    settings = _settings(edge)
+    settings = _read_settings(edge)
     name = name or settings.name
     if name not in settings.witnesses:
         raise click.UsageError(f"{name!r} is none of address.witnesses ({', '.join(settings.witnesses)})")
     start_logging()
     try:
-        member = Member(settings, name, _Nothing())
-        asyncio.run(_witness(member, edge))
+        member = Member(settings, name, _WitnessAnnouncer())
+        asyncio.run(_run_witness(member, edge))
     except (ValueError, OSError) as error:
         click.echo(f"lockspoke: address.{error}", err=True)
         return 2
     return 0
 
 
-async def _witness(member: Member, edge: Path) -> None:
+async def _run_witness(member: Member, edge: Path) -> None:
     import structlog
 
     log, stop, loop = structlog.get_logger(), asyncio.Event(), asyncio.get_running_loop()
 
     def reload() -> None:
         try:
-            member.prepare(_settings(edge))()
+            member.prepare_reload(_read_settings(edge))()
         except (ValueError, click.UsageError) as error:
             log.error("reload_refused", reason=getattr(error, "message", str(error)))
 
@@ -197,10 +197,10 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     await member.start()
     while not stop.is_set():
-        member.judge(Vitals(sys.maxsize, 0.0, 0.0, 0, 0.0, 0.0))
-        member.keep_record()
+        member.update_health(HealthMetrics(sys.maxsize, 0.0, 0.0, 0, 0.0, 0.0))
+        member.save_record()
         try:
-            async with asyncio.timeout(PULSE):
+            async with asyncio.timeout(HEALTH_INTERVAL):
                 await stop.wait()
         except TimeoutError:
             continue
