--- a/bench/address.py
+++ b/bench/address.py
@@ -28,7 +28,7 @@
 import tests.standins
 from lockspoke.address.control import send_command
 from tests.address.cluster import Cluster, overlaps
-from tests.address.simulation import Counts, InvariantError, Simulation, random_schedule, shrink, describe
+from tests.address.simulation import Counts, InvariantError, Simulation, describe, random_schedule, shrink
 
 SCHEDULES_PER_JOB = 250  # schedules a task
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
--- /dev/null
+++ b/lockspoke/address/actions.py
@@ -0,0 +1,33 @@
+"""What the election asks its driver to do."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .messages import ElectionMessage
+
+
+@dataclass(frozen=True, slots=True)
+class SendMessage:
+    """Send a message to a member."""
+
+    to: str
+    message: ElectionMessage
+
+
+@dataclass(frozen=True, slots=True)
+class HoldLease:
+    """This instance holds the address until `until`, in nanoseconds on its own clock."""
+
+    token: int
+    until: int
+
+
+@dataclass(frozen=True, slots=True)
+class LoseLease:
+    """This instance no longer holds the address."""
+
+    reason: str
+
+
+Action = SendMessage | HoldLease | LoseLease
--- a/lockspoke/address/datagram.py
+++ b/lockspoke/address/datagram.py
@@ -26,7 +26,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from .election import MessageKind, ElectionMessage
+from .messages import ElectionMessage, MessageKind
 
 MAGIC = b"LSA"
 VERSION = 1
--- /dev/null
+++ b/lockspoke/address/listener.py
@@ -0,0 +1,78 @@
+"""An announcer that listens at the service address while the lease is valid."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+
+from .clock import steady_clock
+
+LISTEN_BACKLOG = 1024
+MAX_ACCEPTS_PER_WAKEUP = 64
+
+
+class ServiceListener:
+    """Listens at the address; `on_accepted` gets each connection that was accepted during the lease.
+
+    A process that was paused beyond its lease finds connections in its backlog that came before or after the
+    end of the lease, and can't tell them apart. So the clock is read after each accept and before the
+    connection is used: after the lease it is closed unread, and its client retries at the new holder. Requests
+    that the holder forwarded before the pause can only be rejected by their fencing token.
+    """
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        on_accepted: Callable[[socket.socket, int], None],
+        clock: Callable[[], int] = steady_clock,
+    ) -> None:
+        self.address, self.on_accepted, self.clock = address, on_accepted, clock
+        self.accepted_count = 0
+        self.rejected_count = 0  # connections that were closed unread since the lease had ended
+        self._socket: socket.socket | None = None
+        self._token = 0
+        self._lease_until: Callable[[], int] = lambda: 0
+
+    def claim(self, token: int, lease_until: Callable[[], int]) -> None:
+        """Listen; raises OSError."""
+        self._token, self._lease_until = token, lease_until
+        if self._socket is not None:
+            return
+        self._socket = self._open()
+        asyncio.get_running_loop().add_reader(self._socket.fileno(), self._accept)
+
+    def _open(self) -> socket.socket:
+        family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
+        opened = socket.socket(family, socket.SOCK_STREAM)
+        try:
+            opened.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            opened.setblocking(False)
+            opened.bind(self.address)
+            opened.listen(LISTEN_BACKLOG)
+        except OSError:
+            opened.close()
+            raise
+        return opened
+
+    def _accept(self) -> None:
+        for _ in range(MAX_ACCEPTS_PER_WAKEUP):
+            if self._socket is None:
+                return
+            try:
+                connection, _ = self._socket.accept()
+            except OSError:
+                return
+            if self.clock() >= self._lease_until():
+                self.rejected_count += 1
+                connection.close()
+                continue
+            self.accepted_count += 1
+            self.on_accepted(connection, self._token)
+
+    def withdraw(self, reason: str) -> None:  # noqa: ARG002 - the protocol of announcers has it
+        """Stop listening; the system resets the connections in the backlog."""
+        if self._socket is not None:
+            asyncio.get_running_loop().remove_reader(self._socket.fileno())
+            self._socket.close()
+            self._socket = None
--- a/lockspoke/address/member.py
+++ b/lockspoke/address/member.py
@@ -13,14 +13,15 @@
 
 from lockspoke.units import SECOND
 
+from .actions import HoldLease, LoseLease
+from .announcer import Announcer
+from .clock import steady_clock
 from .control import ControlServer
-from .election import HoldLease, LoseLease
-from .health import HealthTracker, HealthMetrics
+from .health import HealthMetrics, HealthTracker
 from .keys import read_keys
-from .listening import Announcer, steady_clock
 from .node import Node
-from .record import TermRecord
 from .settings import AddressSettings, parse_endpoint
+from .term_record import TermRecord
 
 MAX_HOLD_DOWN = 86400.0  # seconds that an operator's word holds an instance down
 
--- a/lockspoke/address/roster.py
+++ b/lockspoke/address/membership.py
@@ -1,38 +1,46 @@
-"""Changes of the list of members, one at a time, safe while only some have taken one up: pure.
+"""Changes of the member list, one member at a time, safe while only some members have adopted one.
 
-Majorities of two lists that differ by one member share a member, so a candidate by the list of generation g
-and one by g+1 can't both hold. What must not be is one by g and one by g+2. So a member goes on from g only
-when g has *settled*: a majority of g's members has had it for so long that each of them has ceased to grant
-by g-1 (after `settle`), and that the last such grant has run out. From then on no candidate by g-1 can find a
-majority, for good. Whoever finds out that a generation has settled passes it on in each message.
+Quorums of two lists that differ by one member share a member, so candidates with the lists of generations g
+and g+1 can't both win. Candidates with g and g+2 could. So a member adopts g+1 only when g has *settled*: a
+quorum of g's members has had it for so long that each of them has stopped voting by g-1 (after
+`settle_time`), and that the last such vote has expired. From then on no candidate with g-1 can find a quorum.
+A member that learns that a generation has settled includes it in each message.
 
-Raft changes one member at a time by the same argument (Ongaro, 2014, 4.1); there a committed log entry is
-what shows that the change before has reached a majority, and here it is time, since there is no log.
+Raft changes one member at a time for the same reason (Ongaro, 2014, 4.1). There a committed log entry shows
+that the previous change has reached a quorum; here there is no log, so time does.
 """
 
 from __future__ import annotations
 
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
-from .terms import ElectionMessage, ElectionConfig
+from .election_config import ElectionConfig
+from .messages import ElectionMessage
+
+
+@dataclass(frozen=True, slots=True)
+class PeerGeneration:
+    """The generation of another member's list, and since when it is known."""
+
+    generation: int
+    known_since: int
 
 
 class Membership:
-    """The list in force at one member, and what it knows of the others' lists. Times on its own clock."""
+    """The member list in force, and what is known of the other members' lists. Times on the own clock."""
 
-    def __init__(self, name: str, terms: ElectionConfig, now: int) -> None:
-        self.name, self.config = name, terms
+    def __init__(self, name: str, config: ElectionConfig, now: int) -> None:
+        self.name, self.config = name, config
         self.adopted_at = now
         self.known_settled = 0  # the latest generation that is known to have settled
-        # by member, its generation and since when it is known
-        self.peer_generations: dict[str, tuple[int, int]] = {}
-        self.mismatches: dict[str, str] = {}  # by member, why its list does not go with this one
+        self.peer_generations: dict[str, PeerGeneration] = {}
+        self.mismatches: dict[str, str] = {}  # by member, why its list is incompatible
 
     def observe(self, sender: str, message: ElectionMessage, now: int) -> None:
-        """Note what a message tells of its sender's list."""
-        before = self.peer_generations.get(sender)
-        if before is None or before[0] != message.generation:
-            self.peer_generations[sender] = message.generation, now
+        """Record what a message shows of its sender's list."""
+        known = self.peer_generations.get(sender)
+        if known is None or known.generation != message.generation:
+            self.peer_generations[sender] = PeerGeneration(message.generation, now)
         self.known_settled = max(self.known_settled, message.settled_generation)
         own = self.config
         if message.generation == own.generation and message.members_digest != own.members_digest:
@@ -43,7 +51,7 @@
             self.mismatches.pop(sender, None)
 
     def may_grant(self, message: ElectionMessage, now: int) -> bool:
-        """Whether a candidate with its list may be granted at all."""
+        """Whether the list of a candidate is compatible, so that it may get this member's vote."""
         own = self.config
         if message.generation == own.generation:
             return message.members_digest == own.members_digest
@@ -52,27 +60,32 @@
         return message.generation == own.generation + 1
 
     def settled_generation(self, now: int) -> int:
-        """The latest generation that is known to have settled by now."""
+        """The latest generation that is known to have settled."""
         own = self.config
         if self.known_settled < own.generation:
-            # By clocks that may run fast here and slow there.
-            wait = int(
-                (own.settle_time + own.voter_lease)
-                * (1.0 + own.max_clock_drift)
-                / (1.0 - own.max_clock_drift)
-            )
-            since = [self.adopted_at]
-            since += [
-                at
-                for name, (generation, at) in self.peer_generations.items()
-                if generation >= own.generation and name in own.members and name != self.name
-            ]
-            if sum(now - at >= wait for at in since) >= own.quorum:
+            # The own clock may be fast and the others' slow.
+            drift = own.max_clock_drift
+            wait = int((own.settle_time + own.voter_lease) * (1.0 + drift) / (1.0 - drift))
+            settled = [now - since >= wait for since in self._adoption_times()]
+            if sum(settled) >= own.quorum:
                 self.known_settled = own.generation
         return self.known_settled
 
+    def _adoption_times(self) -> list[int]:
+        """For each member that is known to have the own generation or a later one, since when."""
+        own = self.config
+        times = [self.adopted_at]
+        for name, known in self.peer_generations.items():
+            if known.generation >= own.generation and name in own.members and name != self.name:
+                times.append(known.known_since)
+        return times
+
     def check_change(self, candidate: ElectionConfig, now: int) -> None:
-        """Whether another list may be taken up now; raises ValueError that says what to do."""
+        """Check whether another list may be adopted now.
+
+        Raises:
+            ValueError: It may not; the text says what to do instead.
+        """
         own = self.config
         if candidate.generation == own.generation:
             if candidate.members_digest != own.members_digest:
@@ -93,7 +106,7 @@
             )
 
     def adopt(self, config: ElectionConfig, now: int) -> None:
-        """Have another list in force; it has been checked."""
+        """Replace the list by one that `check_change` has accepted."""
         if config.generation != self.config.generation:
             self.adopted_at = now
         self.config = config
@@ -103,11 +116,10 @@
         self.mismatches.clear()
 
     def stamp(self, message: ElectionMessage, now: int) -> ElectionMessage:
-        """A message with this member's list named in it."""
-        own = self.config
+        """A copy of a message that names the own list."""
         return replace(
             message,
-            generation=own.generation,
-            members_digest=own.members_digest,
+            generation=self.config.generation,
+            members_digest=self.config.members_digest,
             settled_generation=self.settled_generation(now),
         )
--- a/lockspoke/address/node.py
+++ b/lockspoke/address/node.py
@@ -10,9 +10,13 @@
 
 import structlog
 
+from .actions import Action, HoldLease, LoseLease, SendMessage
+from .announcer import Announcer
+from .clock import steady_clock
 from .datagram import MAX_DATAGRAM_BYTES, DatagramChannel, DatagramError
-from .election import Action, Election, HoldLease, LoseLease, ElectionRole, SendMessage, ElectionConfig
-from .listening import Announcer, steady_clock
+from .election import Election
+from .election_config import ElectionConfig
+from .role import ElectionRole
 
 MAX_DATAGRAMS_PER_WAKEUP = 64  # datagrams that are read before the loop goes on: a flood must not keep it
 RECEIVE_BUFFER_BYTES = 256 * 1024  # bytes that the system may keep for us meanwhile
@@ -202,7 +206,7 @@
             return True  # it took too long to come to it; the next tick lets go
         try:
             if not self._claimed or action.token != self._claimed_token:
-                self.announcer.claim(action.token, lambda: self.election.lease_until)
+                self.announcer.claim(action.token, lambda: self.election.lease.until)
                 self._claimed_token = action.token
         except OSError as error:
             # The address is not to be had here: the one who can have it must not wait for long.
@@ -214,7 +218,7 @@
         if not self._claimed:
             self._claimed, self.holding_changed_at = True, now
             self.moves += 1
-            log.info("address_held", token=action.token, votes=list(self.election.lease_voters))
+            log.info("address_held", token=action.token, votes=list(self.election.lease.voters))
         return True
 
     def _withdraw(self, action: LoseLease) -> None:
@@ -222,7 +226,7 @@
             self._claimed, self.holding_changed_at = False, self.clock()
             self.announcer.withdraw(action.reason)
             self.on_lease_change(action, self.clock())
-            log.warning("address_lost", reason=action.reason, token=self.election.token)
+            log.warning("address_lost", reason=action.reason, token=self.election.lease.token)
 
     def _log_changes(self) -> None:
         """Tell of what has changed round it."""
@@ -243,9 +247,8 @@
         now, election = self.clock(), self.election
         if election.holds(now):
             return self.name
-        if now < election.vote_until and election.voted_for != self.name:
-            return election.voted_for
-        return ""
+        voted_for = election.voter.current_vote(now)
+        return voted_for if voted_for != self.name else ""
 
     def status(self) -> dict[str, Any]:
         """As plain values, for operators; times in milliseconds."""
@@ -256,10 +259,10 @@
             "name": self.name,
             "role": election.role.value,
             "holder": self.known_holder or None,
-            "token": election.token if holds else None,
+            "token": election.lease.token if holds else None,
             "term": election.term,
-            "lease_left_ms": (election.lease_until - now) // 1_000_000 if holds else None,
-            "votes": list(election.lease_voters) if holds else [],
+            "lease_left_ms": (election.lease.until - now) // 1_000_000 if holds else None,
+            "votes": list(election.lease.voters) if holds else [],
             "since_ms": (now - self.holding_changed_at) // 1_000_000,
             "members": list(election.config.members),
             "witnesses": sorted(election.config.witnesses),
--- /dev/null
+++ b/lockspoke/address/role.py
@@ -0,0 +1,21 @@
+"""The role of a member in the election."""
+
+from __future__ import annotations
+
+from enum import Enum
+
+
+class ElectionRole(Enum):
+    """The role of a member. The values are shown to operators."""
+
+    SILENT = "silent"  # just started: votes of the previous process may still be valid
+    FOLLOWER = "following"
+    PRE_CANDIDATE = "asking"
+    CANDIDATE = "claiming"
+    HOLDER = "holding"
+    LEAVING = "leaving"  # shutting down: neither votes nor stands
+
+    @property
+    def is_active(self) -> bool:
+        """Whether the member stands for the lease or holds it."""
+        return self in (ElectionRole.HOLDER, ElectionRole.PRE_CANDIDATE, ElectionRole.CANDIDATE)
--- a/lockspoke/address/settings.py
+++ b/lockspoke/address/settings.py
@@ -10,8 +10,8 @@
 from lockspoke.units import SECOND
 
 from .datagram import MAX_NAME_BYTES
+from .election_config import ElectionConfig
 from .health import HealthLimits
-from .terms import ElectionConfig
 
 HostPort = tuple[str, int]
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -13,9 +13,11 @@
 
 import structlog
 
-from lockspoke.address.command import CommandAnnouncer
+from lockspoke.address.announcer import Announcer, AnnouncerGroup
+from lockspoke.address.clock import steady_clock
+from lockspoke.address.command_announcer import CommandAnnouncer
 from lockspoke.address.health import HealthMetrics
-from lockspoke.address.listening import Announcer, AnnouncerGroup, ServiceListener, steady_clock
+from lockspoke.address.listener import ServiceListener
 from lockspoke.address.member import Member
 from lockspoke.address.settings import AddressSettings, parse_endpoint
 from lockspoke.core.core import Core
@@ -131,7 +133,7 @@
         assert isinstance(connection, ClientConnection)
         # Also what comes later on it counts only while the lease runs.
         connection.lease_is_valid = lambda: (
-            self.member.node.election.token >= token and self.member.node.holding
+            self.member.node.election.lease.token >= token and self.member.node.holding
         )
         self.connections.add(connection)
 
--- a/tests/address/test_announcing.py
+++ b/tests/address/test_announcing.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lockspoke.address.command import CommandAnnouncer
+from lockspoke.address.command_announcer import CommandAnnouncer
 from lockspoke.address.frames import (
     VRRP_GROUPS,
     Advertisement,
--- a/tests/address/test_datagram.py
+++ b/tests/address/test_datagram.py
@@ -8,14 +8,14 @@
 
 from lockspoke.address.datagram import (
     MAX_DATAGRAM_BYTES,
-    DatagramChannel,
     Datagram,
+    DatagramChannel,
     DatagramError,
     check_key,
     decode,
     encode,
 )
-from lockspoke.address.election import MessageKind, ElectionMessage
+from lockspoke.address.messages import ElectionMessage, MessageKind
 from tests.wire.http.test_http1 import fixed
 
 KEYS = [b"k" * 32, b"n" * 32]
--- a/tests/address/test_health.py
+++ b/tests/address/test_health.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lockspoke.address.health import HealthLimits, HealthTracker, HealthMetrics
+from lockspoke.address.health import HealthLimits, HealthMetrics, HealthTracker
 
 SECOND = 1_000_000_000
 HEALTHY = HealthMetrics(
--- a/tests/address/test_member.py
+++ b/tests/address/test_member.py
@@ -8,9 +8,9 @@
 import pytest
 
 from lockspoke.address.keys import read_keys
-from lockspoke.address.record import TERMS_AHEAD, TermRecord, RecordError
-from lockspoke.address.roster import Membership
-from lockspoke.address.terms import MessageKind, ElectionMessage
+from lockspoke.address.membership import Membership
+from lockspoke.address.messages import ElectionMessage, MessageKind
+from lockspoke.address.term_record import TERMS_AHEAD, RecordError, TermRecord
 from tests.address.test_election import MS, THREE_MEMBERS, SimulatedNetwork
 
 
--- a/tests/address/test_node.py
+++ b/tests/address/test_node.py
@@ -7,8 +7,9 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from lockspoke.address.election import ElectionConfig
-from lockspoke.address.listening import ServiceListener, steady_clock
+from lockspoke.address.clock import steady_clock
+from lockspoke.address.election_config import ElectionConfig
+from lockspoke.address.listener import ServiceListener
 from lockspoke.address.node import Node
 from tests.address.relay import Relay, free_port
 from tests.standins import until
--- a/tests/address/test_simulation.py
+++ b/tests/address/test_simulation.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.address.faults import FAULTS
-from tests.address.simulation import Counts, Simulation, random_schedule, shrink, describe, find_violation
+from tests.address.simulation import Counts, Simulation, describe, find_violation, random_schedule, shrink
 
 # Where the search for each fault begins: near the first seed that finds it, so that the tests stay short.
 NEAR = {
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -17,11 +17,11 @@
 
 from structlog.testing import capture_logs
 
-from lockspoke.address.listening import Announcer
+from lockspoke.address.actions import HoldLease, LoseLease
+from lockspoke.address.announcer import Announcer
 from lockspoke.address.member import Member
-from lockspoke.address.record import TermRecord, RecordError
 from lockspoke.address.settings import AddressSettings
-from lockspoke.address.terms import HoldLease, LoseLease
+from lockspoke.address.term_record import RecordError, TermRecord
 from lockspoke.cli.main import cli
 from lockspoke.inventory import store as inventory_store
 from lockspoke.inventory.settings import InventorySettings
