--- a/lockspoke/address/command_announcer.py
+++ b/lockspoke/address/command_announcer.py
@@ -1,4 +1,4 @@
-"""An announcer that runs an operator's command: it moves the address by whatever means the site has."""
+"""An announcer that runs an operator's command, which moves the address by the means of its site."""
 
 from __future__ import annotations
 
@@ -8,15 +8,19 @@
 
 import structlog
 
+from lockspoke.units import MILLISECOND
+
+CLAIM, WITHDRAW = "claim", "withdraw"  # the last argument of the command
+
 log = structlog.get_logger()
 
 
 class CommandAnnouncer:
-    """Runs `command claim` and `command withdraw`, one after another, each within a time limit.
+    """Runs `command claim` and `command withdraw`, one after another, each with a timeout.
 
-    The environment has LOCKSPOKE_TOKEN (the fencing token, which only grows), LOCKSPOKE_ADDRESS, and for a
-    claim LOCKSPOKE_LEASE_MS, how long the lease surely lasts from now. A command that fails or hangs is told
-    in the log; one that hangs is killed. What waits is dropped when a later word takes its place.
+    The environment has LOCKSPOKE_TOKEN (the fencing token, which only grows), LOCKSPOKE_ADDRESS, and
+    LOCKSPOKE_LEASE_MS, the time that is left of the lease. A command that fails or times out is logged; one
+    that times out is killed. A waiting action is replaced by a later one.
     """
 
     def __init__(
@@ -32,13 +36,13 @@
         self._running: asyncio.Task[None] | None = None
 
     def claim(self, token: int, lease_until: Callable[[], int]) -> None:
-        """Have the address brought here."""
+        """Start the command that brings the address here."""
         self._token, self._lease_until = token, lease_until
-        self._request("claim")
+        self._request(CLAIM)
 
-    def withdraw(self, reason: str) -> None:
-        """Have it taken away. The lease has ended already: nobody waits for this."""
-        self._request("withdraw")
+    def withdraw(self, reason: str) -> None:  # noqa: ARG002 - the protocol of announcers has it
+        """Start the command that takes the address away. The lease has ended, so nothing waits for it."""
+        self._request(WITHDRAW)
 
     def _request(self, action: str) -> None:
         self._pending = action
@@ -48,43 +52,47 @@
     async def _run_pending(self) -> None:
         try:
             while self._pending is not None:
-                word, self._pending = self._pending, None
-                left = (self._lease_until() - self.clock()) // 1_000_000
-                if word == "claim" and left <= 0:
-                    continue  # it took too long to come to it: the address is not ours any more
-                await self._run(word, max(0, left))
+                action, self._pending = self._pending, None
+                left_ms = (self._lease_until() - self.clock()) // MILLISECOND
+                if action == CLAIM and left_ms <= 0:
+                    continue  # the lease has ended in the meantime
+                await self._run(action, max(0, left_ms))
         finally:
             self._running = None
 
     async def _run(self, action: str, left_ms: int) -> None:
-        told = {"LOCKSPOKE_TOKEN": str(self._token), "LOCKSPOKE_ADDRESS": self.address}
-        told["LOCKSPOKE_LEASE_MS"] = str(left_ms)
+        variables = {
+            "LOCKSPOKE_TOKEN": str(self._token),
+            "LOCKSPOKE_ADDRESS": self.address,
+            "LOCKSPOKE_LEASE_MS": str(left_ms),
+        }
         try:
             process = await asyncio.create_subprocess_exec(
                 *self.command,
                 action,
-                env=os.environ | told,
+                env=os.environ | variables,
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.DEVNULL,
             )
         except OSError as error:
-            self.failures += 1
-            log.error("address_command_failed", word=action, reason=str(error))
+            self._record_failure(action, str(error))
             return
         try:
             async with asyncio.timeout(self.timeout):
-                code = await process.wait()
+                exit_code = await process.wait()
         except TimeoutError:
             process.kill()
             await process.wait()
-            self.failures += 1
-            log.error("address_command_failed", word=action, reason=f"killed after {self.timeout:g} s")
+            self._record_failure(action, f"killed after {self.timeout:g} s")
             return
-        if code:
-            self.failures += 1
-            log.error("address_command_failed", word=action, reason=f"exit code {code}")
+        if exit_code:
+            self._record_failure(action, f"exit code {exit_code}")
+
+    def _record_failure(self, action: str, reason: str) -> None:
+        self.failures += 1
+        log.error("address_command_failed", action=action, reason=reason)
 
     async def wait_idle(self) -> None:
-        """Until no command runs or waits."""
+        """Wait until no command is running or waiting."""
         while self._running is not None:
             await asyncio.shield(self._running)
--- a/lockspoke/address/control.py
+++ b/lockspoke/address/control.py
@@ -1,4 +1,4 @@
-"""Words of an operator to a running instance, and its answers: a line of JSON each over a local socket."""
+"""Commands of an operator to a running instance: one line of JSON each way over a local socket."""
 
 from __future__ import annotations
 
@@ -11,68 +11,88 @@
 from pathlib import Path
 from typing import Any
 
-MAX_COMMAND_BYTES = 4096  # bytes of a word
-COMMAND_TIMEOUT = 2.0  # seconds for a word to come whole
+MAX_COMMAND_BYTES = 4096
+COMMAND_TIMEOUT = 2.0  # seconds to receive a complete command
+ONLY_OWNER_UMASK = 0o177
+JsonObject = dict[str, Any]
 
 
 class ControlServer:
-    """The instance's end. `obey` gets a word and gives its answer; a ValueError is told to the operator."""
+    """The instance's end. `handle` gets a command and returns the answer, or raises ValueError."""
 
-    def __init__(self, path: Path, handle: Callable[[dict[str, Any]], dict[str, Any]]) -> None:
+    def __init__(self, path: Path, handle: Callable[[JsonObject], JsonObject]) -> None:
         self.path, self.handle = path, handle
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; raises OSError. A socket that an ended process has left is taken over."""
+        """Listen; raises OSError. A socket that a process of before has left behind is replaced."""
         if self.path.exists():
-            if not self.path.is_socket():
-                raise FileExistsError(f"{self.path} is there and no socket")
-            with socket.socket(socket.AF_UNIX) as probe:
-                probe.settimeout(COMMAND_TIMEOUT)
-                if probe.connect_ex(str(self.path)) == 0:
-                    raise FileExistsError(f"{self.path}: another instance listens there")
-            self.path.unlink()
-        before = os.umask(0o177)  # only its own user may speak to it
+            self._remove_stale_socket()
+        previous_umask = os.umask(ONLY_OWNER_UMASK)
         try:
             self._server = await asyncio.start_unix_server(self._serve, self.path, limit=MAX_COMMAND_BYTES)
         finally:
-            os.umask(before)
+            os.umask(previous_umask)
+
+    def _remove_stale_socket(self) -> None:
+        if not self.path.is_socket():
+            raise FileExistsError(f"{self.path} is there and no socket")
+        with socket.socket(socket.AF_UNIX) as probe:
+            probe.settimeout(COMMAND_TIMEOUT)
+            if probe.connect_ex(str(self.path)) == 0:
+                raise FileExistsError(f"{self.path}: another instance listens there")
+        self.path.unlink()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        answer = await self._answer(reader)
+        with contextlib.suppress(ConnectionError):
+            writer.write(json.dumps(answer).encode() + b"\n")
+            await writer.drain()
+        writer.close()
+
+    async def _answer(self, reader: asyncio.StreamReader) -> JsonObject:
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT):
                 line = await reader.readuntil()
-            word = json.loads(line)
-            if not isinstance(word, dict):
-                raise ValueError("want an object")
-            answer = self.handle(word)
+            command = json.loads(line)
+            if not isinstance(command, dict):
+                return {"error": "want an object"}
+            return self.handle(command)
         except ValueError as error:
-            answer = {"error": str(error)}
+            return {"error": str(error)}
         except (TimeoutError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError):
-            answer = {"error": "want one line of JSON"}
-        with contextlib.suppress(ConnectionError):
-            writer.write(json.dumps(answer).encode() + b"\n")
-            await writer.drain()
-        writer.close()
+            return {"error": "want one line of JSON"}
 
     def close(self) -> None:
-        """End."""
+        """Stop listening and remove the socket."""
         if self._server is not None:
             self._server.close()
             self._server = None
             self.path.unlink(missing_ok=True)
 
 
-def send_command(path: Path, command: dict[str, Any], timeout: float = 5.0) -> dict[str, Any]:
-    """Say a word to a running instance. Raises OSError where none listens, ValueError for what it refuses."""
-    with socket.socket(socket.AF_UNIX) as made:
-        made.settimeout(timeout)
-        made.connect(str(path))
-        made.sendall(json.dumps(command).encode() + b"\n")
+def send_command(path: Path, command: JsonObject, timeout: float = 5.0) -> JsonObject:
+    """Send a command to a running instance and return its answer.
+
+    Args:
+        path: The control socket.
+        command: The command.
+        timeout: Seconds to wait for each part of the answer.
+
+    Raises:
+        OSError: No instance listens there.
+        ValueError: The instance has rejected the command.
+    """
+    with socket.socket(socket.AF_UNIX) as connection:
+        connection.settimeout(timeout)
+        connection.connect(str(path))
+        connection.sendall(json.dumps(command).encode() + b"\n")
         data = b""
-        while part := made.recv(65536):
-            data += part
+        while received := connection.recv(65536):
+            data += received
     answer = json.loads(data or b"{}")
-    if not isinstance(answer, dict) or "error" in answer:
-        raise ValueError(answer.get("error", "no answer") if isinstance(answer, dict) else "no answer")
+    if not isinstance(answer, dict):
+        raise ValueError("no answer")
+    if "error" in answer:
+        raise ValueError(answer["error"])
     return answer
--- a/lockspoke/address/node.py
+++ b/lockspoke/address/node.py
@@ -1,37 +1,39 @@
-"""The driver of one member: datagrams in and out, time, and what the election asks for."""
+"""Drives the election of one member: datagrams, timers, and the actions that the election asks for."""
 
 from __future__ import annotations
 
 import asyncio
-import socket
 import time
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
 import structlog
 
+from lockspoke.units import MILLISECOND, SECOND
+
 from .actions import Action, HoldLease, LoseLease, SendMessage
 from .announcer import Announcer
+from .channel import DatagramChannel
 from .clock import steady_clock
-from .datagram import MAX_DATAGRAM_BYTES, DatagramChannel, DatagramError
+from .datagram import DatagramError
 from .election import Election
 from .election_config import ElectionConfig
+from .peer_socket import HostPort, PeerSocket
 from .role import ElectionRole
 
-MAX_DATAGRAMS_PER_WAKEUP = 64  # datagrams that are read before the loop goes on: a flood must not keep it
-RECEIVE_BUFFER_BYTES = 256 * 1024  # bytes that the system may keep for us meanwhile
-CLAIM_RETRY_DELAY = 1_000_000_000  # nanoseconds after which an address that was not to be had is tried again
+CLAIM_RETRY_DELAY = SECOND  # before an address that was not available is tried again
+NOT_HEALTHY = "it is not fit"  # in the status; the member replaces it by the reasons
 
 log = structlog.get_logger()
 
 
 class Node:
-    """One member on its UDP port. `told` gets each Hold and Lose with the time on its clock."""
+    """One member on its UDP port. `on_lease_change` gets each lease action and the time on its clock."""
 
     def __init__(
         self,
         name: str,
-        peer_addresses: Mapping[str, tuple[str, int]],
+        peer_addresses: Mapping[str, HostPort],
         config: ElectionConfig,
         keys: Sequence[bytes],
         announcer: Announcer,
@@ -43,91 +45,77 @@
         first_term: int = 0,
         on_lease_change: Callable[[HoldLease | LoseLease, int], None] = lambda action, now: None,
     ) -> None:
-        self.name, self.peer_addresses, self.announcer, self.clock = (
-            name,
-            dict(peer_addresses),
-            announcer,
-            clock,
-        )
-        # The wall clock, once: tokens and epochs then grow over a restart of all members, too.
+        self.name, self.peer_addresses = name, dict(peer_addresses)
+        self.announcer, self.clock = announcer, clock
+        # The wall clock is read once, so that tokens and epochs grow even if all members restart at once.
         epoch = time.time_ns()
         self.channel = DatagramChannel(name, epoch, list(keys))
         self.election = Election(
             name,
             config,
             clock(),
-            first_term=max(first_term, epoch // 1_000_000),
+            first_term=max(first_term, epoch // MILLISECOND),
             random=random,
             priority=priority,
             preempt_after=preempt_after,
         )
         self.on_lease_change = on_lease_change
-        self.healthy = False  # whether it is fit, as far as those know who judge that
-        self.claim_retry_at = 0  # the address was not to be had here
+        self.healthy = False  # the election's `healthy` is also False while the address is not available
+        self.claim_retry_at = 0
         self.sent = self.received = self.moves = 0
-        self.holding_changed_at = clock()  # since when it has or hasn't the address
+        self.holding_changed_at = clock()
         self._claimed, self._claimed_token = False, 0
         self._logged_holder = ""
         self._logged_mismatches: dict[str, str] = {}
-        self._socket: socket.socket | None = None
+        self._socket: PeerSocket | None = None
         self._timer: asyncio.TimerHandle | None = None
 
     async def start(self) -> None:
-        """Listen for the others and begin; raises OSError where its own port is taken."""
-        host, port = self.peer_addresses[self.name]
-        made = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
-        try:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
-            made.setblocking(False)
-            made.bind((host, port))
-        except OSError:
-            made.close()
-            raise
-        self.peer_addresses[self.name] = made.getsockname()[:2]
-        self._socket = made
-        asyncio.get_running_loop().add_reader(made.fileno(), self._on_readable)
+        """Open the socket and join the election; raises OSError if the port is not available."""
+        self._socket = PeerSocket(self.peer_addresses[self.name], self._on_datagram)
+        self.peer_addresses[self.name] = self._socket.address
         self._tick()
 
     @property
     def holding(self) -> bool:
-        """Whether the address is its own at this moment."""
+        """Whether this member holds the address now."""
         return self.election.holds(self.clock())
 
     def set_health(self, healthy: bool) -> None:
-        """Whether it can serve."""
+        """Set whether this member can serve."""
         self.healthy = healthy
         now = self.clock()
-        healthy = healthy and now >= self.claim_retry_at
-        if healthy != self.election.healthy:
-            self._execute(self.election.set_health(healthy, now))
+        may_serve = healthy and now >= self.claim_retry_at
+        if may_serve != self.election.healthy:
+            self._execute(self.election.set_health(may_serve, now))
 
     def move(self, successor: str) -> None:
-        """Hand the address over; raises ValueError where that can't be."""
+        """Transfer the address to another member; raises ValueError if that is not possible."""
         self._execute(self.election.move(successor, self.clock()))
 
     def start_leaving(self) -> None:
-        """Begin to leave in good order; `left` when the address is handed over or let go."""
+        """Begin a graceful shutdown; `has_left` becomes True when the address is transferred or released."""
         self._execute(self.election.leave(self.clock()))
 
     @property
     def has_left(self) -> bool:
-        """Whether it has nothing to hand over any more."""
+        """Whether the graceful shutdown has finished."""
         return self.election.role is ElectionRole.LEAVING and self.election.transfer is None
 
-    def change_config(self, config: ElectionConfig, peer_addresses: Mapping[str, tuple[str, int]]) -> None:
-        """Take up another list; the election has agreed to it."""
+    def change_config(self, config: ElectionConfig, peer_addresses: Mapping[str, HostPort]) -> None:
+        """Adopt another member list; raises ValueError if that is not safe now."""
         actions = self.election.change_config(config, self.clock())
-        own = self.peer_addresses[self.name]
-        self.peer_addresses = {**peer_addresses, self.name: own}
+        own_address = self.peer_addresses[self.name]
+        self.peer_addresses = {**peer_addresses, self.name: own_address}
         self._execute(actions)
 
     def stop(self) -> None:
-        """Leave at once."""
+        """Release the address and leave at once."""
         self._execute(self.election.stop(self.clock()))
         self.abort()
 
     def abort(self) -> None:
-        """Leave without a word, as a process that dies does: the system closes its sockets."""
+        """Leave without sending anything, as a process that crashes does."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -135,7 +123,6 @@
             self._claimed = False
             self.announcer.withdraw("killed")
         if self._socket is not None:
-            asyncio.get_running_loop().remove_reader(self._socket.fileno())
             self._socket.close()
             self._socket = None
 
@@ -146,49 +133,34 @@
             self._execute(self.election.set_health(True, now))
         self._execute(self.election.tick(now))
 
-    def _schedule(self) -> None:
-        """Have the next tick when the election wants it."""
+    def _schedule_tick(self) -> None:
         if self._socket is None:
             return
         now = self.clock()
-        wait = max(0, self.election.next_tick_at(now) - now) / 1e9
+        delay = max(0, self.election.next_tick_at(now) - now) / SECOND
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = asyncio.get_running_loop().call_later(wait, self._tick)
-
-    def _on_readable(self) -> None:
-        for _ in range(MAX_DATAGRAMS_PER_WAKEUP):
-            if self._socket is None:
-                return
-            try:
-                data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # nothing more; or the system tells that a member's port is closed
-                return
-            self._on_datagram(data)
+        self._timer = asyncio.get_running_loop().call_later(delay, self._tick)
 
     def _on_datagram(self, data: bytes) -> None:
-        """A datagram; who it says it is from counts, not where it came from."""
+        # The authenticated name of the sender counts, not the address that the datagram came from.
         try:
-            sender, message, answer = self.channel.open(data, self.election.config.members)
+            received = self.channel.open(data, self.election.config.members)
         except DatagramError:
-            return  # counted by its reason
+            return  # counted by the channel
         self.received += 1
-        if answer is not None:
-            self._send_datagram(sender, answer)
-        if message is not None:
-            self._execute(self.election.receive(sender, message, self.clock()))
+        if received.reply is not None:
+            self._send_datagram(received.sender, received.reply)
+        if received.message is not None:
+            self._execute(self.election.receive(received.sender, received.message, self.clock()))
 
     def _send_datagram(self, to: str, data: bytes) -> None:
-        if self._socket is None or to not in self.peer_addresses:
-            return
-        try:
-            self._socket.sendto(data, self.peer_addresses[to])
-            self.sent += 1
-        except OSError:
-            pass  # a member that is not there, or a full queue: the election finds out by itself
+        address = self.peer_addresses.get(to)
+        if self._socket is not None and address is not None and self._socket.send(data, address):
+            self.sent += 1  # the election tolerates lost datagrams
 
     def _execute(self, actions: list[Action]) -> None:
-        """Carry out what the election says, in its order: an address is let go before that is told."""
+        """Execute actions in order, so that an address is withdrawn before other members learn of it."""
         for action in actions:
             if isinstance(action, SendMessage):
                 self._send_datagram(action.to, self.channel.seal(action.to, action.message))
@@ -198,19 +170,19 @@
             else:
                 self._withdraw(action)
         self._log_changes()
-        self._schedule()
+        self._schedule_tick()
 
     def _claim(self, action: HoldLease) -> bool:
         now = self.clock()
         if now >= action.until:
-            return True  # it took too long to come to it; the next tick lets go
+            return True  # the lease has ended in the meantime; the next tick gives it up
         try:
             if not self._claimed or action.token != self._claimed_token:
                 self.announcer.claim(action.token, lambda: self.election.lease.until)
                 self._claimed_token = action.token
         except OSError as error:
-            # The address is not to be had here: the one who can have it must not wait for long.
             log.error("address_claim_failed", token=action.token, reason=str(error))
+            # Give the lease up at once, for a member that can claim the address.
             self.claim_retry_at = now + CLAIM_RETRY_DELAY
             self._execute(self.election.set_health(False, now))
             return False
@@ -218,7 +190,8 @@
         if not self._claimed:
             self._claimed, self.holding_changed_at = True, now
             self.moves += 1
-            log.info("address_held", token=action.token, votes=list(self.election.lease.voters))
+            voters = list(self.election.lease.voters)
+            log.info("address_lease_acquired", token=action.token, voters=voters)
         return True
 
     def _withdraw(self, action: LoseLease) -> None:
@@ -226,24 +199,23 @@
             self._claimed, self.holding_changed_at = False, self.clock()
             self.announcer.withdraw(action.reason)
             self.on_lease_change(action, self.clock())
-            log.warning("address_lost", reason=action.reason, token=self.election.lease.token)
+            log.warning("address_lease_lost", reason=action.reason, token=self.election.lease.token)
 
     def _log_changes(self) -> None:
-        """Tell of what has changed round it."""
-        believed = self.known_holder
-        if believed != self._logged_holder:
-            self._logged_holder = believed
-            log.info("address_holder", holder=believed or None)
-        strangers = self.election.membership.mismatches
-        if strangers != self._logged_mismatches:
-            for name, why in strangers.items():
-                if self._logged_mismatches.get(name) != why:
-                    log.error("address_member_mismatch", member=name, reason=why)
-            self._logged_mismatches = dict(strangers)
+        holder = self.known_holder
+        if holder != self._logged_holder:
+            self._logged_holder = holder
+            log.info("address_lease_holder_changed", holder=holder or None)
+        mismatches = self.election.membership.mismatches
+        if mismatches != self._logged_mismatches:
+            for name, reason in mismatches.items():
+                if self._logged_mismatches.get(name) != reason:
+                    log.error("address_member_mismatch", member=name, reason=reason)
+            self._logged_mismatches = dict(mismatches)
 
     @property
     def known_holder(self) -> str:
-        """Who has the address, as far as this instance knows; nobody: empty."""
+        """The holder as far as this member knows; an empty string if there is none."""
         now, election = self.clock(), self.election
         if election.holds(now):
             return self.name
@@ -251,51 +223,50 @@
         return voted_for if voted_for != self.name else ""
 
     def status(self) -> dict[str, Any]:
-        """As plain values, for operators; times in milliseconds."""
+        """The state as JSON values; times in milliseconds."""
         now, election = self.clock(), self.election
-        roster = election.membership
+        membership, lease = election.membership, election.lease
         holds = election.holds(now)
         return {
             "name": self.name,
             "role": election.role.value,
             "holder": self.known_holder or None,
-            "token": election.lease.token if holds else None,
+            "token": lease.token if holds else None,
             "term": election.term,
-            "lease_left_ms": (election.lease.until - now) // 1_000_000 if holds else None,
-            "votes": list(election.lease.voters) if holds else [],
-            "since_ms": (now - self.holding_changed_at) // 1_000_000,
+            "lease_left_ms": (lease.until - now) // MILLISECOND if holds else None,
+            "votes": list(lease.voters) if holds else [],
+            "since_ms": (now - self.holding_changed_at) // MILLISECOND,
             "members": list(election.config.members),
             "witnesses": sorted(election.config.witnesses),
             "survives": election.config.describe_fault_tolerance(),
             "generation": election.config.generation,
-            "settled": roster.settled_generation(now) >= election.config.generation,
-            "mismatches": dict(roster.mismatches),
+            "settled": membership.settled_generation(now) >= election.config.generation,
+            "mismatches": dict(membership.mismatches),
             "sent": self.sent,
             "received": self.received,
             "refused": dict(self.channel.rejected),
             "moves": self.moves,
-            "why_not": self._why_not(now),
+            "why_not": self._reasons_not_to_hold(now),
         }
 
-    def _why_not(self, now: int) -> list[str]:
-        """What keeps this instance from holding."""
+    def _reasons_not_to_hold(self, now: int) -> list[str]:
         election = self.election
         if election.holds(now):
             return []
-        found = []
+        reasons = []
         if not election.may_hold:
-            found.append("it is a witness: it votes and never holds")
+            reasons.append("it is a witness: it votes and never holds")
         if election.role is ElectionRole.SILENT:
-            left = (election.silent_until - now) // 1_000_000
-            found.append(f"it has just started and may have granted before: silent for {left} ms more")
+            left = (election.silent_until - now) // MILLISECOND
+            reasons.append(f"it has just started and may have granted before: silent for {left} ms more")
         if election.role is ElectionRole.LEAVING:
-            found.append("it stops")
+            reasons.append("it stops")
         if now < self.claim_retry_at:
-            found.append("the address was not to be had here")
+            reasons.append("the address was not to be had here")
         if not self.healthy:
-            found.append("it is not fit")
+            reasons.append(NOT_HEALTHY)
         if self.known_holder:
-            found.append(f"{self.known_holder} holds and is well")
-        if not found:
-            found.append(f"no majority of {election.config.quorum} has granted it")
-        return found
+            reasons.append(f"{self.known_holder} holds and is well")
+        if not reasons:
+            reasons.append(f"no majority of {election.config.quorum} has granted it")
+        return reasons
--- a/lockspoke/address/settings.py
+++ b/lockspoke/address/settings.py
@@ -1,4 +1,4 @@
-"""The section `[address]` of the edge file, and the terms that it makes."""
+"""The section `[address]` of the edge file."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def parse_endpoint(text: str) -> HostPort:
-    """`host:port` or `[host]:port` with a literal address. Raises ValueError."""
+    """Parse `host:port` or `[host]:port` with a literal address; raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
         raise ValueError(f"{text!r} is not host:port")
@@ -27,7 +27,7 @@
 
 
 class HealthSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The section `[address.health]`: from where on this instance is sick, and how it is held down."""
+    """The section `[address.health]`: limits of healthy metrics, and flap damping. Times in seconds."""
 
     least_workers: Annotated[int, msgspec.Meta(ge=0)] = 1
     loop_lag: Seconds = 0.25
@@ -44,11 +44,11 @@
     longest: Seconds = 300.0
 
     def __post_init__(self) -> None:
-        """Check what types do not tell."""
+        """Raise ValueError for what the types do not exclude."""
         self.limits()
 
     def limits(self) -> HealthLimits:
-        """As the judge of health takes them."""
+        """The limits with times in nanoseconds."""
         return HealthLimits(
             min_ready_replicas=self.least_workers,
             max_loop_lag=self.loop_lag,
@@ -69,16 +69,16 @@
 class AddressSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The section `[address]`. Times in seconds."""
 
-    service: str  # host:port that clients know
+    service: str  # host:port that clients connect to
     members: dict[str, str]  # by name, host:port of its UDP port
-    keys: list[str]  # files; the first is used, all are accepted
-    name: str = ""  # of this member; the gateway's own where empty
-    listen: str = ""  # where this instance listens while it holds; `service` where empty
-    bind: str = ""  # its own UDP host:port, where others reach it by another one
-    witnesses: list[str] = []  # members that vote and never hold
-    generation: Annotated[int, msgspec.Meta(ge=1)] = 1  # counts the changes of members
+    keys: list[str]  # files; the first is used for sending, all are accepted
+    name: str = ""  # of this member; default: the gateway's own
+    listen: str = ""  # where this instance listens while it holds the address; default: `service`
+    bind: str = ""  # its own UDP host:port, if it differs from the one in `members`
+    witnesses: list[str] = []  # members that vote and never hold the address
+    generation: Annotated[int, msgspec.Meta(ge=1)] = 1  # counts the changes of `members`
     priority: Annotated[int, msgspec.Meta(ge=0, le=255)] = 100
-    take_back: float = 0.0  # having been well for so long, ask a holder of lower priority for it; 0: never
+    take_back: float = 0.0  # healthy for so long, request it from a holder of lower priority; 0: never
     span: Seconds = 0.4
     renew: Seconds = 0.1
     answer: Seconds = 0.04
@@ -86,16 +86,16 @@
     drift: Annotated[float, msgspec.Meta(ge=0.0, lt=0.1)] = 0.01
     settle: Seconds = 5.0
     announce: Literal["listen", "command"] = "listen"
-    command: list[str] = []  # with `command`: a program and its arguments
+    command: list[str] = []  # a program and its arguments, for `announce = "command"`
     command_limit: Seconds = 2.0
-    record: str = ""  # a folder that lasts
-    control: str = ""  # a socket for `lockspoke address`
+    record: str = ""  # a durable folder
+    control: str = ""  # path of the socket for `lockspoke address`
     metrics: str = ""  # host:port
-    trace: str = ""  # a file that gets each claim with its time
+    trace: str = ""  # a file for each lease change with its time
     health: HealthSettings = HealthSettings()
 
     def __post_init__(self) -> None:
-        """Check what types do not tell."""
+        """Raise ValueError for what the types do not exclude."""
         for name, text in self.members.items():
             if not name or len(name.encode()) > MAX_NAME_BYTES:
                 raise ValueError(f"members has the name {name!r}; want 1 to {MAX_NAME_BYTES} bytes")
@@ -124,7 +124,7 @@
             raise ValueError(f"{key} is wrong: {error}") from None
 
     def election_config(self) -> ElectionConfig:
-        """What all members have to agree on."""
+        """What all members have to agree on, with times in nanoseconds."""
         return ElectionConfig(
             tuple(self.members),
             frozenset(self.witnesses),
@@ -137,6 +137,10 @@
             settle_time=int(self.settle * SECOND),
         )
 
+    def preempt_after(self) -> int | None:
+        """Nanoseconds of health before this member requests the address; None: never."""
+        return int(self.take_back * SECOND) or None
+
     def peer_addresses(self) -> dict[str, HostPort]:
-        """By name, where each member is."""
+        """The UDP address of each member by name."""
         return {name: parse_endpoint(text) for name, text in self.members.items()}
--- a/lockspoke/address/term_record.py
+++ b/lockspoke/address/term_record.py
@@ -1,8 +1,8 @@
-"""What an instance keeps of the election where a folder lasts: term and generation, neither to go back.
+"""A durable record of the highest term and generation, so that neither goes back after a restart.
 
-Grants are not kept: an instance that starts anew is silent for a lease instead, which is shorter than its
-start, and no grant has to wait for a disk. Terms are kept by a reserve ahead, so that the file is written
-when the reserve is used up, not with each election.
+Votes are not recorded: a member that restarts is silent for the length of a lease instead, which is less than
+its start takes, and no vote has to wait for a disk. Terms are recorded with a margin ahead, so that the file
+is written when the margin is used up, not at each election.
 """
 
 from __future__ import annotations
@@ -12,67 +12,89 @@
 from pathlib import Path
 
 FILE_NAME = "address.json"
-TERMS_AHEAD = 1_000  # terms that a write covers ahead
+TERMS_AHEAD = 1_000
 
 
 class RecordError(ValueError):
-    """A record that can't be gone on from; the text says why, and the mend."""
+    """A record that can't be used; the text says why, and what to do."""
 
 
 class TermRecord:
-    """The file, and what it holds."""
+    """The record in a folder.
+
+    Attributes:
+        path: The file.
+        name: The member that the record belongs to.
+        term: The recorded term.
+        generation: The recorded generation.
+        write_error: Why the latest write has failed; empty if it has not.
+    """
 
     def __init__(self, folder: Path, name: str, generation: int) -> None:
-        """Read it. Raises RecordError where it is spoilt, another's, or from a later list of members."""
+        """Read the record if there is one.
+
+        Raises:
+            RecordError: It is malformed, another member's, or not of this generation or the one before.
+        """
         self.path, self.name = folder / FILE_NAME, name
         self.term, self.generation = 0, generation
-        self.write_error = ""  # why it is not kept at present
+        self.write_error = ""
         try:
             raw = json.loads(self.path.read_text())
-            member, term, kept = str(raw["name"]), int(raw["term"]), int(raw["generation"])
+            member, term, recorded = str(raw["name"]), int(raw["term"]), int(raw["generation"])
         except FileNotFoundError:
             return
         except (OSError, ValueError, KeyError, TypeError) as error:
             raise RecordError(
                 f"{self.path} can't be read ({error}); remove it if its machine is new"
             ) from None
-        if member != name:
-            raise RecordError(f"{self.path} is {member}'s, not {name}'s; give each member its own folder")
-        if generation < kept:
+        self._check(member, recorded)
+        self.term = term
+
+    def _check(self, member: str, recorded_generation: int) -> None:
+        if member != self.name:
             raise RecordError(
-                f"generation is {generation}, but {self.path} says that {kept} has run here;"
+                f"{self.path} is {member}'s, not {self.name}'s; give each member its own folder"
+            )
+        if self.generation < recorded_generation:
+            raise RecordError(
+                f"generation is {self.generation}, but {self.path} says that {recorded_generation} has run here;"
                 " take the later list of members"
             )
-        if generation > kept + 1:
+        if self.generation > recorded_generation + 1:
             raise RecordError(
-                f"generation is {generation}, but {self.path} has {kept}; change by one at a time"
+                f"generation is {self.generation}, but {self.path} has {recorded_generation};"
+                " change by one at a time"
             )
-        self.term = term
 
     def needs_write(self, term: int, generation: int) -> bool:
-        """Whether it has to be written."""
+        """Whether the record has to be written."""
         return term > self.term or generation != self.generation or bool(self.write_error)
 
     def write(self, term: int, generation: int) -> None:
-        """Write it whole, beside and renamed. Takes as long as the disk does; called off the loop.
+        """Replace the record atomically. Blocks until the disk has it, so call it off the event loop.
 
-        A disk that is full or gone doesn't end a lease: `failing` tells, and the next call tries again.
+        A disk that is full or gone doesn't end a lease: `write_error` is set, and the next call tries again.
         """
-        ahead = max(self.term, term + TERMS_AHEAD)
-        beside = self.path.with_name(f".{FILE_NAME}.{os.getpid()}")
+        recorded_term = max(self.term, term + TERMS_AHEAD)
+        content = json.dumps({"name": self.name, "term": recorded_term, "generation": generation})
         try:
             self.path.parent.mkdir(parents=True, exist_ok=True)
-            with beside.open("w") as file:
-                json.dump({"name": self.name, "term": ahead, "generation": generation}, file)
-                file.flush()
-                os.fsync(file.fileno())
-            beside.replace(self.path)
-            folder = os.open(self.path.parent, os.O_RDONLY)
-            try:
-                os.fsync(folder)
-            finally:
-                os.close(folder)
+            self._replace(content)
         except OSError as error:
             self.write_error = f"{self.path}: {error.strerror}"
             return
-        self.term, self.generation, self.write_error = ahead, generation, ""
+        self.term, self.generation, self.write_error = recorded_term, generation, ""
+
+    def _replace(self, content: str) -> None:
+        temporary = self.path.with_name(f".{FILE_NAME}.{os.getpid()}")
+        with temporary.open("w") as file:
+            file.write(content)
+            file.flush()
+            os.fsync(file.fileno())
+        temporary.replace(self.path)
+        folder = os.open(self.path.parent, os.O_RDONLY)
+        try:
+            os.fsync(folder)
+        finally:
+            os.close(folder)
--- a/tests/address/cluster.py
+++ b/tests/address/cluster.py
@@ -122,8 +122,8 @@
     def token(program: Program) -> int:
         """By which token it has the address, by its latest word on that; 0: it has it not."""
         for line in reversed(program.logs):
-            if line["event"] in ("address_held", "address_lost"):
-                return int(line["token"]) if line["event"] == "address_held" else 0
+            if line["event"] in ("address_lease_acquired", "address_lease_lost"):
+                return int(line["token"]) if line["event"] == "address_lease_acquired" else 0
         return 0
 
     async def wait_until_moved(self, before: str) -> str:
--- a/tests/address/test_datagram.py
+++ b/tests/address/test_datagram.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from lockspoke.address.channel import DatagramChannel, Received
 from lockspoke.address.datagram import (
     MAX_DATAGRAM_BYTES,
     Datagram,
-    DatagramChannel,
     DatagramError,
     check_key,
     decode,
@@ -25,9 +25,10 @@
 
 def exchange_epochs(one: DatagramChannel, other: DatagramChannel) -> None:
     """Let two channels learn each other's epochs, as the first messages between them do."""
-    sender, message, hello = other.open(one.seal(other.name, PREVOTE), MEMBERS)
-    assert (sender, message) == (one.name, None) and hello is not None
-    assert one.open(hello, MEMBERS) == (other.name, None, None)
+    received = other.open(one.seal(other.name, PREVOTE), MEMBERS)
+    assert (received.sender, received.message) == (one.name, None)
+    assert received.reply is not None
+    assert one.open(received.reply, MEMBERS) == Received(other.name, None, None)
 
 
 def connected_pair() -> tuple[DatagramChannel, DatagramChannel]:
@@ -48,10 +49,10 @@
     a, b = connected_pair()
     sent = [a.seal("b", ElectionMessage(MessageKind.VOTE_REQUEST, n, n, n, "a")) for n in range(80)]
     for data in (sent[1], sent[0], sent[3], sent[79]):
-        assert b.open(data, MEMBERS)[1] is not None
+        assert b.open(data, MEMBERS).message is not None
         assert rejection_reason(b, data) == "repeated"
     assert rejection_reason(b, sent[2]) == "repeated"  # too far behind to tell
-    assert b.open(sent[50], MEMBERS)[1] == ElectionMessage(MessageKind.VOTE_REQUEST, 50, 50, 50, "a")
+    assert b.open(sent[50], MEMBERS).message == ElectionMessage(MessageKind.VOTE_REQUEST, 50, 50, 50, "a")
 
 
 def test_what_was_recorded_before_a_restart_is_worth_nothing_after_it() -> None:
@@ -59,15 +60,18 @@
     recorded = [a.seal("b", PREVOTE) for _ in range(3)]
     again = DatagramChannel("b", 300, KEYS[:1])
     for data in recorded:
-        sender, message, hello = again.open(data, MEMBERS)
-        assert message is None and hello is not None and not again.peers[sender].epoch
-    assert a.open(hello, MEMBERS) == ("b", None, None)  # and its sender learns of the restart by it
-    assert again.open(a.seal("b", PREVOTE), MEMBERS)[1] == PREVOTE
+        received = again.open(data, MEMBERS)
+        assert received.message is None
+        assert received.reply is not None
+        assert not again.peers[received.sender].epoch
+        hello = received.reply
+    assert a.open(hello, MEMBERS) == Received("b", None, None)  # and its sender learns of the restart by it
+    assert again.open(a.seal("b", PREVOTE), MEMBERS).message == PREVOTE
     # The other way round: a's datagrams from before its restart are not taken once the new start is known.
     old = a.seal("b", PREVOTE)
     newer = DatagramChannel("a", 400, KEYS[:1])
     exchange_epochs(newer, again)
-    assert again.open(newer.seal("b", PREVOTE), MEMBERS)[1] == PREVOTE
+    assert again.open(newer.seal("b", PREVOTE), MEMBERS).message == PREVOTE
     assert rejection_reason(again, old) == "old_epoch"
 
 
@@ -85,7 +89,7 @@
     assert rejection_reason(b, DatagramChannel("a", 1, KEYS[1:]).seal("b", PREVOTE)) == "unknown_key"
     for at in range(8, len(data)):
         assert rejection_reason(b, data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]) == "forged"
-    assert b.open(data, MEMBERS)[1] == PREVOTE  # none of it stood in the way of the true one
+    assert b.open(data, MEMBERS).message == PREVOTE  # none of it stood in the way of the true one
 
 
 def test_keys_change_without_a_gap() -> None:
@@ -98,7 +102,7 @@
         (KEYS[1:], KEYS[::-1]),
     ):
         a.keys, b.keys = list(mine), list(others)
-        assert b.open(a.seal("b", PREVOTE), MEMBERS)[1] == PREVOTE
+        assert b.open(a.seal("b", PREVOTE), MEMBERS).message == PREVOTE
     with pytest.raises(ValueError):
         check_key(b"short")
 
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -89,7 +89,7 @@
     await cluster.wait_until_answered()
     program = cluster.programs[heir]
     assert await program.terminate() == 0
-    lost = program.log("address_lost")
+    lost = program.log("address_lease_lost")
     assert lost is not None and lost["reason"].startswith("handed to")
     await cluster.wait_until_moved(heir)
     await cluster.wait_until_answered()
@@ -164,7 +164,10 @@
     assert all(
         not any("unknown_key" in cluster.status(name)["refused"] for name in cluster.names) for _ in "x"
     )
-    assert sum(line["event"] == "address_lost" for one in cluster.programs.values() for line in one.logs) == 0
+    assert (
+        sum(line["event"] == "address_lease_lost" for one in cluster.programs.values() for line in one.logs)
+        == 0
+    )
     program = cluster.programs["a"]
     cluster.write_edge("a", keys=[str(cluster.folder / "none")])
     program.reload()
@@ -224,7 +227,7 @@
         program.reload()
         if times == 1:
             await until(lambda: cluster.status(sick)["health"]["fit"])
-    await until(lambda: program.log("address_held_down", now=True) is not None)
+    await until(lambda: program.log("address_suppression_changed", suppressed=True) is not None)
     await until(lambda: not cluster.status(sick)["health"]["fit"])
     why = "held down after giving the address up too often"
     await until(lambda: why in cluster.status(sick)["why_not"])
@@ -296,7 +299,7 @@
     async with asyncio.timeout(PATIENCE):
         # One that starts mostly brings a higher term, which the record has to have: not each time, on a busy
         # machine (two runs side by side waited for it in vain).
-        while program.log("address_record_failing") is None:
+        while program.log("address_record_write_failed") is None:
             await cluster.kill(other)
             await cluster.start(other)
             await cluster.wait_until_voting()
@@ -304,7 +307,7 @@
     await cluster.wait_until_answered()
     assert cluster.holder == holder and record.read_text() == before
     beside.unlink()
-    await until(lambda: program.log("address_record_kept") is not None)
+    await until(lambda: program.log("address_record_write_recovered") is not None)
     assert record.read_text() != before and not cluster.status(holder)["record_failing"]
 
 
