--- a/lockspoke/address/candidate.py
+++ b/lockspoke/address/candidate.py
@@ -229,6 +229,10 @@
         wait = min(message.duration, self.config.voter_lease) + self._candidacy_delay()
         self.candidacy_at = max(self.candidacy_at, now + wait)
 
+    def _on_term_taken(self, message: ElectionMessage) -> None:
+        if self.vote_round is not None and message.serial == self.vote_round.serial:
+            self.term_is_taken = True
+
     def _give_up(self, now: int, reason: str, release: bool) -> None:
         """End the lease or the candidacy."""
         if self.role is ElectionRole.HOLDER:
--- a/lockspoke/address/channel.py
+++ b/lockspoke/address/channel.py
@@ -114,8 +114,8 @@
         if datagram.sender_epoch < peer.epoch:
             raise DatagramError("old_epoch")  # from before the latest start of the sender
         if datagram.receiver_epoch != self.epoch:
-            # The sender does not know this process yet, or the datagram was recorded before. The HELLO repeats
-            # the epoch of its sender, which proves that the HELLO is not a recorded one.
+            # The sender does not know this process yet, or the datagram is a recorded one. The HELLO names
+            # the epoch of its receiver, which proves that the HELLO itself is not a recorded one.
             return Received(sender, reply=self._seal(sender, datagram.sender_epoch, None))
         if not peer.accept(datagram.sender_epoch, datagram.sequence):
             raise DatagramError("repeated")
--- a/lockspoke/address/election.py
+++ b/lockspoke/address/election.py
@@ -9,10 +9,10 @@
 matter), and a holder respects its deadline (see `listener`). No disk is needed: a member that restarts has
 forgotten its votes, so it stays silent until the longest of them has expired.
 
-The algorithm is PaxosLease (Trencseni, Gazso, Reinhardt, 2009). Its prepare phase is replaced by a non-binding
-pre-vote as in Raft (Ongaro, 2014, 9.6), so that a member that can't win does not disrupt the others. A planned
-transfer is like Raft's leadership transfer (3.10), but the successor also receives the rest of the lease: it
-became ready at a moment of its own clock, and the lease was transferred after that moment.
+The algorithm is PaxosLease (Trencseni, Gazso, Reinhardt, 2009). Its prepare phase is replaced by a pre-vote
+that is not binding, as in Raft (Ongaro, 2014, 9.6), so that a member that can't win does not disrupt the
+others. A planned transfer is like Raft's leadership transfer (3.10), but the successor also receives the rest
+of the lease: it became ready at a moment of its own clock, and the lease was transferred after that moment.
 """
 
 from __future__ import annotations
@@ -167,20 +167,23 @@
                 if self.voter.accept_request(sender, message.serial):
                     self._confirm_transfer(sender)
                     self._on_vote_request(sender, message, now)
-            case MessageKind.RELEASE:
-                self._on_release(sender, message, now)
             case MessageKind.PREVOTE_GRANTED | MessageKind.VOTE_GRANTED:
                 self._on_vote(sender, message, now)
             case MessageKind.VOTE_DENIED:
                 self._on_denied(message, now)
             case MessageKind.TERM_TAKEN:
-                if self.vote_round is not None and message.serial == self.vote_round.serial:
-                    self.term_is_taken = True
+                self._on_term_taken(message)
+            case MessageKind.RELEASE:
+                self._on_release(sender, message, now)
+            case _:
+                self._dispatch_transfer(sender, message, now)
+
+    def _dispatch_transfer(self, sender: str, message: ElectionMessage, now: int) -> None:
+        match message.kind:
+            case MessageKind.TRANSFER_PREPARE if self.role is ElectionRole.HOLDER:
+                self._on_successor_ready(sender, message, now)
             case MessageKind.TRANSFER_PREPARE:
-                if self.role is ElectionRole.HOLDER:
-                    self._on_successor_ready(sender, message, now)
-                else:
-                    self._on_transfer_prepare(sender, message, now)
+                self._on_transfer_prepare(sender, message, now)
             case MessageKind.TRANSFER_LEASE:
                 self._on_transfer_lease(sender, message, now)
             case MessageKind.PREEMPT_REQUEST:
@@ -326,7 +329,7 @@
         self._start_round(MessageKind.VOTE_REQUEST, now)
 
     def _usable_lease(self, left: int) -> int:
-        """How much of a transferred lease is usable, if the former holder's clock is fast and this one slow."""
+        """How much of a transferred lease is usable if the sender's clock is fast and this one slow."""
         drift = self.config.max_clock_drift
         return int(min(left, self.config.holder_lease) * (1.0 - drift) / (1.0 + drift))
 
--- a/lockspoke/address/frames.py
+++ b/lockspoke/address/frames.py
@@ -1,7 +1,7 @@
-"""What tells a network that an address has moved: VRRPv3 advertisements and gratuitous ARP, as bytes.
+"""Codecs of the messages that announce a moved address: VRRPv3 advertisements and gratuitous ARP.
 
-Codecs only: to send them needs privileges, which the program neither has nor wants. They are for an
-operator's tool that is given the token and the address, and for reading what such tools send.
+Sending them needs privileges that the program does not have. The codecs are for an operator's tool that gets
+the token and the address, and for decoding what such tools send.
 """
 
 from __future__ import annotations
@@ -14,14 +14,16 @@
 VRRP_PROTOCOL = 112  # of the IP header
 VRRP_GROUPS = {4: ipaddress.ip_address("224.0.0.18"), 6: ipaddress.ip_address("ff02::12")}
 _VRRP = struct.Struct("!BBBBHH")
+_VERSION_AND_TYPE = 3 << 4 | 1  # version 3, an advertisement
 _ETHERNET = struct.Struct("!6s6sH")
 _ARP = struct.Struct("!HHBBH6s4s6s4s")
 BROADCAST = b"\xff" * 6
 _ARP_TYPE, _REQUEST, _REPLY = 0x0806, 1, 2
+_MIN_ETHERNET_FRAME = 60  # bytes
 
 
 class FrameError(ValueError):
-    """Bytes that are no such message; the text says why."""
+    """A message that can't be encoded or decoded; the text says why."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +40,7 @@
     addresses: tuple[IPAddress, ...]
 
     def __post_init__(self) -> None:
-        """Check what the fields can hold."""
+        """Raise FrameError for values that the format can't hold."""
         if not 1 <= self.router <= 255 or not 0 <= self.priority <= 255 or not 1 <= self.interval <= 4095:
             raise FrameError("router, priority or interval is out of its range")
         if not 1 <= len(self.addresses) <= 255 or len({one.version for one in self.addresses}) != 1:
@@ -55,7 +57,7 @@
     return ~total & 0xFFFF
 
 
-def _pseudo(source: IPAddress, target: IPAddress, length: int) -> bytes:
+def _pseudo_header(source: IPAddress, target: IPAddress, length: int) -> bytes:
     """The pseudo-header that VRRPv3's checksum covers for both versions (RFC 5798, 5.2.8)."""
     if source.version == 4:
         return source.packed + target.packed + struct.pack("!BBH", 0, VRRP_PROTOCOL, length)
@@ -63,54 +65,68 @@
 
 
 def encode_vrrp(advertisement: Advertisement, source: IPAddress) -> bytes:
-    """The payload of an IP packet from `source` to the VRRP group of its version."""
+    """Encode the payload of an IP packet from `source` to the VRRP group of its IP version."""
     if source.version != advertisement.addresses[0].version:
         raise FrameError("source and addresses are of two versions")
-    rest = b"".join(address.packed for address in advertisement.addresses)
+    addresses = b"".join(address.packed for address in advertisement.addresses)
     head = [
-        3 << 4 | 1,
+        _VERSION_AND_TYPE,
         advertisement.router,
         advertisement.priority,
         len(advertisement.addresses),
         advertisement.interval,
     ]
-    data = _VRRP.pack(*head, 0) + rest
-    total = checksum(_pseudo(source, VRRP_GROUPS[source.version], len(data)) + data)
-    return _VRRP.pack(*head, total) + rest
+    data = _VRRP.pack(*head, 0) + addresses
+    total = checksum(_pseudo_header(source, VRRP_GROUPS[source.version], len(data)) + data)
+    return _VRRP.pack(*head, total) + addresses
 
 
 def decode_vrrp(data: bytes, source: IPAddress, target: IPAddress) -> Advertisement:
-    """Read a payload that came from `source` to `target`. Raises FrameError."""
+    """Decode a payload sent from `source` to `target`; raises FrameError."""
     if len(data) < _VRRP.size:
         raise FrameError("too short for VRRP")
     kind, router, priority, count, interval, _ = _VRRP.unpack_from(data)
-    if kind != 3 << 4 | 1:
+    if kind != _VERSION_AND_TYPE:
         raise FrameError(f"version {kind >> 4}, type {kind & 15}: want 3 and 1")
     size = 4 if source.version == 4 else 16
     if len(data) != _VRRP.size + count * size:
         raise FrameError(f"{len(data)} bytes do not hold {count} addresses")
-    if checksum(_pseudo(source, target, len(data)) + data):
+    if checksum(_pseudo_header(source, target, len(data)) + data):
         raise FrameError("its checksum does not hold")
     parts = [data[at : at + size] for at in range(_VRRP.size, len(data), size)]
     return Advertisement(router, priority, interval & 0x0FFF, tuple(map(ipaddress.ip_address, parts)))
 
 
 def encode_gratuitous_arp(address: ipaddress.IPv4Address, hardware: bytes, reply: bool = False) -> bytes:
-    """An Ethernet frame that says that `address` is now at `hardware` (RFC 5227, 3: an ARP announcement).
+    """Encode an Ethernet frame that announces `address` at a hardware address (RFC 5227, 3).
 
-    `hardware` is 6 bytes. As a request by default, which all hosts take up; some want the reply form.
+    Args:
+        address: The address.
+        hardware: The hardware address, 6 bytes.
+        reply: Whether to use the reply form, which some hosts need, instead of the request form.
+
+    Raises:
+        FrameError: `hardware` is not 6 bytes.
     """
     if len(hardware) != 6:
         raise FrameError(f"a hardware address of {len(hardware)} bytes, want 6")
-    aim = hardware if reply else bytes(6)
+    target_hardware = hardware if reply else bytes(6)
     arp = _ARP.pack(
-        1, 0x0800, 6, 4, _REPLY if reply else _REQUEST, hardware, address.packed, aim, address.packed
+        1,
+        0x0800,
+        6,
+        4,
+        _REPLY if reply else _REQUEST,
+        hardware,
+        address.packed,
+        target_hardware,
+        address.packed,
     )
-    return (_ETHERNET.pack(BROADCAST, hardware, _ARP_TYPE) + arp).ljust(60, b"\0")
+    return (_ETHERNET.pack(BROADCAST, hardware, _ARP_TYPE) + arp).ljust(_MIN_ETHERNET_FRAME, b"\0")
 
 
 def decode_gratuitous_arp(frame: bytes) -> tuple[ipaddress.IPv4Address, bytes]:
-    """The address that a frame announces and where it is. Raises FrameError for any other frame."""
+    """Decode an announcement into the address and its hardware address; raises FrameError."""
     if len(frame) < _ETHERNET.size + _ARP.size:
         raise FrameError("too short for ARP")
     _, sender, kind = _ETHERNET.unpack_from(frame)
--- a/lockspoke/address/health.py
+++ b/lockspoke/address/health.py
@@ -1,9 +1,9 @@
 """Whether an instance is healthy enough to hold the address, with flap damping.
 
-An instance that keeps failing must not keep taking the address back. Each time that it loses the address since
-it is unhealthy adds a penalty, which decays by half in each half-life as in route flap damping (RFC 2439).
-Above one threshold the instance is suppressed until the penalty has decayed below a lower threshold. So it
-comes back late after many failures and soon after one.
+An instance that keeps failing must not keep taking the address back. Each loss of the address for reasons of
+health adds a penalty, which decays by half in each half-life as in route flap damping (RFC 2439). Above one
+threshold the instance is suppressed until the penalty has decayed below a lower threshold. So it comes back
+late after many failures and soon after one.
 
 Times are in nanoseconds and passed in by the caller; shares are from 0 to 1.
 """
--- a/lockspoke/address/listener.py
+++ b/lockspoke/address/listener.py
@@ -17,8 +17,8 @@
 
     A process that was paused beyond its lease finds connections in its backlog that came before or after the
     end of the lease, and can't tell them apart. So the clock is read after each accept and before the
-    connection is used: after the lease it is closed unread, and its client retries at the new holder. Requests
-    that the holder forwarded before the pause can only be rejected by their fencing token.
+    connection is used: after the lease it is closed unread, and its client retries at the new holder.
+    Requests that were forwarded before the pause can only be rejected by their fencing token.
     """
 
     def __init__(
--- a/lockspoke/address/member.py
+++ b/lockspoke/address/member.py
@@ -86,7 +86,7 @@
         if self._control is not None:
             await self._control.start()
         if self.settings.metrics:
-            from .metrics import serve
+            from .metrics import serve  # noqa: PLC0415 - prometheus_client takes memory
 
             self._stop_metrics = serve(parse_endpoint(self.settings.metrics), self.status)
         host, port = self.node.peer_addresses[self.name]
@@ -125,7 +125,7 @@
         """Check new settings; returns the function that puts them in force.
 
         Raises:
-            ValueError: A setting is wrong or can't change while the program runs; the text begins with its key.
+            ValueError: A setting is wrong or can't change while running; the text begins with its key.
         """
         for key in FIXED_KEYS:
             if getattr(settings, key) != getattr(self.settings, key):
@@ -157,7 +157,7 @@
         self.node.start_leaving()
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
-        while not self.node.has_left and loop.time() < deadline:
+        while not self.node.has_left and loop.time() < deadline:  # noqa: ASYNC110 - the election has no events
             await asyncio.sleep(LEAVE_POLL_INTERVAL)
 
     def stop(self) -> None:
--- a/lockspoke/address/node.py
+++ b/lockspoke/address/node.py
@@ -30,7 +30,7 @@
 class Node:
     """One member on its UDP port. `on_lease_change` gets each lease action and the time on its clock."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - the keyword arguments are optional
         self,
         name: str,
         peer_addresses: Mapping[str, HostPort],
@@ -43,7 +43,7 @@
         priority: int = 100,
         preempt_after: int | None = None,
         first_term: int = 0,
-        on_lease_change: Callable[[HoldLease | LoseLease, int], None] = lambda action, now: None,
+        on_lease_change: Callable[[HoldLease | LoseLease, int], None] = lambda _action, _now: None,
     ) -> None:
         self.name, self.peer_addresses = name, dict(peer_addresses)
         self.announcer, self.clock = announcer, clock
--- a/lockspoke/address/settings.py
+++ b/lockspoke/address/settings.py
@@ -12,8 +12,10 @@
 from .datagram import MAX_NAME_BYTES
 from .election_config import ElectionConfig
 from .health import HealthLimits
+from .peer_socket import HostPort
+
+MAX_KEYS = 2  # both are valid while the key is changed
 
-HostPort = tuple[str, int]
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
 Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=86400.0)]
 
@@ -96,6 +98,19 @@
 
     def __post_init__(self) -> None:
         """Raise ValueError for what the types do not exclude."""
+        self._check_endpoints()
+        if not self.service:
+            raise ValueError("service is empty, want host:port")
+        if not 1 <= len(self.keys) <= MAX_KEYS:
+            raise ValueError(f"keys names {len(self.keys)} files, want one, or two while they are changed")
+        self._check_announcer()
+        if not math.isfinite(self.take_back) or self.take_back < 0:
+            raise ValueError("take_back is below 0")
+        if len(set(self.members.values())) != len(self.members):
+            raise ValueError("members has one host:port twice")
+        self.election_config()
+
+    def _check_endpoints(self) -> None:
         for name, text in self.members.items():
             if not name or len(name.encode()) > MAX_NAME_BYTES:
                 raise ValueError(f"members has the name {name!r}; want 1 to {MAX_NAME_BYTES} bytes")
@@ -103,19 +118,12 @@
         for key in ("service", "listen", "metrics", "bind"):
             if getattr(self, key):
                 self._check_endpoint(key, getattr(self, key))
-        if not self.service:
-            raise ValueError("service is empty, want host:port")
-        if not 1 <= len(self.keys) <= 2:
-            raise ValueError(f"keys names {len(self.keys)} files, want one, or two while they are changed")
+
+    def _check_announcer(self) -> None:
         if self.announce == "command" and not self.command:
             raise ValueError("command is empty, want a program and its arguments")
         if self.announce == "listen" and self.command:
             raise ValueError('announce is "listen", so the command is never run; want "command"')
-        if not math.isfinite(self.take_back) or self.take_back < 0:
-            raise ValueError("take_back is below 0")
-        if len(set(self.members.values())) != len(self.members):
-            raise ValueError("members has one host:port twice")
-        self.election_config()
 
     def _check_endpoint(self, key: str, text: str) -> None:
         try:
--- a/lockspoke/address/term_record.py
+++ b/lockspoke/address/term_record.py
@@ -58,8 +58,8 @@
             )
         if self.generation < recorded_generation:
             raise RecordError(
-                f"generation is {self.generation}, but {self.path} says that {recorded_generation} has run here;"
-                " take the later list of members"
+                f"generation is {self.generation}, but {self.path} says that {recorded_generation}"
+                " has run here; take the later list of members"
             )
         if self.generation > recorded_generation + 1:
             raise RecordError(
--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -7,13 +7,14 @@
 import secrets
 import signal
 import sys
+from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 import click
+import structlog
 from rich.table import Table
 
-from lockspoke.address.control import send_command
+from lockspoke.address.control import JsonObject, send_command
 from lockspoke.address.health import HealthMetrics
 from lockspoke.address.member import Member
 from lockspoke.address.settings import AddressSettings
@@ -23,7 +24,19 @@
 
 from .reading import console
 
-HEALTH_INTERVAL = 0.1  # seconds between two looks of a witness
+HEALTH_INTERVAL = 0.1  # seconds between two health updates of a witness
+
+# A witness serves no requests, so it is always healthy.
+WITNESS_METRICS = HealthMetrics(
+    ready_replicas=sys.maxsize,
+    loop_lag=0.0,
+    failure_share=0.0,
+    requests=0,
+    descriptor_share=0.0,
+    memory_share=0.0,
+)
+
+log = structlog.get_logger()
 
 
 @click.group()
@@ -41,7 +54,7 @@
     return found[0]  # type: ignore[no-any-return]
 
 
-def _send_command(edge: Path | None, control: Path | None, command: dict[str, Any]) -> dict[str, Any]:
+def _send_command(edge: Path | None, control: Path | None, command: JsonObject) -> JsonObject:
     if control is None:
         if edge is None:
             raise click.UsageError("name --edge or --control")
@@ -75,48 +88,54 @@
       lockspoke address status --edge deploy/edge.toml
     """
     found = _send_command(edge, control, {"do": "status"})
-    code = 0 if found["holder"] else 1
     if as_json:
         click.echo(json.dumps(found, indent=2))
-        return code
+    else:
+        _print_status(found)
+    return 0 if found["holder"] else 1
+
+
+def _print_status(status: JsonObject) -> None:
     table = Table.grid(padding=(0, 2))
-    health = found["health"]
-    rows: list[tuple[str, object]] = [
-        ("instance", f"{found['name']} ({found['role']}, for {found['since_ms'] / 1000:.0f} s)"),
-        ("holder", found["holder"] or "nobody that it knows of"),
-        ("token", found["token"]),
-        ("term", found["term"]),
-        ("lease left", f"{found['lease_left_ms']} ms" if found["lease_left_ms"] is not None else None),
-        ("votes", ", ".join(found["votes"])),
-        ("why not here", "; ".join(found["why_not"])),
-        ("fit", f"{'yes' if health['fit'] else 'no'}, penalty {health['penalty']:g}"),
-        ("members", ", ".join(found["members"])),
-        ("witnesses", ", ".join(found["witnesses"])),
-        ("survives", found["survives"]),
-        ("generation", f"{found['generation']}, {'settled' if found['settled'] else 'not settled yet'}"),
-        *(("mismatch", f"{name} {why}") for name, why in found["mismatches"].items()),
-        ("record", found["record_failing"]),
-        ("refused", ", ".join(f"{count} {reason}" for reason, count in found["refused"].items())),
-    ]
-    for name, value in rows:
+    for name, value in _status_rows(status):
         if value not in (None, ""):
             table.add_row(name, str(value))
     console().print(table)
-    return code
+
+
+def _status_rows(status: JsonObject) -> list[tuple[str, object]]:
+    health, lease_left_ms = status["health"], status["lease_left_ms"]
+    return [
+        ("instance", f"{status['name']} ({status['role']}, for {status['since_ms'] / 1000:.0f} s)"),
+        ("holder", status["holder"] or "nobody that it knows of"),
+        ("token", status["token"]),
+        ("term", status["term"]),
+        ("lease left", f"{lease_left_ms} ms" if lease_left_ms is not None else None),
+        ("votes", ", ".join(status["votes"])),
+        ("why not here", "; ".join(status["why_not"])),
+        ("fit", f"{'yes' if health['fit'] else 'no'}, penalty {health['penalty']:g}"),
+        ("members", ", ".join(status["members"])),
+        ("witnesses", ", ".join(status["witnesses"])),
+        ("survives", status["survives"]),
+        ("generation", f"{status['generation']}, {'settled' if status['settled'] else 'not settled yet'}"),
+        *(("mismatch", f"{name} {reason}") for name, reason in status["mismatches"].items()),
+        ("record", status["record_failing"]),
+        ("refused", ", ".join(f"{count} {reason}" for reason, count in status["refused"].items())),
+    ]
 
 
 @address.command()
 @_edge_option
 @_control_option
-@click.option("--to", "heir", required=True, help="the member that is to have it")
-def move(edge: Path | None, control: Path | None, heir: str) -> None:
+@click.option("--to", "successor", required=True, help="the member that is to have it")
+def move(edge: Path | None, control: Path | None, successor: str) -> None:
     """Hand the address from this instance, which holds it, to another that is ready.
 
     \b
     Example:
       lockspoke address move --to gw2 --edge deploy/edge.toml
     """
-    click.echo(_send_command(edge, control, {"do": "move", "to": heir})["done"])
+    click.echo(_send_command(edge, control, {"do": "move", "to": successor})["done"])
 
 
 @address.command("hold-down")
@@ -146,9 +165,9 @@
 
 
 class _WitnessAnnouncer:
-    """A witness announces nothing, for it never holds."""
+    """A witness never holds the address, so it has nothing to announce."""
 
-    def claim(self, token: int, until: Any) -> None:
+    def claim(self, token: int, lease_until: Callable[[], int]) -> None:
         """Never called."""
 
     def withdraw(self, reason: str) -> None:
@@ -182,9 +201,7 @@
 
 
 async def _run_witness(member: Member, edge: Path) -> None:
-    import structlog
-
-    log, stop, loop = structlog.get_logger(), asyncio.Event(), asyncio.get_running_loop()
+    stop, loop = asyncio.Event(), asyncio.get_running_loop()
 
     def reload() -> None:
         try:
@@ -197,7 +214,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     await member.start()
     while not stop.is_set():
-        member.update_health(HealthMetrics(sys.maxsize, 0.0, 0.0, 0, 0.0, 0.0))
+        member.update_health(WITNESS_METRICS)
         member.save_record()
         try:
             async with asyncio.timeout(HEALTH_INTERVAL):
