--- /dev/null
+++ b/tests/address/test_command_announcer.py
@@ -0,0 +1,63 @@
+"""The announcer that runs an operator's command, and its limits."""
+
+from __future__ import annotations
+
+import asyncio
+import sys
+from pathlib import Path
+
+import pytest
+
+from lockspoke.address.command_announcer import CommandAnnouncer
+
+
+def announcer(tmp_path: Path, body: str, limit: float = 20.0) -> tuple[CommandAnnouncer, Path]:
+    log, script = tmp_path / "log", tmp_path / "move.py"
+    script.write_text(f"import os, sys, time\nlog = open({str(log)!r}, 'a')\n{body}\n")
+    return CommandAnnouncer([sys.executable, str(script)], "10.0.0.9:80", limit, lambda: 0), log
+
+
+LOG_INVOCATION = (
+    "log.write(f\"{sys.argv[1]} {os.environ['LOCKSPOKE_TOKEN']} {os.environ['LOCKSPOKE_LEASE_MS']}\\n\")"
+)
+
+
+def test_command_gets_token_lease_and_actions_in_order(tmp_path: Path) -> None:
+    async def play() -> None:
+        made, log = announcer(tmp_path, LOG_INVOCATION)
+        made.claim(7, lambda: 400_000_000)
+        await made.wait_idle()
+        made.withdraw("it stops")
+        await made.wait_idle()
+        made.claim(9, lambda: 0)  # its lease is over before the command could run
+        await made.wait_idle()
+        assert log.read_text().splitlines() == ["claim 7 400", "withdraw 7 400"] and not made.failures
+
+    asyncio.run(play())
+
+
+def test_hanging_command_is_killed_and_the_latest_action_wins(tmp_path: Path) -> None:
+    async def play() -> None:
+        made, log = announcer(
+            tmp_path, f"{LOG_INVOCATION}\nlog.flush()\nsys.argv[1] == 'claim' and time.sleep(600)", limit=1.0
+        )
+        made.claim(7, lambda: 10**12)
+        made.withdraw("sick")
+        made.claim(8, lambda: 10**12)
+        made.withdraw("sick again")
+        await made.wait_idle()
+        assert [line.split()[0] for line in log.read_text().splitlines()] in (
+            ["withdraw"],
+            ["claim", "withdraw"],
+        )
+        made.claim(9, lambda: 10**12)
+        await made.wait_idle()
+        assert made.failures >= 1
+        gone = CommandAnnouncer([str(tmp_path / "nothing")], "a", 1.0, lambda: 0)
+        gone.withdraw("it stops")
+        await gone.wait_idle()
+        assert gone.failures == 1
+
+    asyncio.run(play())
+    with pytest.raises(ValueError):
+        CommandAnnouncer([], "a", 1.0, lambda: 0)
--- a/tests/address/test_election.py
+++ b/tests/address/test_election.py
@@ -1,129 +1,28 @@
-"""The election in virtual time: lost, late and repeated messages, cuts, kills, clocks that drift."""
+"""The election: one holder at a time, transfers, and votes."""
 
 from __future__ import annotations
 
-import heapq
-from collections.abc import Callable
 from dataclasses import replace
-from random import Random
 
 import pytest
 
-from lockspoke.address.actions import Action, HoldLease, LoseLease, SendMessage
+from lockspoke.address.actions import SendMessage
 from lockspoke.address.election import Election
 from lockspoke.address.election_config import ElectionConfig
 from lockspoke.address.messages import ElectionMessage, MessageKind
 from lockspoke.address.role import ElectionRole
-
-MS = 1_000_000
-THREE_MEMBERS = ElectionConfig(("a", "b", "c"))
-
-
-class SimulatedNetwork:
-    """Members on a network, each with a clock of its own rate; no moment may have two holders."""
-
-    def __init__(
-        self, config: ElectionConfig, seed: int, loss: float = 0.0, delay: tuple[int, int] = (1 * MS, 4 * MS)
-    ) -> None:
-        self.config, self.random, self.loss, self.delay = config, Random(seed), loss, delay
-        self.now = 0
-        self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.count = 0
-        self.members: dict[str, Election] = {}
-        self.clocks = {
-            name: (
-                self.random.randrange(10**12),
-                1 + self.random.uniform(-config.max_clock_drift, config.max_clock_drift),
-            )
-            for name in config.members
-        }
-        self.lease_ends: dict[str, int] = {}  # by holder, when its lease ends in true time
-        self.tokens: list[tuple[int, str]] = []
-        self.acquisitions: list[tuple[int, str]] = []
-        self.cuts: set[frozenset[str]] = set()
-        self.wall_clock = 1_000
-        for name in config.members:
-            self.start(name)
-
-    def clock(self, name: str) -> int:
-        offset, rate = self.clocks[name]
-        return offset + int(self.now * rate)
-
-    def call_at(self, time: int, call: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.queue, (time, self.count, call))
-
-    def start(self, name: str) -> None:
-        self.wall_clock += 1_000_000  # the wall clock at a start: far past any term of before
-        made = Election(
-            name, self.config, self.clock(name), first_term=self.wall_clock, random=self.random.random
-        )
-        made.set_health(True, self.clock(name))
-        self.members[name] = made
-        self.tick(name, made)
-
-    def tick(self, name: str, made: Election) -> None:
-        if self.members.get(name) is made:
-            self.execute(name, made.tick(self.clock(name)))
-            self.call_at(self.now + self.random.randrange(2, 15) * MS, lambda: self.tick(name, made))
-
-    def kill(self, name: str) -> None:
-        self.members.pop(name, None)
-        self.lease_ends.pop(name, None)
-
-    def execute(self, name: str, actions: list[Action]) -> None:
-        for action in actions:
-            if isinstance(action, HoldLease):
-                offset, rate = self.clocks[name]
-                end = int((action.until - offset) / rate)
-                others = {
-                    other: at for other, at in self.lease_ends.items() if other != name and at > self.now
-                }
-                assert not others, f"{name} and {others} hold at {self.now}"
-                if not self.tokens or self.tokens[-1] != (action.token, name):
-                    assert not self.tokens or action.token > self.tokens[-1][0]
-                    if self.lease_ends.get(name, 0) <= self.now:
-                        self.acquisitions.append((self.now, name))
-                    self.tokens.append((action.token, name))
-                self.lease_ends[name] = end
-            elif isinstance(action, LoseLease):
-                self.lease_ends.pop(name, None)
-            elif self.random.random() >= self.loss:
-                for _ in range(1 + (self.random.random() < self.loss)):
-                    when = self.now + self.random.randrange(*self.delay)
-                    self.call_at(when, lambda action=action: self.deliver(name, action))  # type: ignore[misc]
-
-    def deliver(self, sender: str, action: SendMessage) -> None:
-        made = self.members.get(action.to)
-        if made is not None and frozenset((sender, action.to)) not in self.cuts:
-            self.execute(action.to, made.receive(sender, action.message, self.clock(action.to)))
-
-    def run(self, span: int) -> None:
-        end = self.now + span
-        while self.queue and self.queue[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.queue)
-            call()
-        self.now = end
-
-    @property
-    def holder(self) -> str | None:
-        return next((name for name, at in self.lease_ends.items() if at > self.now), None)
-
-    def cut(self, *names: str) -> None:
-        self.cuts = {
-            frozenset((one, other)) for one in names for other in self.config.members if other not in names
-        }
+from tests.address.network import MS, THREE_MEMBERS, SimulatedNetwork
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 5, 7])
-def test_one_holds_and_goes_on_holding(size: int) -> None:
+def test_one_member_acquires_the_lease_and_keeps_it(size: int) -> None:
     world = SimulatedNetwork(ElectionConfig(tuple("abcdefg"[:size])), seed=size)
     world.run(10_000 * MS)
     assert world.holder is not None and len(world.acquisitions) == 1
     assert world.acquisitions[0][0] < 1_000 * MS  # after the silence of a start
 
 
-def test_the_address_moves_within_a_second_when_its_holder_dies() -> None:
+def test_address_moves_within_a_second_after_its_holder_crashes() -> None:
     for seed in range(60):
         world = SimulatedNetwork(THREE_MEMBERS, seed)
         world.run(2_000 * MS)
@@ -134,7 +33,7 @@
         assert world.holder not in (None, dead) and world.acquisitions[-1][0] - died < 1_000 * MS
 
 
-def test_cut_off_from_the_rest_it_lets_go_before_another_holds() -> None:
+def test_partitioned_holder_gives_up_before_another_member_holds() -> None:
     for seed in range(40):
         world = SimulatedNetwork(THREE_MEMBERS, seed)
         world.run(2_000 * MS)
@@ -149,7 +48,7 @@
         assert world.holder == second  # who comes back takes nothing back
 
 
-def test_a_minority_holds_nothing_and_a_witness_never_does() -> None:
+def test_minority_and_witness_never_hold() -> None:
     world = SimulatedNetwork(ElectionConfig(("a", "b", "c"), witnesses=frozenset("c")), seed=1)
     world.run(2_000 * MS)
     assert world.holder in ("a", "b")
@@ -165,7 +64,7 @@
     )
 
 
-def test_a_sick_holder_lets_go_at_once_and_does_not_stand_until_well() -> None:
+def test_unhealthy_holder_releases_at_once_and_stands_again_only_when_healthy() -> None:
     world = SimulatedNetwork(THREE_MEMBERS, seed=3)
     world.run(2_000 * MS)
     sick, at = world.holder, world.now
@@ -179,7 +78,7 @@
     assert world.holder not in (None, sick)
 
 
-def test_a_planned_move_goes_to_its_heir_without_waiting_for_the_lease() -> None:
+def test_planned_move_reaches_its_successor_before_the_lease_ends() -> None:
     for seed in range(30):
         world = SimulatedNetwork(THREE_MEMBERS, seed)
         world.run(2_000 * MS)
@@ -194,7 +93,7 @@
             world.members[old].move(heir, world.clock(old))
 
 
-def test_a_voter_that_starts_anew_grants_nothing_until_what_it_forgot_has_run_out() -> None:
+def test_restarted_voter_is_silent_until_forgotten_votes_have_expired() -> None:
     made = Election("a", THREE_MEMBERS, 0)
     claim = ElectionMessage(
         MessageKind.VOTE_REQUEST,
@@ -228,7 +127,7 @@
     assert not made.receive("x", claim, THREE_MEMBERS.voter_lease + 2)
 
 
-def test_a_voter_that_has_granted_the_same_term_to_itself_is_won_back() -> None:
+def test_voter_that_voted_for_itself_in_the_same_term_joins_the_winner() -> None:
     """Two that claimed at one moment, by the same term: the one that lost must not stay outside."""
     for seed in range(26, 30):
         world = SimulatedNetwork(THREE_MEMBERS, seed)
@@ -239,7 +138,7 @@
         assert all(made.voter.voted_for == holder for made in world.members.values())
 
 
-def test_terms_that_would_be_unsafe_are_refused() -> None:
+def test_unsafe_configurations_are_rejected() -> None:
     for wrong in (
         {"members": ()},
         {"members": ("a", "a")},
@@ -249,3 +148,17 @@
     ):
         with pytest.raises(ValueError):
             ElectionConfig(**({"members": ("a", "b", "c")} | wrong))  # type: ignore[arg-type]
+
+
+def test_preferred_member_preempts_the_holder_after_being_healthy_for_long() -> None:
+    world = SimulatedNetwork(THREE_MEMBERS, seed=4)
+    world.run(2_000 * MS)
+    first = world.holder or ""
+    other = next(name for name in THREE_MEMBERS.members if name != first)
+    made = world.members[other]
+    made.preempt_after = 3_000 * MS
+    world.run(4_000 * MS)
+    assert world.holder == first  # of the same priority
+    made.priority = 200
+    world.run(1_000 * MS)
+    assert world.holder == other
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -47,7 +47,7 @@
 
 
 @with_cluster()
-async def test_killed_or_cut_off_in_either_direction_another_answers(cluster: Cluster) -> None:
+async def test_another_member_answers_after_a_crash_or_partition(cluster: Cluster) -> None:
     for round_ in range(4):
         await cluster.wait_until_voting()
         holder = cluster.holder or ""
@@ -75,7 +75,7 @@
 
 
 @with_cluster()
-async def test_sigterm_and_the_command_hand_the_address_over(cluster: Cluster) -> None:
+async def test_sigterm_and_the_move_command_transfer_the_address(cluster: Cluster) -> None:
     await cluster.wait_until_voting()
     holder = cluster.holder or ""
     heir = next(name for name in cluster.names if name != holder)
@@ -96,7 +96,7 @@
 
 
 @with_cluster()
-async def test_a_client_mid_stream_when_the_address_moves_has_its_answer_whole(cluster: Cluster) -> None:
+async def test_stream_completes_while_the_address_moves(cluster: Cluster) -> None:
     await cluster.wait_until_voting()
     release = asyncio.Event()
 
@@ -122,7 +122,7 @@
 
 
 @with_cluster(gateway={"familyInfo": {"resume": True}})
-async def test_what_stays_open_for_too_long_after_a_move_is_handed_over(cluster: Cluster) -> None:
+async def test_stream_open_for_too_long_after_a_move_is_handed_off(cluster: Cluster) -> None:
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(HEAD + chunk(EVENTS[0]))
         with contextlib.suppress(ConnectionError):
@@ -144,7 +144,7 @@
 
 
 @with_cluster()
-async def test_a_key_is_changed_under_way_and_a_split_list_or_key_is_told(cluster: Cluster) -> None:
+async def test_keys_rotate_at_runtime_and_unreadable_keys_are_reported(cluster: Cluster) -> None:
     await cluster.wait_until_voting()
     holder, old = cluster.holder, str(cluster.key)
     new = cluster.folder / "new"
@@ -212,7 +212,7 @@
 
 
 @with_cluster(health=DAMPED)
-async def test_a_sick_instance_that_keeps_coming_back_is_held_down(cluster: Cluster) -> None:
+async def test_flapping_instance_is_suppressed(cluster: Cluster) -> None:
     await cluster.wait_until_voting()
     sick = cluster.holder or ""
     program = cluster.programs[sick]
@@ -234,7 +234,7 @@
     await cluster.wait_until_answered()
 
 
-def test_paused_past_its_lease_a_holder_serves_nobody_by_its_old_claim(tmp_path: Path) -> None:
+def test_holder_paused_beyond_its_lease_serves_no_request(tmp_path: Path) -> None:
     """Each listens at a port of its own; the operator's command tells a switch where the address is now."""
     route, script = tmp_path / "route", tmp_path / "claim.py"
     script.write_text(
@@ -286,7 +286,7 @@
 
 
 @with_cluster(record="own folder")
-async def test_a_holder_whose_disk_is_full_holds_on_and_says_so(cluster: Cluster) -> None:
+async def test_holder_with_a_full_disk_keeps_the_lease_and_reports_the_error(cluster: Cluster) -> None:
     await cluster.wait_until_voting()
     holder = cluster.holder or ""
     program, record = cluster.programs[holder], cluster.folder / holder / "address.json"
@@ -311,7 +311,7 @@
     assert record.read_text() != before and not cluster.status(holder)["record_failing"]
 
 
-def test_a_witness_votes_and_the_settings_are_checked(tmp_path: Path) -> None:
+def test_witness_votes_and_settings_are_checked(tmp_path: Path) -> None:
     async def play() -> None:
         metrics = free_port()
         async with Cluster(("a", "b", "w"), witnesses=["w"]) as cluster:
--- a/tests/address/test_health.py
+++ b/tests/address/test_health.py
@@ -31,7 +31,7 @@
         {"memory_share": 0.99},
     ],
 )
-def test_each_sign_makes_it_unfit_once_it_lasts(sick: dict[str, float]) -> None:
+def test_each_exceeded_limit_makes_the_instance_unhealthy_after_a_while(sick: dict[str, float]) -> None:
     health, bad = healthy_tracker(), replace(HEALTHY, **sick)  # type: ignore[arg-type]
     assert health.update(bad, 3 * SECOND)  # for a moment
     assert health.update(HEALTHY, 3 * SECOND + 200_000_000)
@@ -41,12 +41,12 @@
     assert health.update(HEALTHY, 7 * SECOND)
 
 
-def test_a_few_calls_that_fail_say_nothing() -> None:
+def test_few_failed_requests_are_not_significant() -> None:
     health, few = healthy_tracker(), replace(HEALTHY, failure_share=1.0, requests=19)
     assert all(health.update(few, at * SECOND) for at in range(3, 9))
 
 
-def test_one_that_keeps_giving_up_is_held_down_longer_each_time_but_never_for_good() -> None:
+def test_suppression_grows_with_each_loss_up_to_a_limit() -> None:
     waits = []
     for times in range(1, 6):
         health = healthy_tracker()
--- a/tests/address/test_node.py
+++ b/tests/address/test_node.py
@@ -100,7 +100,7 @@
 
 
 @with_three_members
-async def test_killed_and_cut_off_again_and_again_there_is_one_holder_and_tokens_grow(
+async def test_tokens_grow_over_repeated_crashes_and_partitions(
     trio: ThreeMembers,
 ) -> None:
     for cycle in range(4):
@@ -122,7 +122,7 @@
 
 
 @with_three_members
-async def test_a_planned_move_reaches_its_heir(trio: ThreeMembers) -> None:
+async def test_planned_move_reaches_its_successor(trio: ThreeMembers) -> None:
     holder = trio.holder() or ""
     heir = next(name for name in NAMES if name != holder)
     trio.nodes[holder].move(heir)
@@ -130,7 +130,7 @@
 
 
 @with_three_members
-async def test_an_accept_past_the_lease_does_not_count(trio: ThreeMembers) -> None:
+async def test_connection_accepted_after_the_lease_is_closed(trio: ThreeMembers) -> None:
     """A holder that was paused past its lease: the backlog is full, and its clock has gone on."""
     holder = trio.holder() or ""
     node = trio.nodes[holder]
@@ -148,7 +148,7 @@
 
 
 @with_three_members
-async def test_forged_datagrams_change_nothing_and_a_flood_does_not_starve_the_election(
+async def test_forged_datagrams_and_a_flood_do_not_disturb_the_election(
     trio: ThreeMembers,
 ) -> None:
     holder = trio.holder() or ""
--- a/tests/address/test_simulation.py
+++ b/tests/address/test_simulation.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("part", range(4))
-def test_nothing_is_violated_in_some_thousand_schedules(part: int) -> None:
+def test_no_violation_in_thousands_of_schedules(part: int) -> None:
     counts = Counts()
     for seed in range(part * 600, part * 600 + 600):
         counts.add(Simulation(random_schedule(seed)).play())
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_planted_fault_is_found_and_told_in_a_short_trace(fault: str) -> None:
+def test_planted_fault_is_found_and_traced(fault: str) -> None:
     start = NEAR.get(fault, 0)
     seed = next(
         (seed for seed in range(start, start + 40) if find_violation(random_schedule(seed), FAULTS[fault])),
