--- a/lockspoke/address/candidate.py
+++ b/lockspoke/address/candidate.py
@@ -45,7 +45,7 @@
         self.voter = Voter(vote_until=now, voted_term=first_term)
         self.vote_round: VoteRound | None = None
         self.lease = Lease()
-        self.term_is_taken = False  # a voter has voted for another candidate in this term
+        self.term_is_stale = False  # a voter has voted for another candidate in this term
         self.candidacy_at = self.silent_until  # the earliest time to stand
         self._serial = now  # grows over restarts of the process as long as the clock does
         self._actions: list[Action] = []
@@ -121,7 +121,7 @@
             self._reply(sender, MessageKind.VOTE_DENIED, message, now)
             return
         if not self.voter.may_vote_in(message.term, sender):
-            self._reply(sender, MessageKind.TERM_TAKEN, message, now)
+            self._reply(sender, MessageKind.STALE_TERM, message, now)
             return
         self._vote_for(sender, message.term, now)
         if self.vote_round is not None and self.role is not ElectionRole.HOLDER:
@@ -175,7 +175,7 @@
         term = self.term
         if kind is MessageKind.VOTE_REQUEST:
             self.term = term = self._next_round_term()
-            self.term_is_taken = False
+            self.term_is_stale = False
         vote_round = self.vote_round = VoteRound(kind, serial, now, term)
         self._send_all(ElectionMessage(kind, term, serial, self.config.lease_duration, self.name), now)
         if not self._may_vote_for(self.name, now):
@@ -193,7 +193,7 @@
         and would stand against this holder again and again.
         """
         renews = self.role is ElectionRole.HOLDER and self.lease.term == self.term
-        if renews and not self.lease.is_transferred and not self.term_is_taken:
+        if renews and not self.lease.is_transferred and not self.term_is_stale:
             return self.lease.term
         return self.term + 1
 
@@ -229,9 +229,9 @@
         wait = min(message.duration, self.config.voter_lease) + self._candidacy_delay()
         self.candidacy_at = max(self.candidacy_at, now + wait)
 
-    def _on_term_taken(self, message: ElectionMessage) -> None:
+    def _on_stale_term(self, message: ElectionMessage) -> None:
         if self.vote_round is not None and message.serial == self.vote_round.serial:
-            self.term_is_taken = True
+            self.term_is_stale = True
 
     def _give_up(self, now: int, reason: str, release: bool) -> None:
         """End the lease or the candidacy."""
--- a/lockspoke/address/command_announcer.py
+++ b/lockspoke/address/command_announcer.py
@@ -53,18 +53,18 @@
         try:
             while self._pending is not None:
                 action, self._pending = self._pending, None
-                left_ms = (self._lease_until() - self.clock()) // MILLISECOND
-                if action == CLAIM and left_ms <= 0:
+                remaining_ms = (self._lease_until() - self.clock()) // MILLISECOND
+                if action == CLAIM and remaining_ms <= 0:
                     continue  # the lease has ended in the meantime
-                await self._run(action, max(0, left_ms))
+                await self._run(action, max(0, remaining_ms))
         finally:
             self._running = None
 
-    async def _run(self, action: str, left_ms: int) -> None:
+    async def _run(self, action: str, remaining_ms: int) -> None:
         variables = {
             "LOCKSPOKE_TOKEN": str(self._token),
             "LOCKSPOKE_ADDRESS": self.address,
-            "LOCKSPOKE_LEASE_MS": str(left_ms),
+            "LOCKSPOKE_LEASE_MS": str(remaining_ms),
         }
         try:
             process = await asyncio.create_subprocess_exec(
--- a/lockspoke/address/election.py
+++ b/lockspoke/address/election.py
@@ -141,11 +141,11 @@
     def change_config(self, config: ElectionConfig, now: int) -> list[Action]:
         """Adopt another member list; raises ValueError if that is not safe now."""
         self.membership.check_change(config, now)
-        held = self.holds(now)
+        was_holding = self.holds(now)
         self.membership.adopt(config, now)
         if not self.may_hold and self.role.is_active:
             self._give_up(now, "it is a witness now", release=True)
-        elif self.vote_round is not None and not held:
+        elif self.vote_round is not None and not was_holding:
             self._give_up(now, "the members have changed", release=True)
         self.vote_round = None  # its votes were counted by the previous list
         return self._take_actions()
@@ -171,8 +171,8 @@
                 self._on_vote(sender, message, now)
             case MessageKind.VOTE_DENIED:
                 self._on_denied(message, now)
-            case MessageKind.TERM_TAKEN:
-                self._on_term_taken(message)
+            case MessageKind.STALE_TERM:
+                self._on_stale_term(message)
             case MessageKind.RELEASE:
                 self._on_release(sender, message, now)
             case _:
@@ -194,7 +194,7 @@
             self._give_up(now, "its lease has run out", release=False)
         if self.role is ElectionRole.SILENT and now >= self.silent_until:
             self.role, self.candidacy_at = ElectionRole.FOLLOWER, now + self._candidacy_delay()
-        if self.succession.is_leaving and self.role is not ElectionRole.HOLDER:
+        if self.succession.is_shutting_down and self.role is not ElectionRole.HOLDER:
             self.succession.remaining = None  # the lease was lost before a successor was ready
             self._stop(now)
         vote_round = self.vote_round
@@ -264,7 +264,7 @@
             return  # only a lease with votes of its own can be transferred; the successor is asked again
         serial = self._next_serial(now)
         self.transfer = LeaseTransfer(sender, message.serial, self.lease.term, self.lease.until)
-        is_leaving = succession.is_leaving
+        is_shutting_down = succession.is_shutting_down
         succession.finish()
         self._give_up(now, f"handed to {sender}", release=False)
         self._send_transfer(now)
@@ -273,7 +273,7 @@
         # The votes stay valid, but for the successor.
         self._send_all(ElectionMessage(MessageKind.RELEASE, self.term, serial, 0, sender), now)
         self.candidacy_at = now + self.config.voter_lease + self._candidacy_delay()
-        if is_leaving:
+        if is_shutting_down:
             self.role = ElectionRole.LEAVING
 
     def _next_transfer_at(self, transfer: LeaseTransfer) -> int:
@@ -285,8 +285,10 @@
             self.transfer = None
             return
         transfer.record_attempt(now)
-        left = transfer.until - now
-        message = ElectionMessage(MessageKind.TRANSFER_LEASE, transfer.term, transfer.serial, left, self.name)
+        remaining = transfer.until - now
+        message = ElectionMessage(
+            MessageKind.TRANSFER_LEASE, transfer.term, transfer.serial, remaining, self.name
+        )
         self._send(transfer.successor, message, now)
 
     def _confirm_transfer(self, successor: str) -> None:
@@ -328,10 +330,10 @@
         self._extend_lease(transferred_lease_token(message.term), until)
         self._start_round(MessageKind.VOTE_REQUEST, now)
 
-    def _usable_lease(self, left: int) -> int:
+    def _usable_lease(self, remaining: int) -> int:
         """How much of a transferred lease is usable if the sender's clock is fast and this one slow."""
         drift = self.config.max_clock_drift
-        return int(min(left, self.config.holder_lease) * (1.0 - drift) / (1.0 + drift))
+        return int(min(remaining, self.config.holder_lease) * (1.0 - drift) / (1.0 + drift))
 
     def _should_preempt(self, now: int) -> bool:
         if self.preempt_after is None or self.role is not ElectionRole.FOLLOWER:
--- a/lockspoke/address/frames.py
+++ b/lockspoke/address/frames.py
@@ -93,8 +93,8 @@
         raise FrameError(f"{len(data)} bytes do not hold {count} addresses")
     if checksum(_pseudo_header(source, target, len(data)) + data):
         raise FrameError("its checksum does not hold")
-    parts = [data[at : at + size] for at in range(_VRRP.size, len(data), size)]
-    return Advertisement(router, priority, interval & 0x0FFF, tuple(map(ipaddress.ip_address, parts)))
+    addresses = [data[at : at + size] for at in range(_VRRP.size, len(data), size)]
+    return Advertisement(router, priority, interval & 0x0FFF, tuple(map(ipaddress.ip_address, addresses)))
 
 
 def encode_gratuitous_arp(address: ipaddress.IPv4Address, hardware: bytes, reply: bool = False) -> bytes:
--- a/lockspoke/address/member.py
+++ b/lockspoke/address/member.py
@@ -183,8 +183,8 @@
         """The node's reasons, with the reasons of its health in place of the general one."""
         health_reasons = list(self.health.reasons)
         if now < self.held_down_until:
-            left = (self.held_down_until - now) / SECOND
-            health_reasons.append(f"held down by an operator for {left:.0f} s more")
+            remaining = (self.held_down_until - now) / SECOND
+            health_reasons.append(f"held down by an operator for {remaining:.0f} s more")
         reasons: list[str] = []
         for reason in node_reasons:
             if reason == NOT_HEALTHY and health_reasons:
--- a/lockspoke/address/messages.py
+++ b/lockspoke/address/messages.py
@@ -18,7 +18,7 @@
     TRANSFER_PREPARE = 7  # holder to successor: get ready; successor to holder: ready
     TRANSFER_LEASE = 8  # holder to successor: the rest of the lease, `duration`, is yours
     PREEMPT_REQUEST = 9  # to the holder: the sender is healthy and has the priority `duration`
-    TERM_TAKEN = 10  # the voter has voted for another candidate in this term or a higher one
+    STALE_TERM = 10  # the voter has voted for another candidate in this term or a higher one
 
 
 @dataclass(frozen=True, slots=True)
--- a/lockspoke/address/metrics.py
+++ b/lockspoke/address/metrics.py
@@ -38,7 +38,7 @@
 
 
 def _gauges(status: JsonObject) -> Iterable[Metric]:
-    lease_left = (status["lease_left_ms"] or 0) / 1000
+    remaining_seconds = (status["lease_left_ms"] or 0) / 1000
     mismatches = len(status["mismatches"])
     for name, description, value in (
         ("holds", "1 while this instance has the address.", float(status["role"] == "holding")),
@@ -46,7 +46,7 @@
         ("penalty", "Flap damping's penalty.", status["health"]["penalty"]),
         ("term", "The highest term known.", status["term"]),
         ("generation", "The generation of the list of members.", status["generation"]),
-        ("lease_left_seconds", "What is left of its lease.", lease_left),
+        ("lease_left_seconds", "What is left of its lease.", remaining_seconds),
         ("mismatched_members", "Members whose list does not go with this one.", mismatches),
     ):
         yield GaugeMetricFamily(f"lockspoke_address_{name}", description, value=value)
--- a/lockspoke/address/node.py
+++ b/lockspoke/address/node.py
@@ -257,8 +257,8 @@
         if not election.may_hold:
             reasons.append("it is a witness: it votes and never holds")
         if election.role is ElectionRole.SILENT:
-            left = (election.silent_until - now) // MILLISECOND
-            reasons.append(f"it has just started and may have granted before: silent for {left} ms more")
+            remaining = (election.silent_until - now) // MILLISECOND
+            reasons.append(f"it has just started and may have granted before: silent for {remaining} ms more")
         if election.role is ElectionRole.LEAVING:
             reasons.append("it stops")
         if now < self.claim_retry_at:
--- a/lockspoke/address/transfer.py
+++ b/lockspoke/address/transfer.py
@@ -17,7 +17,7 @@
     remaining: list[str] | None = None  # a list, even an empty one, while the holder is leaving
 
     @property
-    def is_leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Whether the holder leaves as soon as a successor has the address."""
         return self.remaining is not None
 
@@ -38,16 +38,16 @@
     serial: int
     term: int
     until: int
-    attempts_left: int = MAX_TRANSFER_ATTEMPTS
+    remaining_attempts: int = MAX_TRANSFER_ATTEMPTS
     sent_at: int = 0
 
     def may_send(self, now: int) -> bool:
         """Whether there are attempts and lease time left."""
-        return self.attempts_left > 0 and now < self.until
+        return self.remaining_attempts > 0 and now < self.until
 
     def record_attempt(self, now: int) -> None:
         """Count an attempt."""
-        self.attempts_left -= 1
+        self.remaining_attempts -= 1
         self.sent_at = now
 
 
--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -46,12 +46,13 @@
 
 def _read_settings(edge: Path) -> AddressSettings:
     try:
-        found = [section.settings for section in read_edge(edge) if section.name == "address"]
+        sections = read_edge(edge)
     except ConfigError as error:
         raise click.UsageError(str(error)) from None
-    if not found:
-        raise click.UsageError(f"{edge} has no section [address]")
-    return found[0]  # type: ignore[no-any-return]
+    for section in sections:
+        if isinstance(section.settings, AddressSettings):
+            return section.settings
+    raise click.UsageError(f"{edge} has no section [address]")
 
 
 def _send_command(edge: Path | None, control: Path | None, command: JsonObject) -> JsonObject:
--- a/tests/address/test_election.py
+++ b/tests/address/test_election.py
@@ -124,7 +124,7 @@
     # No vote for others while it is bound, nor ever in the same term, nor for a late request.
     assert kinds("c", replace(request, term=9), THREE_MEMBERS.voter_lease + 1) == [MessageKind.VOTE_DENIED]
     assert kinds("b", replace(request, serial=2), THREE_MEMBERS.voter_lease + 1) == []
-    assert kinds("c", replace(request, serial=2), 3 * THREE_MEMBERS.voter_lease) == [MessageKind.TERM_TAKEN]
+    assert kinds("c", replace(request, serial=2), 3 * THREE_MEMBERS.voter_lease) == [MessageKind.STALE_TERM]
     assert not election.receive("x", request, THREE_MEMBERS.voter_lease + 2)
 
 
