--- /dev/null
+++ b/lockspoke/address/membership.py
@@ -0,0 +1,125 @@
+"""Changes of the member list, one member at a time, safe while only some members have adopted one.
+
+Quorums of two lists that differ by one member share a member, so candidates with the lists of generations g
+and g+1 can't both win. Candidates with g and g+2 could. So a member adopts g+1 only when g has *settled*: a
+quorum of g's members has had it for so long that each of them has stopped voting by g-1 (after
+`settle_time`), and that the last such vote has expired. From then on no candidate with g-1 can find a quorum.
+A member that learns that a generation has settled includes it in each message.
+
+Raft changes one member at a time for the same reason (Ongaro, 2014, 4.1). There a committed log entry shows
+that the previous change has reached a quorum; here there is no log, so time does.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, replace
+
+from .election_config import ElectionConfig
+from .messages import ElectionMessage
+
+
+@dataclass(frozen=True, slots=True)
+class PeerGeneration:
+    """The generation of another member's list, and since when it is known."""
+
+    generation: int
+    known_since: int
+
+
+class Membership:
+    """The member list in force, and what is known of the other members' lists. Times on the own clock."""
+
+    def __init__(self, name: str, config: ElectionConfig, now: int) -> None:
+        self.name, self.config = name, config
+        self.adopted_at = now
+        self.known_settled = 0  # the latest generation that is known to have settled
+        self.peer_generations: dict[str, PeerGeneration] = {}
+        self.mismatches: dict[str, str] = {}  # by member, why its list is incompatible
+
+    def observe(self, sender: str, message: ElectionMessage, now: int) -> None:
+        """Record what a message shows of its sender's list."""
+        known = self.peer_generations.get(sender)
+        if known is None or known.generation != message.generation:
+            self.peer_generations[sender] = PeerGeneration(message.generation, now)
+        self.known_settled = max(self.known_settled, message.settled_generation)
+        own = self.config
+        if message.generation == own.generation and message.members_digest != own.members_digest:
+            self.mismatches[sender] = f"has other members, span or drift in generation {own.generation}"
+        elif abs(message.generation - own.generation) > 1:
+            self.mismatches[sender] = f"is at generation {message.generation}, here is {own.generation}"
+        else:
+            self.mismatches.pop(sender, None)
+
+    def may_grant(self, message: ElectionMessage, now: int) -> bool:
+        """Whether the list of a candidate is compatible, so that it may get this member's vote."""
+        own = self.config
+        if message.generation == own.generation:
+            return message.members_digest == own.members_digest
+        if message.generation == own.generation - 1:
+            return now < self.adopted_at + own.settle_time
+        return message.generation == own.generation + 1
+
+    def settled_generation(self, now: int) -> int:
+        """The latest generation that is known to have settled."""
+        own = self.config
+        if self.known_settled < own.generation:
+            # The own clock may be fast and the others' slow.
+            drift = own.max_clock_drift
+            wait = int((own.settle_time + own.voter_lease) * (1.0 + drift) / (1.0 - drift))
+            settled = [now - since >= wait for since in self._adoption_times()]
+            if sum(settled) >= own.quorum:
+                self.known_settled = own.generation
+        return self.known_settled
+
+    def _adoption_times(self) -> list[int]:
+        """For each member that is known to have the own generation or a later one, since when."""
+        own = self.config
+        times = [self.adopted_at]
+        for name, known in self.peer_generations.items():
+            if known.generation >= own.generation and name in own.members and name != self.name:
+                times.append(known.known_since)
+        return times
+
+    def check_change(self, candidate: ElectionConfig, now: int) -> None:
+        """Check whether another list may be adopted now.
+
+        Raises:
+            ValueError: It may not; the text says what to do instead.
+        """
+        own = self.config
+        if candidate.generation == own.generation:
+            if candidate.members_digest != own.members_digest:
+                raise ValueError(f"generation is still {own.generation}; a changed list wants the next")
+            return
+        if candidate.generation != own.generation + 1:
+            raise ValueError(f"generation is {candidate.generation}, want {own.generation} or the next")
+        if (candidate.lease_duration, candidate.max_clock_drift) != (own.lease_duration, own.max_clock_drift):
+            raise ValueError("span can't change while members run, nor can drift; stop all of them first")
+        if self.name not in candidate.members:
+            raise ValueError(f"members lacks {self.name}, this instance; stop it instead")
+        changed = set(candidate.members) ^ set(own.members)
+        if len(changed) > 1:
+            raise ValueError(f"members changes by {', '.join(sorted(changed))}; one at a time is safe")
+        if self.settled_generation(now) < own.generation:
+            raise ValueError(
+                f"generation {own.generation} has not settled; wait until `lockspoke address status` says so"
+            )
+
+    def adopt(self, config: ElectionConfig, now: int) -> None:
+        """Replace the list by one that `check_change` has accepted."""
+        if config.generation != self.config.generation:
+            self.adopted_at = now
+        self.config = config
+        self.peer_generations = {
+            name: known for name, known in self.peer_generations.items() if name in config.members
+        }
+        self.mismatches.clear()
+
+    def stamp(self, message: ElectionMessage, now: int) -> ElectionMessage:
+        """A copy of a message that names the own list."""
+        return replace(
+            message,
+            generation=self.config.generation,
+            members_digest=self.config.members_digest,
+            settled_generation=self.settled_generation(now),
+        )
--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -1,221 +1,173 @@
-"""The moving address as a part of the program: the section `[address]`."""
+"""The moving service address as a subsystem of the program: the section `[address]`."""
 
 from __future__ import annotations
 
 import asyncio
-import os
-import resource
 import socket
-from collections import deque
-from collections.abc import Callable
-from pathlib import Path
+from collections.abc import Callable, Coroutine
 from typing import Any
 
 import structlog
 
-from lockspoke.address.command import CommandAnnouncer
-from lockspoke.address.health import Vitals
-from lockspoke.address.listening import Announcer, Announcers, LoopbackListener, steady_clock
-from lockspoke.address.member import Member
-from lockspoke.address.settings import AddressSettings, endpoint
 from lockspoke.core.core import Core
-from lockspoke.core.totals import RequestOutcome
 from lockspoke.lifecycle.config import ConfigError, GatewayConfig
 from lockspoke.lifecycle.subsystems import EndpointListSource, Subsystem, SubsystemContext
-from lockspoke.wire.clients.connection import ClientConnection
 from lockspoke.wire.clients.front import ClientFront
-from lockspoke.wire.tcp.listener import close_if_quiet
 
-__all__ = ["AddressSettings", "AddressSubsystem", "create"]
+from .announcer import Announcer, AnnouncerGroup
+from .clock import steady_clock
+from .command_announcer import CommandAnnouncer
+from .connections import ServiceConnections
+from .listener import ServiceListener
+from .measurements import HealthMeter
+from .member import Member
+from .settings import AddressSettings, parse_endpoint
 
-PULSE = 0.1  # seconds between two looks at how late the loop is
-RESOURCES = 1.0  # seconds between two looks at descriptors and memory, which cost more
-WINDOW = 5.0  # seconds over which calls that fail are counted
-QUIET = 0.3  # seconds that a connection of an address that has gone may be idle before it is closed
-PAGE = os.sysconf("SC_PAGE_SIZE")
+MEASURE_INTERVAL = 0.1  # seconds between two measurements of health
+LEAVE_TIMEOUT = 1.0  # seconds to transfer the address at a shutdown
 
 log = structlog.get_logger()
 
+settings_type = AddressSettings  # read by `lifecycle.subsystems`
 
-settings_type = AddressSettings
 
-
-def create(settings: AddressSettings, around: SubsystemContext) -> Subsystem:
-    """The moving address."""
-    return AddressSubsystem(settings, around)
+def create(settings: AddressSettings, context: SubsystemContext) -> Subsystem:
+    """Create the subsystem; raises ConfigError."""
+    return AddressSubsystem(settings, context)
 
 
 class AddressSubsystem:
-    """The service address: clients that come by it are clients of the platform's front."""
+    """The service address: clients that connect to it are clients of the platform's front."""
 
     name = "address"
     endpoint_list_source: EndpointListSource | None = None
-    descriptors = 16  # the datagrams' socket, the listener, control, metrics, a command's pipes
-
-    def __init__(self, settings: AddressSettings, around: SubsystemContext) -> None:
-        self.gateway = around.gateway
-        listen = endpoint(settings.listen or settings.service)
-        self.listener = LoopbackListener(listen, self._accepted)
-        announcers: list[Announcer] = [self.listener]
-        if settings.announce == "command":
-            announcers.append(
-                CommandAnnouncer(settings.command, settings.service, settings.command_limit, steady_clock)
-            )
-        announcers.append(_Withdrawal(self._withdrawn))
+    descriptors = 16  # UDP socket, listener, control socket, metrics, and the pipes of a command
+
+    def __init__(self, settings: AddressSettings, context: SubsystemContext) -> None:
+        """Raises ConfigError for settings that can't be used."""
+        self._gateway = context.gateway
+        self._meter = HealthMeter(context.gateway)
+        self._listener = ServiceListener(
+            parse_endpoint(settings.listen or settings.service), self._on_accepted
+        )
         try:
-            self.member = Member(settings, settings.name or around.gateway.name, Announcers(announcers))
+            name = settings.name or context.gateway.name
+            self._member = Member(settings, name, AnnouncerGroup(self._announcers(settings)))
         except (ValueError, OSError) as error:
             raise ConfigError(f"address.{error}") from None
-        self.connections: set[ClientConnection] = set()
-        self._samples: deque[tuple[float, int, int]] = deque()
-        self._lag = 0.0
-        self._resources, self._looked_at = (0.0, 0.0), float("-inf")  # shares in use, and when that was seen
         self._tasks: set[asyncio.Task[None]] = set()
         self._draining = False
 
+    def _announcers(self, settings: AddressSettings) -> list[Announcer]:
+        announcers: list[Announcer] = [self._listener]
+        if settings.announce == "command":
+            command, timeout = settings.command, settings.command_limit
+            announcers.append(CommandAnnouncer(command, settings.service, timeout, steady_clock))
+        announcers.append(_WithdrawalCallback(self._on_withdrawn))
+        return announcers
+
     def attach(self, core: Core, clients: ClientFront) -> None:
-        """The core and the front that its clients go to."""
-        self.core, self.clients = core, clients
+        """Connect to the core and to the front that serves the clients; called before `start`."""
+        self._core = core
+        self._connections = ServiceConnections(core, clients)
 
     def start(self) -> None:
-        """Begin."""
-        self._keep(self._start())
+        """Join the election, on the running loop."""
+        self._start_task(self._run())
 
-    def _keep(self, work: Any) -> None:
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _start(self) -> None:
+    async def _run(self) -> None:
         try:
-            await self.member.start()
+            await self._member.start()
         except OSError as error:
-            # The platform's front serves on; without its own port this instance can't have the address.
+            # The platform's front continues; without its own port this instance can't hold the address.
             log.error("address_not_started", reason=str(error))
-            self.member.stop()
+            self._member.stop()
             return
-        await self._pulse()
+        await self._measure_health()
 
-    async def _pulse(self) -> None:
-        """See how late timers fire, and judge by that and the rest how this instance is."""
+    async def _measure_health(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + PULSE
-            await asyncio.sleep(PULSE)
-            # The latest lag counts, and what was before it fades.
-            self._lag = max(loop.time() - due, self._lag * 0.7)
+            due = loop.time() + MEASURE_INTERVAL
+            await asyncio.sleep(MEASURE_INTERVAL)
+            now = loop.time()
+            self._meter.record_lag(now - due)
             if not self._draining:
-                self.member.judge(self._vitals(loop.time()))
-            self.member.keep_record()
-
-    def _vitals(self, now: float) -> Vitals:
-        outcomes = self.core.totals.request_outcomes
-        failed = outcomes[RequestOutcome.FAILED] + outcomes[RequestOutcome.REJECTED]
-        self._samples.append((now, outcomes[RequestOutcome.SERVED] + failed, failed))
-        while self._samples[0][0] < now - WINDOW:
-            self._samples.popleft()
-        calls = self._samples[-1][1] - self._samples[0][1]
-        failing = (self._samples[-1][2] - self._samples[0][2]) / calls if calls else 0.0
-        if now - self._looked_at >= RESOURCES:
-            self._resources, self._looked_at = (_sockets(self.gateway), _memory(self.gateway)), now
-        return Vitals(self.core.replica_set.ready_count, self._lag, failing, calls, *self._resources)
-
-    # Clients of the service address
-
-    def _accepted(self, accepted: socket.socket, token: int) -> None:
-        connection = self.clients.listener.serve_accepted(accepted)
-        assert isinstance(connection, ClientConnection)
-        # Also what comes later on it counts only while the lease runs.
-        connection.lease_is_valid = lambda: (
-            self.member.node.election.token >= token and self.member.node.holding
-        )
-        self.connections.add(connection)
+                self._member.update_health(self._meter.read(self._core, now))
+            self._member.save_record()
 
-    def _withdrawn(self, reason: str) -> None:
-        """The address has gone: finish what is open, then hand over, as at a stop."""
-        leaving, self.connections = self.connections, set()
-        if leaving and not self._draining:
-            self._keep(self._finish(leaving))
+    def _on_accepted(self, accepted: socket.socket, token: int) -> None:
+        node = self._member.node
 
-    async def _finish(self, leaving: set[ClientConnection]) -> None:
-        loop = asyncio.get_running_loop()
-        for connection in leaving:
-            connection.closes_after_response = True
-        end = loop.time() + self.gateway.shutdown_time
-        while leaving:
-            before = loop.time() - QUIET
-            for connection in list(leaving):
-                if connection.idle and connection.active_at <= before:
-                    close_if_quiet(connection)
-                if connection.stream.closed():
-                    leaving.discard(connection)
-            if leaving and self.gateway.clients_resume_streams and loop.time() >= end:
-                open_requests = [one.open_request for one in leaving if one.open_request is not None]
-                self.core.hand_off(open_requests)
-                end = float("inf")
-            await asyncio.sleep(0.05)
+        def lease_is_valid() -> bool:
+            return node.election.lease.token >= token and node.holding
+
+        self._connections.adopt(accepted, lease_is_valid)
+
+    def _on_withdrawn(self) -> None:
+        """Drain the connections of an address that has moved, as at a shutdown."""
+        connections = self._connections.release()
+        if connections and not self._draining:
+            stop_time = self._gateway.shutdown_time
+            self._start_task(self._connections.drain(connections, stop_time, self._may_hand_off))
+
+    def _may_hand_off(self) -> bool:
+        return self._gateway.clients_resume_streams
 
     def run_periodic_checks(self) -> None:
-        """Forget connections that have ended."""
-        self.connections = {one for one in self.connections if not one.stream.closed()}
+        """Forget closed connections."""
+        self._connections.discard_closed()
 
     def prepare_reload(self, settings: AddressSettings, gateway: GatewayConfig) -> Callable[[], None]:
-        """Members one at a time, keys, priority and health may change while it runs."""
+        """Check new settings; returns the function that puts them in force.
+
+        Members (one at a time), keys, priority and health limits may change while the program runs.
+
+        Raises:
+            ConfigError: A setting is wrong or can't change.
+        """
         try:
-            commit = self.member.prepare(settings)
+            commit_member = self._member.prepare_reload(settings)
         except ValueError as error:
             raise ConfigError(f"address.{error}") from None
 
-        def both() -> None:
-            commit()
-            self.gateway = gateway
+        def commit() -> None:
+            commit_member()
+            self._gateway = self._meter.gateway = gateway
 
-        return both
+        return commit
 
     async def drain(self) -> None:
-        """Hand the address over; what came by it ends with all other connections."""
+        """Transfer the address; the program drains its connections with all others."""
         self._draining = True
-        await self.member.leave(patience=1.0)
-        self.listener.withdraw("it stops")
+        await self._member.leave(LEAVE_TIMEOUT)
+        self._listener.withdraw("it stops")
 
     def stop(self) -> None:
-        """End for good."""
+        """Cancel all tasks and leave the election."""
         for task in self._tasks:
             task.cancel()
-        self.member.stop()
+        self._member.stop()
 
     def status(self) -> dict[str, Any]:
-        """As `lockspoke address status` shows it."""
-        return {**self.member.status(), "connections": len(self.connections)}
+        """The state as JSON values."""
+        return {**self._member.status(), "connections": len(self._connections)}
 
 
-class _Withdrawal:
-    """Tells the part when the address goes."""
+class _WithdrawalCallback:
+    """An announcer that only reports withdrawals."""
 
-    def __init__(self, withdrawn: Callable[[str], None]) -> None:
-        self.withdrawn = withdrawn
+    def __init__(self, on_withdrawn: Callable[[], None]) -> None:
+        self._on_withdrawn = on_withdrawn
 
-    def claim(self, token: int, until: Callable[[], int]) -> None:
-        """Nothing is to be done."""
+    def claim(self, token: int, lease_until: Callable[[], int]) -> None:
+        """Do nothing."""
 
     def withdraw(self, reason: str) -> None:
-        """Pass it on."""
-        self.withdrawn(reason)
-
-
-def _sockets(gateway: GatewayConfig) -> float:
-    """The share of its descriptors that the process uses; 0 where the system doesn't tell."""
-    try:
-        used = len(os.listdir("/proc/self/fd"))
-    except OSError:
-        return 0.0
-    return used / min(gateway.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-
-
-def _memory(gateway: GatewayConfig) -> float:
-    """The share of its memory that the process uses; 0 where the system doesn't tell."""
-    try:
-        pages = int(Path("/proc/self/statm").read_text().split()[1])
-    except (OSError, IndexError, ValueError):
-        return 0.0
-    return pages * PAGE / (gateway.memory_mb * 1024 * 1024)
+        """Report the withdrawal."""
+        self._on_withdrawn()
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -1,4 +1,4 @@
-"""Three gateways on loopback: killed, paused, cut off, stopped, sick, with new keys and members under way."""
+"""Three gateways on loopback: crashes, pauses, partitions, shutdowns, faults, changes of keys and members."""
 
 from __future__ import annotations
 
@@ -16,21 +16,31 @@
 import pytest
 from click.testing import CliRunner
 
-from lockspoke.address.control import ask
+from lockspoke.address.control import send_command
 from lockspoke.cli.main import cli
 from lockspoke.lifecycle.config import ConfigError
 from lockspoke.lifecycle.edge_file import read_edge
-from tests.address.cluster import Cluster, endpoint, overlaps
+from tests.address.cluster import Cluster, format_endpoint, overlaps
 from tests.address.relay import free_port
-from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, WAIT_TIMEOUT, Client, chunk, request_bytes, until
+from tests.standins import (
+    EVENTS,
+    STREAM_HEAD,
+    STREAM_TAIL,
+    WAIT_TIMEOUT,
+    Client,
+    Program,
+    chunk,
+    request_bytes,
+    until,
+)
 
-Play = Callable[[Cluster], Awaitable[None]]
+ClusterTest = Callable[[Cluster], Awaitable[None]]
 
 
-def with_cluster(**settings: Any) -> Callable[[Play], Callable[[], None]]:
-    """A test with three gateways; at its end, nobody may have claimed while another did."""
+def with_cluster(**settings: Any) -> Callable[[ClusterTest], Callable[[], None]]:
+    """Run a test with three gateways; at its end, no two claims may overlap."""
 
-    def decorate(test: Play) -> Callable[[], None]:
+    def decorate(test: ClusterTest) -> Callable[[], None]:
         def wrapped() -> None:
             async def play() -> None:
                 async with Cluster(**settings) as cluster:
@@ -40,16 +50,31 @@
 
             asyncio.run(play())
 
-        wrapped.__name__ = test.__name__  # type: ignore[attr-defined]
+        wrapped.__name__ = test.__name__
         return wrapped
 
     return decorate
 
 
+async def wait_until_received(cluster: Cluster, name: str, count: int) -> None:
+    before = cluster.status(name)["received"]
+    await until(lambda: cluster.status(name)["received"] > before + count)
+
+
+def count_events(program: Program, event: str) -> int:
+    return sum(line["event"] == event for line in program.logs)
+
+
+async def reload_until_logged(program: Program, event: str) -> None:
+    before = count_events(program, event)
+    program.reload()
+    await until(lambda: count_events(program, event) > before)
+
+
 @with_cluster()
-async def test_killed_or_cut_off_in_either_direction_another_answers(cluster: Cluster) -> None:
+async def test_another_member_answers_after_a_crash_or_partition(cluster: Cluster) -> None:
     for round_ in range(4):
-        await cluster.voting()
+        await cluster.wait_until_voting()
         holder = cluster.holder or ""
         others = [name for name in cluster.names if name != holder]
         if round_ == 0:
@@ -61,13 +86,12 @@
         else:  # one member alone sees both others
             cluster.relay.cut(holder, others[:1])
         if round_ < 3:
-            new = await cluster.moved(holder)
-            await cluster.answered()
+            new = await cluster.wait_until_moved(holder)
+            await cluster.wait_until_answered()
             assert new in others
         else:
             # A majority still sees the holder: nothing moves.
-            before = cluster.status(holder)["received"]
-            await until(lambda holder=holder, before=before: cluster.status(holder)["received"] > before + 20)
+            await wait_until_received(cluster, holder, 20)
             assert cluster.holder == holder
         cluster.relay.heal()
         if holder not in cluster.programs:
@@ -75,29 +99,29 @@
 
 
 @with_cluster()
-async def test_sigterm_and_the_command_hand_the_address_over(cluster: Cluster) -> None:
-    await cluster.voting()
+async def test_sigterm_and_the_move_command_transfer_the_address(cluster: Cluster) -> None:
+    await cluster.wait_until_voting()
     holder = cluster.holder or ""
-    heir = next(name for name in cluster.names if name != holder)
+    successor = next(name for name in cluster.names if name != holder)
     with pytest.raises(ValueError, match="does not hold"):
-        ask(cluster.folder / f"{heir}.sock", {"do": "move", "to": holder})
-    command = [sys.executable, "-B", "-m", "lockspoke", "address", "move", "--to", heir]
+        send_command(cluster.folder / f"{successor}.sock", {"do": "move", "to": holder})
+    command = [sys.executable, "-B", "-m", "lockspoke", "address", "move", "--to", successor]
     command += ["--edge", str(cluster.folder / f"{holder}.toml")]
     process = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE)
-    assert f"hands the address to {heir}" in (await process.communicate())[0].decode()
-    assert await cluster.moved(holder) == heir
-    await cluster.answered()
-    program = cluster.programs[heir]
+    assert f"hands the address to {successor}" in (await process.communicate())[0].decode()
+    assert await cluster.wait_until_moved(holder) == successor
+    await cluster.wait_until_answered()
+    program = cluster.programs[successor]
     assert await program.terminate() == 0
-    lost = program.log("address_lost")
+    lost = program.log("address_lease_lost")
     assert lost is not None and lost["reason"].startswith("handed to")
-    await cluster.moved(heir)
-    await cluster.answered()
+    await cluster.wait_until_moved(successor)
+    await cluster.wait_until_answered()
 
 
 @with_cluster()
-async def test_a_client_mid_stream_when_the_address_moves_has_its_answer_whole(cluster: Cluster) -> None:
-    await cluster.voting()
+async def test_stream_completes_while_the_address_moves(cluster: Cluster) -> None:
+    await cluster.wait_until_voting()
     release = asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
@@ -106,23 +130,23 @@
         await release.wait()
         writer.write(chunk(EVENTS[1]) + chunk(STREAM_TAIL) + chunk(b""))
 
-    cluster.worker.script = script
+    cluster.replica.script = script
     holder = cluster.holder or ""
-    heir = next(name for name in cluster.names if name != holder)
+    successor = next(name for name in cluster.names if name != holder)
     async with Client(cluster.service[1]) as client, Client(cluster.service[1]) as idle:
-        asked = asyncio.ensure_future(client.request(request_bytes(1, deadline=12000, kind="bulk")))
-        await until(lambda: len(cluster.worker.seen) == 1)
-        ask(cluster.folder / f"{holder}.sock", {"do": "move", "to": heir})
-        assert await cluster.moved(holder) == heir
+        request = asyncio.ensure_future(client.request(request_bytes(1, deadline=12000, kind="bulk")))
+        await until(lambda: len(cluster.replica.seen) == 1)
+        send_command(cluster.folder / f"{holder}.sock", {"do": "move", "to": successor})
+        assert await cluster.wait_until_moved(holder) == successor
         assert await asyncio.wait_for(idle.reader.read(), 10) == b""  # so that its client goes to the new one
         release.set()
-        status, _, body, whole = await asked
+        status, _, body, whole = await request
         assert (status, whole, body) == (200, True, b"".join([*EVENTS, STREAM_TAIL]))
         assert await asyncio.wait_for(client.reader.read(), 10) == b""
 
 
 @with_cluster(gateway={"familyInfo": {"resume": True}})
-async def test_what_stays_open_for_too_long_after_a_move_is_handed_over(cluster: Cluster) -> None:
+async def test_stream_open_for_too_long_after_a_move_is_handed_off(cluster: Cluster) -> None:
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD + chunk(EVENTS[0]))
         with contextlib.suppress(ConnectionError):
@@ -131,42 +155,37 @@
                 writer.write(chunk(EVENTS[1]))
                 await writer.drain()
 
-    await cluster.voting()
-    cluster.worker.script = script
+    await cluster.wait_until_voting()
+    cluster.replica.script = script
     holder = cluster.holder or ""
-    heir = next(name for name in cluster.names if name != holder)
+    successor = next(name for name in cluster.names if name != holder)
     async with Client(cluster.service[1]) as client:
-        asked = asyncio.ensure_future(client.request(request_bytes(1, deadline=12000, kind="bulk")))
-        await until(lambda: len(cluster.worker.seen) == 1)
-        ask(cluster.folder / f"{holder}.sock", {"do": "move", "to": heir})
-        status, _, body, whole = await asked
+        request = asyncio.ensure_future(client.request(request_bytes(1, deadline=12000, kind="bulk")))
+        await until(lambda: len(cluster.replica.seen) == 1)
+        send_command(cluster.folder / f"{holder}.sock", {"do": "move", "to": successor})
+        status, _, body, whole = await request
         assert (status, whole) == (200, False) and body.startswith(EVENTS[0])
 
 
 @with_cluster()
-async def test_a_key_is_changed_under_way_and_a_split_list_or_key_is_told(cluster: Cluster) -> None:
-    await cluster.voting()
+async def test_keys_rotate_at_runtime_and_unreadable_keys_are_reported(cluster: Cluster) -> None:
+    await cluster.wait_until_voting()
     holder, old = cluster.holder, str(cluster.key)
     new = cluster.folder / "new"
     new.touch(0o600)
     new.write_text(secrets.token_hex(32))
     for keys in ([old, str(new)], [str(new), old], [str(new)]):
         for name, program in cluster.programs.items():
-            told = sum(line["event"] == "address_keys_changed" for line in program.logs)
-            cluster.write(name, keys=keys)
-            program.reload()
-            await until(
-                lambda program=program, told=told: (
-                    sum(line["event"] == "address_keys_changed" for line in program.logs) > told
-                )
-            )
+            cluster.write_edge(name, keys=keys)
+            await reload_until_logged(program, "address_keys_changed")
     assert cluster.holder == holder
-    assert all(
-        not any("unknown_key" in cluster.status(name)["refused"] for name in cluster.names) for _ in "x"
+    assert not any("unknown_key" in cluster.status(name)["refused"] for name in cluster.names)
+    assert (
+        sum(line["event"] == "address_lease_lost" for one in cluster.programs.values() for line in one.logs)
+        == 0
     )
-    assert sum(line["event"] == "address_lost" for one in cluster.programs.values() for line in one.logs) == 0
     program = cluster.programs["a"]
-    cluster.write("a", keys=[str(cluster.folder / "none")])
+    cluster.write_edge("a", keys=[str(cluster.folder / "none")])
     program.reload()
     await until(lambda: program.log("reload_rejected") is not None)
     assert "keys names" in program.log("reload_rejected")["reason"]  # type: ignore[index]
@@ -174,9 +193,9 @@
 
 @with_cluster(settle=0.2)
 async def test_members_change_one_at_a_time_by_reload(cluster: Cluster) -> None:
-    await cluster.voting()
-    book = cluster.relay.books
-    pair = {name: {one: endpoint(book[name][one]) for one in ("a", "b")} for name in ("a", "b")}
+    await cluster.wait_until_voting()
+    book = cluster.relay.peer_addresses
+    pair = {name: {one: format_endpoint(book[name][one]) for one in ("a", "b")} for name in ("a", "b")}
 
     def refused(name: str, text: str) -> Callable[[], bool]:
         program = cluster.programs[name]
@@ -184,24 +203,23 @@
             text in line["reason"] for line in program.logs if line["event"] == "reload_rejected"
         )
 
-    cluster.write("a", members=pair["a"])
+    cluster.write_edge("a", members=pair["a"])
     cluster.programs["a"].reload()
     await until(refused("a", "address.generation is still 1; a changed list wants the next"))
-    cluster.write("a", members={"a": pair["a"]["a"]}, generation=2)
+    cluster.write_edge("a", members={"a": pair["a"]["a"]}, generation=2)
     cluster.programs["a"].reload()
     await until(refused("a", "one at a time is safe"))
     while not all(cluster.status(name)["settled"] for name in cluster.names):
         await asyncio.sleep(0.02)
     if cluster.holder == "c":
-        ask(cluster.folder / "c.sock", {"do": "move", "to": "a"})
-        await cluster.moved("c")
+        send_command(cluster.folder / "c.sock", {"do": "move", "to": "a"})
+        await cluster.wait_until_moved("c")
     for name in ("a", "b"):
-        cluster.write(name, members=pair[name], generation=2)
-        cluster.programs[name].reload()
-        await until(lambda name=name: cluster.programs[name].log("address_members_changed") is not None)
+        cluster.write_edge(name, members=pair[name], generation=2)
+        await reload_until_logged(cluster.programs[name], "address_members_changed")
     await cluster.programs["c"].terminate()
     assert cluster.holder in ("a", "b")
-    await cluster.answered()
+    await cluster.wait_until_answered()
     assert cluster.status("a")["generation"] == 2
 
 
@@ -209,30 +227,30 @@
 
 
 @with_cluster(health=DAMPED)
-async def test_a_sick_instance_that_keeps_coming_back_is_held_down(cluster: Cluster) -> None:
-    await cluster.voting()
-    sick = cluster.holder or ""
-    program = cluster.programs[sick]
+async def test_flapping_instance_is_suppressed(cluster: Cluster) -> None:
+    await cluster.wait_until_voting()
+    unhealthy = cluster.holder or ""
+    program = cluster.programs[unhealthy]
     for times in (1, 2):
-        if cluster.holder != sick:
-            ask(cluster.folder / f"{cluster.holder}.sock", {"do": "move", "to": sick})
-            await until(lambda: cluster.holder == sick)
-        cluster.write(sick, health={**DAMPED, "least_workers": 2})  # there is one
+        if cluster.holder != unhealthy:
+            send_command(cluster.folder / f"{cluster.holder}.sock", {"do": "move", "to": unhealthy})
+            await until(lambda: cluster.holder == unhealthy)
+        cluster.write_edge(unhealthy, health={**DAMPED, "least_workers": 2})  # there is one
         program.reload()
-        assert await cluster.moved(sick) != sick
-        cluster.write(sick)
+        assert await cluster.wait_until_moved(unhealthy) != unhealthy
+        cluster.write_edge(unhealthy)
         program.reload()
         if times == 1:
-            await until(lambda: cluster.status(sick)["health"]["fit"])
-    await until(lambda: program.log("address_held_down", now=True) is not None)
-    await until(lambda: not cluster.status(sick)["health"]["fit"])
+            await until(lambda: cluster.status(unhealthy)["health"]["fit"])
+    await until(lambda: program.log("address_suppression_changed", suppressed=True) is not None)
+    await until(lambda: not cluster.status(unhealthy)["health"]["fit"])
     why = "held down after giving the address up too often"
-    await until(lambda: why in cluster.status(sick)["why_not"])
-    await cluster.answered()
+    await until(lambda: why in cluster.status(unhealthy)["why_not"])
+    await cluster.wait_until_answered()
 
 
-def test_paused_past_its_lease_a_holder_serves_nobody_by_its_old_claim(tmp_path: Path) -> None:
-    """Each listens at a port of its own; the operator's command tells a switch where the address is now."""
+def test_holder_paused_beyond_its_lease_serves_no_request(tmp_path: Path) -> None:
+    """Each gateway listens at its own port; the operator's command records where the address is."""
     route, script = tmp_path / "route", tmp_path / "claim.py"
     script.write_text(
         "import os, sys\n"
@@ -243,34 +261,34 @@
     async def play() -> None:
         cluster = Cluster()
         ports = {name: free_port() for name in cluster.names}
-        write = cluster.write
+        write = cluster.write_edge
 
         def own_port(name: str, **more: Any) -> Path:
             command = [sys.executable, str(script), name]
-            listen = endpoint(ports[name])
+            listen = format_endpoint(ports[name])
             return write(name, listen=listen, announce="command", command=command, **more)
 
-        cluster.write = own_port  # type: ignore[method-assign]
+        cluster.write_edge = own_port  # type: ignore[method-assign]
         async with cluster:
-            await cluster.voting()
+            await cluster.wait_until_voting()
             holder = cluster.holder or ""
             program = cluster.programs[holder]
             async with Client(ports[holder][1]) as kept:
                 assert (await kept.request(request_bytes(1)))[0] == 200
                 program.process.send_signal(signal.SIGSTOP)
-                new = await cluster.moved(holder)
+                new = await cluster.wait_until_moved(holder)
                 # While it is paused, one comes to its backlog and one asks on a connection of before.
                 late = await asyncio.open_connection(*ports[holder])
                 late[1].write(request_bytes(2))
                 kept.writer.write(request_bytes(3))
-                seen = len(cluster.worker.seen)
+                seen = len(cluster.replica.seen)
                 program.process.send_signal(signal.SIGCONT)
                 with contextlib.suppress(ConnectionResetError):
                     assert await asyncio.wait_for(late[0].read(), 10) == b""  # closed unread
                 late[1].close()
                 status, headers, _, _ = await kept.read_response()
                 assert status in (0, 503) and (status == 0 or "retry-after" in headers)
-                assert len(cluster.worker.seen) == seen
+                assert len(cluster.replica.seen) == seen
             async with Client(ports[new][1]) as client:
                 assert (await client.request(request_bytes(4)))[0] == 200
             await until(lambda: f"{new} claim" in route.read_text())
@@ -283,8 +301,8 @@
 
 
 @with_cluster(record="own folder")
-async def test_a_holder_whose_disk_is_full_holds_on_and_says_so(cluster: Cluster) -> None:
-    await cluster.voting()
+async def test_holder_with_a_full_disk_keeps_the_lease_and_reports_the_error(cluster: Cluster) -> None:
+    await cluster.wait_until_voting()
     holder = cluster.holder or ""
     program, record = cluster.programs[holder], cluster.folder / holder / "address.json"
     await until(record.exists)
@@ -296,24 +314,28 @@
     async with asyncio.timeout(WAIT_TIMEOUT):
         # One that starts mostly brings a higher term, which the record has to have: not each time, on a busy
         # machine (two runs side by side waited for it in vain).
-        while program.log("address_record_failing") is None:
+        while program.log("address_record_write_failed") is None:
             await cluster.kill(other)
             await cluster.start(other)
-            await cluster.voting()
+            await cluster.wait_until_voting()
     assert "No space left on device" in cluster.status(holder)["record_failing"]
-    await cluster.answered()
+    await cluster.wait_until_answered()
     assert cluster.holder == holder and record.read_text() == before
     beside.unlink()
-    await until(lambda: program.log("address_record_kept") is not None)
+    await until(lambda: program.log("address_record_write_recovered") is not None)
     assert record.read_text() != before and not cluster.status(holder)["record_failing"]
 
 
-def test_a_witness_votes_and_the_settings_are_checked(tmp_path: Path) -> None:
+def test_witness_votes_and_settings_are_checked(tmp_path: Path) -> None:
     async def play() -> None:
         metrics = free_port()
         async with Cluster(("a", "b", "w"), witnesses=["w"]) as cluster:
             await cluster.kill("w")
-            path = cluster.write("w", metrics=endpoint(metrics), bind=endpoint(cluster.relay.own["w"]))
+            path = cluster.write_edge(
+                "w",
+                metrics=format_endpoint(metrics),
+                bind=format_endpoint(cluster.relay.listen_addresses["w"]),
+            )
             command = [sys.executable, "-B", "-m", "lockspoke", "address", "witness", "--edge", str(path)]
             process = await asyncio.create_subprocess_exec(
                 *command, env=os.environ, stderr=asyncio.subprocess.DEVNULL
@@ -327,11 +349,10 @@
                         return False
 
                 await until(votes)
-                await cluster.voting()
+                await cluster.wait_until_voting()
                 holder = cluster.holder or ""
                 cluster.relay.cut("a", ["b"])  # the witness alone sees both
-                before = cluster.status("w")["received"]
-                await until(lambda: cluster.status("w")["received"] > before + 30)
+                await wait_until_received(cluster, "w", 30)
                 assert cluster.holder == holder
                 cluster.relay.heal()
                 options = ["--control", str(cluster.folder / f"{holder}.sock")]
@@ -340,17 +361,19 @@
                 assert "1 may be lost or cut off" in shown.output
                 done = CliRunner().invoke(cli, ["address", "hold-down", "--for", "60", *options])
                 assert "held down for 60 s" in done.output
-                assert await cluster.moved(holder) in ("a", "b")
+                assert await cluster.wait_until_moved(holder) in ("a", "b")
                 assert "held down by an operator" in " ".join(cluster.status(holder)["why_not"])
                 CliRunner().invoke(cli, ["address", "hold-down", "--off", *options])
                 holder = cluster.holder or ""
-                await cluster.voting()
+                await cluster.wait_until_voting()
                 await cluster.kill(holder)
-                assert await cluster.moved(holder) in ("a", "b")
-                await cluster.answered()
+                assert await cluster.wait_until_moved(holder) in ("a", "b")
+                await cluster.wait_until_answered()
                 assert "it is a witness: it votes and never holds" in cluster.status("w")["why_not"]
                 page = await asyncio.to_thread(
-                    lambda: urllib.request.urlopen(f"http://{endpoint(metrics)}/metrics").read().decode()
+                    lambda: (
+                        urllib.request.urlopen(f"http://{format_endpoint(metrics)}/metrics").read().decode()
+                    )
                 )
                 assert "lockspoke_address_holds 0.0" in page and "lockspoke_address_term" in page
             finally:
@@ -359,8 +382,8 @@
             assert not overlaps(cluster.claims())
 
     asyncio.run(play())
-    # The checks of settings: each names its key.
-    for text, told in (
+    # Each error of a setting names its key.
+    for text, message in (
         ('service = "x"', "service is wrong: 'x' is not host:port"),
         ('members = {a = "127.0.0.1:1", b = "127.0.0.1:1"}', "members has one host:port twice"),
         ('witnesses = ["z"]', "witnesses has z, which is no member"),
@@ -375,4 +398,4 @@
         (tmp_path / "edge.toml").write_text("[address]\n" + "\n".join(lines))
         with pytest.raises(ConfigError) as error:
             read_edge(tmp_path / "edge.toml")
-        assert told in str(error.value)
+        assert message in str(error.value)
