--- a/bench/address.py
+++ b/bench/address.py
@@ -84,7 +84,7 @@
 
 def run_cluster(job: tuple[str, int]) -> tuple[list[float], int, list[str], list[float]]:
     """In a process of its own, so that one cluster's client doesn't wait for another's."""
-    tests.standins.PATIENCE = 60.0
+    tests.standins.WAIT_TIMEOUT = 60.0
     return asyncio.run(measure_cluster(*job))
 
 
--- a/lockspoke/__main__.py
+++ b/lockspoke/__main__.py
@@ -16,7 +16,7 @@
 
 def _run_tool(arguments: list[str]) -> int:
     try:
-        from .cli.main import run
+        from .cli.main import run  # noqa: PLC0415 - a gateway has to run without the tools' libraries
     except ModuleNotFoundError as error:
         print(f"lockspoke: {error.name} is not installed; pip install 'lockspoke[cli]'", file=sys.stderr)
         return EXIT_WRONG_USAGE
@@ -26,7 +26,7 @@
 def _run_gateway() -> int:
     # A reload may be requested while the program is still loading; it is unblocked once it can be handled.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
-    from .lifecycle.command_line import main as run_gateway
+    from .lifecycle.command_line import main as run_gateway  # noqa: PLC0415 - only after SIGHUP is blocked
 
     return run_gateway()
 
--- a/lockspoke/address/command_announcer.py
+++ b/lockspoke/address/command_announcer.py
@@ -40,7 +40,7 @@
         self._token, self._lease_until = token, lease_until
         self._request(CLAIM)
 
-    def withdraw(self, reason: str) -> None:
+    def withdraw(self, reason: str) -> None:  # noqa: ARG002 - the protocol of announcers has it
         """Start the command that takes the address away. The lease has ended, so nothing waits for it."""
         self._request(WITHDRAW)
 
--- a/lockspoke/address/control.py
+++ b/lockspoke/address/control.py
@@ -92,7 +92,7 @@
             data += received
     answer = json.loads(data or b"{}")
     if not isinstance(answer, dict):
-        raise ValueError("no answer")
+        raise ValueError("no answer")  # noqa: TRY004 - a fault of the peer, not of the caller
     if "error" in answer:
         raise ValueError(answer["error"])
     return answer
--- a/lockspoke/address/listener.py
+++ b/lockspoke/address/listener.py
@@ -70,7 +70,7 @@
             self.accepted_count += 1
             self.on_accepted(connection, self._token)
 
-    def withdraw(self, reason: str) -> None:
+    def withdraw(self, reason: str) -> None:  # noqa: ARG002 - the protocol of announcers has it
         """Stop listening; the system resets the connections in the backlog."""
         if self._socket is not None:
             asyncio.get_running_loop().remove_reader(self._socket.fileno())
--- a/lockspoke/address/member.py
+++ b/lockspoke/address/member.py
@@ -86,7 +86,7 @@
         if self._control is not None:
             await self._control.start()
         if self.settings.metrics:
-            from .metrics import serve
+            from .metrics import serve  # noqa: PLC0415 - prometheus_client takes memory
 
             self._stop_metrics = serve(parse_endpoint(self.settings.metrics), self.status)
         host, port = self.node.peer_addresses[self.name]
@@ -152,12 +152,12 @@
         self.health.limits = settings.health.limits()
         self.settings = settings
 
-    async def leave(self, timeout: float) -> None:
+    async def leave(self, timeout: float) -> None:  # noqa: ASYNC109 - the wait is a poll of the election
         """Transfer the address, or release it if no member takes it over within `timeout` seconds."""
         self.node.start_leaving()
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
-        while not self.node.has_left and loop.time() < deadline:
+        while not self.node.has_left and loop.time() < deadline:  # noqa: ASYNC110 - the election has no events
             await asyncio.sleep(LEAVE_POLL_INTERVAL)
 
     def stop(self) -> None:
--- a/lockspoke/address/node.py
+++ b/lockspoke/address/node.py
@@ -30,7 +30,7 @@
 class Node:
     """One member on its UDP port. `on_lease_change` gets each lease action and the time on its clock."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913 - the keyword arguments are optional
         self,
         name: str,
         peer_addresses: Mapping[str, HostPort],
--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -168,6 +168,6 @@
     def claim(self, token: int, lease_until: Callable[[], int]) -> None:
         """Do nothing."""
 
-    def withdraw(self, reason: str) -> None:
+    def withdraw(self, reason: str) -> None:  # noqa: ARG002 - the protocol of announcers has it
         """Report the withdrawal."""
         self._on_withdrawn()
--- a/lockspoke/batch/runner.py
+++ b/lockspoke/batch/runner.py
@@ -77,7 +77,7 @@
         """Start no more lines and wait for those in flight."""
         self.slots.stop()
         # Polled: the interval leaves a batch whose last line has just ended the time to finish.
-        while self.slots.in_flight:
+        while self.slots.in_flight:  # noqa: ASYNC110  see the line above
             await asyncio.sleep(POLL_INTERVAL)
         self.tasks.cancel_all()
 
--- a/lockspoke/batch/subsystem.py
+++ b/lockspoke/batch/subsystem.py
@@ -57,7 +57,7 @@
             raise ConfigError(f"batch.token_env names {settings.token_env}, which is not set")
         self.descriptors = settings.connections
 
-    def attach(self, core: Core, clients: ClientFront) -> None:
+    def attach(self, core: Core, clients: ClientFront) -> None:  # noqa: ARG002  lines need no client front
         """Open the store and put the parts together; raises ConfigError if the store cannot be opened."""
         settings = self.settings
         try:
--- a/lockspoke/lifecycle/bans_file.py
+++ b/lockspoke/lifecycle/bans_file.py
@@ -15,7 +15,7 @@
 import structlog
 
 VERSION = 1
-DEFAULT_FOLDER = "/tmp"
+DEFAULT_FOLDER = "/tmp"  # noqa: S108 - the platform's folder for what lasts over an upgrade
 
 log = structlog.get_logger()
 
--- a/lockspoke/lifecycle/command_line.py
+++ b/lockspoke/lifecycle/command_line.py
@@ -77,7 +77,7 @@
 def _section_reader(edge: Path | None, batch: Path | None) -> SectionReader:
     if edge is None and batch is None:
         return tuple  # no sections
-    from .edge_file import (
+    from .edge_file import (  # noqa: PLC0415 - it loads msgspec, which a gateway without such a file doesn't need
         read_batch_file,
         read_edge,
     )
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -77,7 +77,8 @@
         await until(lambda: len(listener.updates) >= updates or bool(listener.failed))
         discovery_watch.close()
         discovery.over.set()
-        return discovery.times
+        times: list[float] = discovery.times
+        return times
 
 
 def test_a_lost_watch_is_reopened_at_once() -> None:
