--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import itertools
 import json
 from pathlib import Path
 
@@ -230,3 +231,31 @@
         assert set(harness.results(batch).values()) == {"batch_cancelled"}
 
     harness.run(scenario)
+
+
+def test_cancelling_a_batch_with_many_open_lines_leaves_the_event_loop_free(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """With more lines to end than may end at once, the scheduler looked for a line to start for ever."""
+    harness = Harness(tmp_path)
+    slots = harness.runner.slots
+    is_available, calls = slots.available, itertools.count()
+
+    def available() -> bool:
+        assert next(calls) < 10_000, "the scheduler does not give up the event loop"
+        return is_available()
+
+    async def scenario() -> None:
+        # No line starts while interactive requests are rejected; by the cancellation one may.
+        harness.world.core.request_lifecycle.interactive_rejected_at = harness.world.now()
+        batch = await harness.begin_batch(*lines(100))
+        await until(lambda: batch.status is BatchStatus.IN_PROGRESS)
+        await harness.store.set_status(batch, BatchStatus.CANCELLING)
+        monkeypatch.setattr(slots, "available", available)
+        harness.world.time += 2 * PAUSE_AFTER_REJECTION
+        harness.runner.notify()
+        async with asyncio.timeout(10):
+            await until(lambda: batch.is_final)
+        assert set(harness.results(batch).values()) == {"batch_cancelled"}
+
+    harness.run(scenario)
