--- a/tests/clocked.py
+++ b/tests/clocked.py
@@ -1,7 +1,7 @@
-"""A controlled clock: an event loop whose time moves only when nothing is ready, and a network beside it.
+"""An event loop with a simulated clock, whose time advances only when nothing is ready, and a network for it.
 
-Connections are socket pairs, so that what one side writes the other can read at once; time is the test's. A
-play of a minute takes a second, and the same seed plays the same every time.
+Connections are socket pairs, so that what one side writes the other can read at once. A simulated minute
+takes a second, and the same seed gives the same run.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Looks at what is ready, and passes the time that would be waited."""
+    """Returns what is ready, and advances the clock instead of waiting."""
 
     loop: ClockedLoop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = super().select(0)
         if not ready and timeout is None:
-            raise AssertionError("nothing is ready, and nothing will ever be")
+            raise AssertionError("nothing is ready, and no timer is set")
         if not ready and timeout:
             self.loop.pass_time(timeout)
         return ready
 
 
 class ClockedLoop(asyncio.SelectorEventLoop):
-    """An event loop by a clock of its own, which begins at some Unix time."""
+    """An event loop with its own clock, which starts at an arbitrary time."""
 
     def __init__(self) -> None:
         self._now = 1_000.0
@@ -47,12 +47,12 @@
         return self._now
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass; called from a task or callback, the loop is busy for so long."""
+        """Advance the clock; called from a task or callback, the loop is busy for that long."""
         self._now += max(seconds, 1e-6)
 
 
 class ControlledClock:
-    """The clock of a core that runs on such a loop."""
+    """The clock of a core on such a loop."""
 
     def __init__(self, loop: ClockedLoop) -> None:
         self.loop = loop
@@ -68,25 +68,25 @@
 
 
 class Reachability(Enum):
-    """What a connection to an address meets."""
+    """What happens to a connection to an address."""
 
-    REACHABLE = "up"
+    REACHABLE = "reachable"
     REFUSES = "refuses"
-    HANGS = "never comes up"
+    HANGS = "hangs"
 
 
 class ObservedStream(IOStream):
-    """A stream that says when something is written to it."""
+    """A stream that reports what is written to it."""
 
-    written: Callable[[bytes], None]
+    on_write: Callable[[bytes], None]
 
     def write(self, data: Any) -> Any:
-        self.written(bytes(data))
+        self.on_write(bytes(data))
         return super().write(data)
 
 
 class Network:
-    """Addresses, what is reached there, and every write of the gateway."""
+    """Addresses, the services at them, and a hook for every write of the gateway."""
 
     def __init__(self) -> None:
         self.services: dict[Address, AcceptHandler] = {}
@@ -94,7 +94,7 @@
         self.on_write: Callable[[Address, bytes], None] = lambda endpoint, data: None
 
     async def dial(self, endpoint: Address) -> IOStream:
-        """As `lockspoke.wire.dialing.dial` does."""
+        """As `lockspoke.wire.tcp.dialing.dial` does."""
         reach = self.reachability.get(endpoint, Reachability.REACHABLE)
         if reach is Reachability.HANGS:
             await asyncio.get_running_loop().create_future()
@@ -103,14 +103,14 @@
         ours, theirs = socket.socketpair()
         theirs.setblocking(False)
         stream = ObservedStream(ours)
-        stream.written = lambda data: self.on_write(endpoint, data)
+        stream.on_write = lambda data: self.on_write(endpoint, data)
         self.services[endpoint](theirs)
         return stream
 
 
-def run(play: Callable[[ClockedLoop], Any]) -> None:
+def run(scenario: Callable[[ClockedLoop], Any]) -> None:
     """Run a coroutine function on such a loop."""
     with asyncio.Runner(loop_factory=ClockedLoop) as runner:
         loop = runner.get_loop()
         assert isinstance(loop, ClockedLoop)
-        runner.run(play(loop))
+        runner.run(scenario(loop))
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,7 +1,7 @@
-"""Peers whose every byte, half-close, reset and silence the test commands, and a gateway in this process.
+"""Connections whose every byte, half-close and reset the test controls, and a gateway in this process.
 
-What a peer does is in the kernel at once, and the gateway's loop hears of it only when the test awaits: so a
-test puts two events into the order that it wants, every time.
+What a peer does is in the kernel at once, and the gateway's loop notices it only when the test awaits, so a
+test determines the order of two events.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import contextlib
 import socket
 import struct
+import time
 from typing import Any
 
 from lockspoke.balancing.events import ReplicaState
@@ -28,8 +29,13 @@
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
 
+def block_event_loop(seconds: float) -> None:
+    """Keep the loop busy: it reads nothing and runs no timer meanwhile."""
+    time.sleep(seconds)
+
+
 class RawConnection:
-    """One connection, in the test's hands."""
+    """One connection, controlled by the test."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -49,20 +55,20 @@
         self.sock.close()
 
     async def read_some(self) -> bytes:
-        """The next bytes; none at the end."""
+        """The next bytes; empty at the end."""
         return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), WAIT_TIMEOUT)
 
-    async def read_until(self, mark: bytes) -> bytes:
-        """All that comes, up to a mark."""
+    async def read_until(self, marker: bytes) -> bytes:
+        """All bytes up to a marker."""
         got = b""
-        while mark not in got:
+        while marker not in got:
             data = await self.read_some()
             assert data, got
             got += data
         return got
 
     async def read_to_end(self) -> bytes:
-        """All that comes, up to an end that is in order."""
+        """All bytes up to a clean end."""
         got = b""
         while data := await self.read_some():
             got += data
@@ -70,7 +76,7 @@
 
 
 class ScriptedServer:
-    """A port where the test is the worker, or discovery; full, connections to it don't come up for now."""
+    """A port where the test is a replica or discovery; with a full backlog, connections to it hang."""
 
     def __init__(self, backlog_full: bool = False) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=0 if backlog_full else 16)
@@ -79,25 +85,25 @@
         self.backlog_fillers = [self._fill_backlog() for _ in range(backlog_full)]
 
     def _fill_backlog(self) -> socket.socket:
-        """A backlog of none holds one: what comes after it is asked to come again, a second later."""
-        plug = socket.create_connection(self.endpoint)
-        plug.setblocking(False)
-        return plug
+        """A backlog of 0 holds one connection; the handshake of the next is retried after a second."""
+        filler = socket.create_connection(self.endpoint)
+        filler.setblocking(False)
+        return filler
 
     async def free_backlog_and_accept(self) -> RawConnection:
-        """Take the connection that fills the backlog, so that the next comes up."""
-        for plug in self.backlog_fillers:
-            plug.close()
+        """Accept the connections that fill the backlog, so that the next is established."""
+        for filler in self.backlog_fillers:
+            filler.close()
             (await self.accept()).close()
         return await self.accept()
 
     async def accept(self) -> RawConnection:
-        taken = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.sock), WAIT_TIMEOUT)
-        return RawConnection(taken[0])
+        accepted, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.sock), WAIT_TIMEOUT)
+        return RawConnection(accepted)
 
 
 class Gateway:
-    """The parts that carry calls, joined as the program joins them."""
+    """The parts that carry requests, connected as the program connects them."""
 
     def __init__(
         self,
@@ -113,25 +119,25 @@
         self.core = Core(balancer_settings, 7, self.replica_set, clock, self.transport, discovery or self)
         self.front = ClientFront(self.core, {"docs": 0}, 64, 48_000_000, lambda: True)
         self.list_version = 0
-        self.has_unread_changes = False  # what it tells is in force at once
+        self.has_unread_changes = False  # its changes are applied at once
         self.update_replicas(
             *(
-                ListedReplica(f"w{at}", ReplicaState.READY, one.endpoint, "z")
-                for at, one in enumerate(replicas)
+                ListedReplica(f"w{index}", ReplicaState.READY, server.endpoint, "z")
+                for index, server in enumerate(replicas)
             )
         )
 
     def update_replicas(self, *entries: ListedReplica) -> None:
-        """What discovery has to say; the whole list at first."""
+        """Apply a change of the endpoint list; the complete list at first."""
         self.list_version += 1
         self.core.endpoint_list_changed(ReplicaListUpdate(self.list_version, self.list_version == 1, entries))
 
     def add_replicas(self, *replicas: ScriptedServer) -> None:
-        """Discovery has found more replicas."""
+        """Add replicas to the endpoint list."""
         self.update_replicas(
             *(
-                ListedReplica(f"more{at}", ReplicaState.READY, one.endpoint, "z")
-                for at, one in enumerate(replicas)
+                ListedReplica(f"more{index}", ReplicaState.READY, server.endpoint, "z")
+                for index, server in enumerate(replicas)
             )
         )
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds the program: workers, discovery, and a way to start it and speak to it."""
+"""Fakes of what surrounds the program, replicas and discovery, and helpers to start it and send requests."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import tempfile
 from collections.abc import Awaitable, Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, Self
 
 from lockspoke.wire.http.http1 import (
     BodyChunk,
@@ -22,9 +22,8 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-WAIT_TIMEOUT = float(
-    os.environ.get("PATIENCE", "30")
-)  # seconds a condition may take on a busy machine before a test fails
+# Seconds that a condition may take on a busy machine before a test fails.
+WAIT_TIMEOUT = float(os.environ.get("PATIENCE", "30"))
 SECOND = 1_000_000_000
 SETTINGS: dict[str, Any] = {
     "contract": {
@@ -65,21 +64,21 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; one that never comes true fails the test."""
+    """Wait for a condition; the test fails if it does not become true in time."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 class Server:
-    """Answers whole requests at a port that the kernel picks."""
+    """Answers complete requests at a port that the kernel chooses."""
 
     def __init__(self) -> None:
         self.port = self.closed = 0
         self.seen: list[Request] = []
         self.writers: list[asyncio.StreamWriter] = []
 
-    async def __aenter__(self) -> Any:
+    async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=512)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -91,10 +90,10 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        gatherer = RequestAssembler()
+        assembler = RequestAssembler()
         try:
             while data := await reader.read(65536):
-                for request in gatherer.feed(data):
+                for request in assembler.feed(data):
                     self.seen.append(request)
                     await self.answer(request, writer)
         except ConnectionError:
@@ -111,7 +110,7 @@
 
 
 class FakeReplica(Server):
-    """Streams the same answer to everyone, or does what its script says."""
+    """Streams the same response to every request, or runs its script."""
 
     def __init__(self, script: Script | None = None, pause: float = 0.0) -> None:
         super().__init__()
@@ -128,14 +127,14 @@
 
 
 class FakeDiscovery(Server):
-    """Gives the list; a watch waits until it is changed."""
+    """Responds with the endpoint list; a watch waits until the list changes."""
 
     def __init__(self) -> None:
         super().__init__()
         self.rev = 1
         self.targets: list[dict[str, Any]] = []
         self.changed = asyncio.Event()
-        self.raw: bytes | None = None  # sent in place of the list, once
+        self.raw: bytes | None = None  # sent once instead of the list
 
     def change(self, *replicas: FakeReplica, state: str = "up") -> None:
         self.targets = [target(worker, state) for worker in replicas]
@@ -162,7 +161,7 @@
 
 
 class Program:
-    """The program itself, in a process of its own."""
+    """The program, in its own process."""
 
     def __init__(
         self,
@@ -183,7 +182,7 @@
         self.known = {"rev": 1, "all": True, "targets": [target(worker) for worker in replicas]}
         self.discovery = discovery.port if discovery is not None else 1
         self.options = options
-        self.fifo = False  # the configuration is a pipe: the test writes it as the program reads
+        self.fifo = False  # whether the configuration is a named pipe that the test writes
         self.logs: list[dict[str, Any]] = []
         self.raw_logs: list[str] = []
 
@@ -237,14 +236,14 @@
                 self.logs.append(json.loads(line))
 
     def log(self, event: str, **fields: Any) -> dict[str, Any] | None:
-        """The first log line of an event that holds these fields."""
+        """The first log line of an event with these fields."""
         for line in self.logs:
             if line["event"] == event and fields.items() <= line.items():
                 return line
         return None
 
     def reload(self, raw: str | None = None, **changes: Any) -> None:
-        """Put another file in the place of the configuration and say so."""
+        """Replace the configuration file and make the program reload it."""
         self.raw_config |= changes
         self.config.write_text(json.dumps(self.raw_config) if raw is None else raw)
         self.process.send_signal(signal.SIGHUP)
@@ -268,7 +267,7 @@
         self.writer.close()
 
     async def request(self, raw: bytes) -> tuple[int, dict[str, str], bytes, bool]:
-        """Status, fields, body, and whether the answer is whole."""
+        """Status, headers, body, and whether the response is complete."""
         self.writer.write(raw)
         return await asyncio.wait_for(self.read_response(), WAIT_TIMEOUT)
 
--- a/tests/wire/drain_play.py
+++ b/tests/wire/drain_simulation.py
@@ -1,8 +1,8 @@
-"""Random days for the rule on drains: the real watch, core and connections, under a controlled clock.
+"""Random simulations of the drain rule: the real watch, core and transport, under a controlled clock.
 
-Discovery and the replicas are stand-ins, and the judge keeps its own account: when each change was made, when
-it was written to the gateway, and how long discovery has been within reach since. A send to a replica later
-than the grace after its drain counts as told breaks the rule.
+Discovery and the replicas are fakes. The checker records independently when each change was made, when it was
+written to the gateway, and how long discovery has been reachable since. A request that is sent to a replica
+later than the grace period after the gateway was notified of its drain violates the rule.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import json
 import random
 import socket
-from collections.abc import Callable, Coroutine
+from collections.abc import AsyncIterator, Callable, Coroutine
 from dataclasses import dataclass, field
 from enum import Enum, auto
 from functools import partial
@@ -34,7 +34,7 @@
 from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk
 
 SECOND = 1_000_000_000
-DRAIN_GRACE = 0.25  # seconds after a change is told
+DRAIN_GRACE = 0.25  # seconds after the gateway is notified of a change
 MAX_PROPAGATION_TIME = 6.0  # seconds after discovery had a change and could be reached
 DURATION = 45.0  # seconds
 REPLICAS = 6
@@ -43,17 +43,17 @@
 
 
 class Fault(Enum):
-    """What may befall discovery once: the next request, or all that are open."""
+    """A single fault of discovery: of the next request, or of all open connections."""
 
-    SILENCED = auto()  # what is open falls silent, and stays open
-    RESET = auto()  # what is open is closed
+    SILENCED = auto()  # open connections get no more responses and stay open
+    RESET = auto()  # open connections are closed
     UNAVAILABLE = auto()  # the next request gets a 503
-    LOST = auto()  # the next request never gets an answer
-    TRUNCATED = auto()  # the next answer stops in its middle
-    SPLIT = auto()  # the next answer's second half comes late
-    BAD_ENTRY = auto()  # the next answer holds an entry that can't be read
-    STALE = auto()  # the next answer is the list as it was at the beginning
-    LATE = auto()  # the next answer comes just before its time is over, and the one after it is lost
+    LOST = auto()  # the next request never gets a response
+    TRUNCATED = auto()  # the next response ends in the middle
+    SPLIT = auto()  # the second half of the next response is late
+    BAD_ENTRY = auto()  # the next response has an entry that can't be decoded
+    STALE = auto()  # the next response is the list as it was at the start
+    LATE = auto()  # the next response comes just before its deadline, and the one after it is lost
 
 
 class Outage(Enum):
@@ -68,22 +68,22 @@
 
 @dataclass
 class Schedule:
-    """What happens on one day; times in seconds from its start."""
+    """The events of one simulation; times in seconds from its start."""
 
     outages: list[tuple[float, float, Outage]] = field(default_factory=list)
     faults: list[tuple[float, Fault]] = field(default_factory=list)
     endpoint_changes: list[float] = field(default_factory=list)
-    busy_periods: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # the loop is busy: when, for how long
+    # When the event loop is busy, and for how long.
+    busy_periods: list[tuple[float, float]] = field(default_factory=list)
     changes: list[tuple[float, str, str]] = field(default_factory=list)  # when, uid, state
     bans: list[tuple[float, float, str]] = field(default_factory=list)  # from when to when, uid
 
 
 def draw_schedule(random_: random.Random, faults_in_a_row: int) -> Schedule:
-    """A day's schedule: so many faults within the latest time, the end of an outage being one, then quiet.
+    """Draw a schedule: periods with this many faults within the propagation time, each followed by quiet.
 
-    With one, the start counts as it: hundreds of gateways that start ask in turn.
+    The end of an outage counts as a fault. With a single fault, so does the start, since hundreds of gateways
+    that start together are polling in turn.
     """
     day, now = Schedule(), random_.uniform(0.0, 4.0) + (MAX_PROPAGATION_TIME if faults_in_a_row == 1 else 0.0)
     while now < DURATION - 10:
@@ -92,7 +92,7 @@
             end = now + random_.uniform(0.5, 7.0)
             day.outages.append((now, end, random_.choice(list(Outage))))
             now, left = end, left - 1
-        # A list that is said twice is the service's own word, however old: so no fault comes twice.
+        # A stale list that comes twice is applied, rightly: so no fault comes twice.
         for fault in random_.sample(list(Fault), left):
             now += random_.uniform(0.0, 2.0)
             day.faults.append((now, fault))
@@ -103,7 +103,7 @@
     day.busy_periods = [(random_.uniform(0, DURATION), random_.uniform(0.05, 0.3)) for _ in range(6)]
     times = [at for at, _ in day.faults] + [end for _, end, _ in day.outages] + day.endpoint_changes + [0.0]
     for uid in random_.sample(range(REPLICAS), REPLICAS - 2):
-        # Drains come close to what else happens: before it, in it, and soon after.
+        # Drains come close to other events: before, during and soon after them.
         at = max(-3.0, random_.choice(times) + random_.uniform(-1.5, 2.5))
         day.changes.append((at, f"r{uid}", random_.choice(("draining", "removed"))))
         if random_.random() < 0.4:
@@ -116,16 +116,14 @@
 
 
 class DrainChecker:
-    """The rule, by its own account."""
+    """Checks the drain rule, from its own records."""
 
     def __init__(self, loop: ClockedLoop, schedule: Schedule) -> None:
         self.loop = loop
         self.start = loop.time()
         self.schedule = schedule
-        self.drained_at: dict[
-            str, float
-        ] = {}  # by uid, when the drain in force was made; as far as it is no more
-        self.written_at: dict[str, float] = {}  # and when it was written to the gateway first
+        self.drained_at: dict[str, float] = {}  # by uid, of replicas that are draining or removed now
+        self.written_at: dict[str, float] = {}  # by uid, when that was first written to the gateway
         self.banned: set[str] = set()
         self.requests = 0
         self.violations: list[str] = []
@@ -147,12 +145,12 @@
             self.drained_at[uid] = self.now()
 
     def record_written(self, uids: set[str]) -> None:
-        """An answer that holds the drains of these replicas has been written whole."""
+        """A response with the drains of these replicas has been written completely."""
         for uid in uids & self.drained_at.keys():
             self.written_at.setdefault(uid, self.now())
 
     def notified_at(self, uid: str) -> float:
-        """When the drain in force counts as told."""
+        """When the gateway counts as notified of the current drain."""
         reached = max(self.drained_at[uid], 0.0)
         for begin, end, _ in self.schedule.outages:
             if begin < reached + MAX_PROPAGATION_TIME and end > reached:
@@ -163,26 +161,26 @@
         self.requests += 1
         if uid in self.banned:
             self.violations.append(f"{uid} sent to at {self.now():.3f}: an operator has taken it out of use")
-        if uid in self.drained_at and self.now() > (told := self.notified_at(uid)) + DRAIN_GRACE:
-            made, written = self.drained_at[uid], self.written_at.get(uid)
+        if uid in self.drained_at and self.now() > (notified := self.notified_at(uid)) + DRAIN_GRACE:
+            drained, written = self.drained_at[uid], self.written_at.get(uid)
             self.violations.append(
-                f"{uid} sent to at {self.now():.3f}: {made=:.3f} {written=} told={told:.3f}"
+                f"{uid} sent to at {self.now():.3f}: {drained=:.3f} {written=} {notified=:.3f}"
             )
 
 
 class FakeConnections:
-    """The connections that a stand-in has taken, and a task for each."""
+    """The connections that a fake server has accepted, with a task for each."""
 
     def __init__(self) -> None:
         self.open: dict[socket.socket, asyncio.Task[None]] = {}
 
-    def serve(self, sock: socket.socket, served: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.ensure_future(served)
+    def serve(self, sock: socket.socket, handler: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(handler)
         self.open[sock] = task
         task.add_done_callback(lambda _: self.open.pop(sock, None))
 
     def silence(self) -> None:
-        """Nothing more is written; the connections stay open."""
+        """Write no more responses; the connections stay open."""
         for task in self.open.values():
             task.cancel()
 
@@ -192,24 +190,24 @@
             sock.close()
 
 
-async def read_requests(sock: socket.socket) -> Any:
-    """The requests that come on a connection, one by one."""
-    loop, gatherer = asyncio.get_running_loop(), RequestAssembler()
+async def read_requests(sock: socket.socket) -> AsyncIterator[Request]:
+    """The requests that arrive on a connection."""
+    loop, assembler = asyncio.get_running_loop(), RequestAssembler()
     with contextlib.suppress(OSError):
         while data := await loop.sock_recv(sock, 65536):
-            for request in gatherer.feed(data):
+            for request in assembler.feed(data):
                 yield request
 
 
 class FakeDiscovery:
-    """Discovery at any of its addresses."""
+    """Discovery, at all of its addresses."""
 
-    def __init__(self, random_: random.Random, judge: DrainChecker, network: Network) -> None:
+    def __init__(self, random_: random.Random, checker: DrainChecker, network: Network) -> None:
         self.random = random_
-        self.checker = judge
+        self.checker = checker
         self.network = network
         self.connections = FakeConnections()
-        self.silenced: list[socket.socket] = []  # kept, so that they stay open
+        self.silenced: list[socket.socket] = []  # referenced, so that they stay open
         self.version = 1
         self.states = {f"r{n}": "up" for n in range(REPLICAS)}
         self.history: list[tuple[int, str]] = []  # version and uid of each change
@@ -217,8 +215,8 @@
         self.fault: Fault | None = None  # of the next request
         self.on_drain_written: Callable[[], None] = lambda: None
         self.current_outage: Outage | None = None
-        for home in DISCOVERY_ADDRESSES:
-            network.services[home] = self.accept
+        for address in DISCOVERY_ADDRESSES:
+            network.services[address] = self.accept
 
     def accept(self, sock: socket.socket) -> None:
         self.connections.serve(sock, self.serve(sock))
@@ -233,9 +231,9 @@
 
     def begin_outage(self, outage: Outage) -> None:
         self.current_outage = outage
-        reach = {Outage.REFUSES: Reachability.REFUSES, Outage.CONNECT_HANGS: Reachability.HANGS}
-        for home in DISCOVERY_ADDRESSES:
-            self.network.reachability[home] = reach.get(outage, Reachability.REACHABLE)
+        reachability = {Outage.REFUSES: Reachability.REFUSES, Outage.CONNECT_HANGS: Reachability.HANGS}
+        for address in DISCOVERY_ADDRESSES:
+            self.network.reachability[address] = reachability.get(outage, Reachability.REACHABLE)
         if outage in (Outage.CONNECT_HANGS, Outage.SILENT):
             self.silenced += self.connections.open
             self.connections.silence()
@@ -270,8 +268,8 @@
 
     async def respond(self, sock: socket.socket, request: Request) -> None:
         fault, self.fault = self.fault, None
-        asked = dict(part.split("=") for part in request.head.query.split("&") if part)
-        since, hold = int(asked.get("from", -1)), int(asked.get("hold_ms", 0)) / 1000
+        query = dict(part.split("=") for part in request.head.query.split("&") if part)
+        since, hold = int(query.get("from", -1)), int(query.get("hold_ms", 0)) / 1000
         if fault is Fault.UNAVAILABLE:
             sock.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             return
@@ -286,22 +284,22 @@
             return
         if fault is Fault.LATE:
             await asyncio.sleep(WATCH_GRACE - 0.1)
-        whole = since < 0
-        uids = self.states.keys() if whole else {uid for version, uid in self.history if version > since}
+        complete = since < 0
+        uids = self.states.keys() if complete else {uid for version, uid in self.history if version > since}
         named = {uid: self.states[uid] for uid in uids}
-        drains = {uid for uid, state in self.states.items() if state != "up" and (whole or uid in uids)}
-        await self.write_response(sock, fault, self.encode_list(self.version, whole, named, fault), drains)
+        drains = {uid for uid, state in self.states.items() if state != "up" and (complete or uid in uids)}
+        await self.write_response(sock, fault, self.encode_list(self.version, complete, named, fault), drains)
 
     @staticmethod
-    def encode_list(version: int, whole: bool, named: dict[str, str], fault: Fault | None = None) -> bytes:
+    def encode_list(version: int, complete: bool, named: dict[str, str], fault: Fault | None = None) -> bytes:
         targets: list[Any] = [
             {"uid": uid, "endpoint": f"{uid}:80", "az": "z", "state": state, "boot_ms": 0}
             for uid, state in named.items()
-            if not (whole and state == "removed")
+            if not (complete and state == "removed")
         ]
         if fault is Fault.BAD_ENTRY:
             targets.insert(0, {"uid": "r0", "state": "up", "endpoint": 7})
-        body = json.dumps({"rev": version, "all": whole, "targets": targets}).encode()
+        body = json.dumps({"rev": version, "all": complete, "targets": targets}).encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
     async def write_response(
@@ -316,21 +314,21 @@
             data = data[half:]
         sock.send(data)
         self.checker.record_written(drains)
-        loop, luck = self.checker.loop, self.random.random()
+        loop, random_value = self.checker.loop, self.random.random()
         if fault is Fault.LATE:
             self.fault = Fault.LOST
             loop.call_soon(loop.pass_time, 0.3)
-        elif drains and luck < 0.5:
-            # The loop is held with the drain unread, and requests that came meanwhile are ready with it.
+        elif drains and random_value < 0.5:
+            # The loop is busy while the drain is unread; requests that arrive meanwhile are read with it.
             loop.call_soon(loop.pass_time, self.random.uniform(0.2, 0.5))
-        elif drains and luck < 0.8 and self.checker.far_from_faults():
-            # Discovery moves with the drain unread, and its new address does not answer at first.
+        elif drains and random_value < 0.8 and self.checker.far_from_faults():
+            # Discovery moves while the drain is unread; its new address does not respond at first.
             self.fault = Fault.LOST
             loop.call_soon(self.on_drain_written)
 
 
 class FakeReplicas:
-    """All replicas: they answer, turn away, break off or hang."""
+    """All replicas: they respond, reject, reset or hang."""
 
     def __init__(self, random_: random.Random, network: Network) -> None:
         self.random = random_
@@ -345,18 +343,18 @@
         async for _ in read_requests(sock):
             await asyncio.sleep(self.random.uniform(0.01, 0.4))
             with contextlib.suppress(OSError):
-                luck = self.random.random()
-                if luck < 0.05:
+                random_value = self.random.random()
+                if random_value < 0.05:
                     sock.close()
                     return
-                if luck < 0.1:
+                if random_value < 0.1:
                     sock.send(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-                elif luck > 0.03:
+                elif random_value > 0.03:
                     sock.send(STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b""))
 
 
 class DiscardingWriter:
-    """A client that takes whatever comes."""
+    """A client that discards its response."""
 
     has_unread_input = False
 
@@ -373,22 +371,22 @@
 
 
 class DrainSimulation:
-    """One gateway's day."""
+    """One gateway, with the events of one schedule."""
 
     def __init__(self, loop: ClockedLoop, seed: int, gateways: int, faults_in_a_row: int) -> None:
         self.loop = loop
         self.random = random.Random(seed)
         self.schedule = draw_schedule(self.random, faults_in_a_row)
         self.checker = DrainChecker(loop, self.schedule)
-        network, timers = Network(), ControlledClock(loop)
+        network, clock = Network(), ControlledClock(loop)
         network.on_write = self._written
         self.discovery = FakeDiscovery(self.random, self.checker, network)
         self.replicas = FakeReplicas(self.random, network)
         index = self.random.randrange(gateways)
         self.watch = DiscoveryWatch(DISCOVERY_ADDRESSES[0], hold_duration_ms(index, gateways), network.dial)
         self.discovery.on_drain_written = partial(self.watch.change_endpoint, DISCOVERY_ADDRESSES[1])
-        workers = ReplicaTransport((), SECOND, 10 * SECOND, 64, timers.now, network.dial)
-        told = settings(
+        self.transport = ReplicaTransport((), SECOND, 10 * SECOND, 64, clock.now, network.dial)
+        balancer_settings = settings(
             classes=(RequestClass(),),
             polls_endpoint_list=self.random.random() < 0.8,
             poll_interval=10 * SECOND,
@@ -396,9 +394,10 @@
             gateway_index=index,
             hedging_allowed=True,
         )
-        self.core = Core(told, seed, ReplicaSet(Identifiers(), ["z"]), timers, workers, self.watch)
+        self.core = Core(
+            balancer_settings, seed, ReplicaSet(Identifiers(), ["z"]), clock, self.transport, self.watch
+        )
         self.watch.attach(self.core)
-        self.transport = workers
 
     def _written(self, endpoint: Address, data: bytes) -> None:
         if endpoint not in DISCOVERY_ADDRESSES:
@@ -442,11 +441,11 @@
         self.core.endpoint_list_changed(ReplicaListUpdate(1, True, known), cached=True)
 
     def _ban(self, uid: str, banned: bool) -> None:
-        if self.core.set_banned(uid, banned):  # a replica that is gone and forgotten can't be banned
+        if self.core.set_banned(uid, banned):  # a removed replica may be unknown and can't be banned
             (self.checker.banned.add if banned else self.checker.banned.discard)(uid)
 
     def _submit_request(self) -> None:
         request = ClientRequest(DiscardingWriter(), 0, 3 * SECOND, "id", "POST", "/x", {"host": "h"}, b"{}")
         request.session = self.random.getrandbits(32)
-        request.background = self.random.random() < 0.1  # a line of a batch
+        request.background = self.random.random() < 0.1  # as a line of a batch
         self.core.submit(request)
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -1,4 +1,4 @@
-"""How long idle connections are kept: by times handed in, and by what a worker on a socket answers."""
+"""The idle timeout of connections to replicas, by given times and by the responses of a replica."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from tests.standins import until
 
-START = 5_000_000.0  # a machine that has been up for long
+START = 5_000_000.0  # a machine that has been running for a long time
 
 
 def test_rejected_connections_halve_the_idle_timeout_and_it_recovers() -> None:
@@ -25,7 +25,7 @@
     keep_alive.connection_rejected(START)
     assert keep_alive.idle_timeout(START) == 4.0
     keep_alive.connection_rejected(START + MIN_IDLE_TIMEOUT / 2)
-    assert keep_alive.idle_timeout(START) == 4.0, "one moment's refusals are one sign"
+    assert keep_alive.idle_timeout(START) == 4.0, "rejections at the same moment count once"
     keep_alive.connection_rejected(START + RECOVERY_INTERVAL / 2)
     assert 2.0 < keep_alive.idle_timeout(START + RECOVERY_INTERVAL / 2) < 4.0
     assert keep_alive.idle_timeout(START + 3 * RECOVERY_INTERVAL) == 8.0
@@ -46,7 +46,7 @@
 
 
 class RecordingListener:
-    """Takes the ends of attempts."""
+    """Records the outcomes of attempts."""
 
     def __init__(self) -> None:
         self.outcomes: list[Outcome] = []
@@ -66,7 +66,7 @@
 
 
 async def serve_replica(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A worker: it turns away what is sent to /full, and keeps the connection."""
+    """A replica that rejects requests to /full and keeps the connection open."""
     with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
@@ -78,37 +78,37 @@
 
 
 def test_only_a_rejected_new_connection_halves_the_idle_timeout() -> None:
-    """Of 4,861 attempts 1,580 met a full table while 630 of 1,000 connections stood idle."""
+    """Of 4,861 attempts 1,580 were rejected by full replicas while 630 of 1,000 connections were idle."""
 
-    async def whole() -> None:
+    async def scenario() -> None:
         server = await asyncio.start_server(serve_replica, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        told, loop = RecordingListener(), asyncio.get_running_loop()
-        connections = ReplicaTransport((), 5_000 * MS, 10_000 * MS, 8, time.time_ns)
+        listener, loop = RecordingListener(), asyncio.get_running_loop()
+        transport = ReplicaTransport((), 5_000 * MS, 10_000 * MS, 8, time.time_ns)
 
-        async def ask(target: str, worker: Replica) -> Outcome:
-            call = ClientRequest(
+        async def send(target: str, replica: Replica) -> Outcome:
+            request = ClientRequest(
                 StreamingResponse.__new__(StreamingResponse), 0, 0, "1", "POST", target, {}, b""
             )
             now = time.time_ns()
-            count = len(told.outcomes)
-            connections.start(Attempt(call, 0, worker, now, now + 5_000 * MS, told))
-            await until(lambda: len(told.outcomes) > count)
-            return told.outcomes[-1]
+            count = len(listener.outcomes)
+            transport.start(Attempt(request, 0, replica, now, now + 5_000 * MS, listener))
+            await until(lambda: len(listener.outcomes) > count)
+            return listener.outcomes[-1]
 
         try:
             first, second = (Replica(n, str(n), ("127.0.0.1", port), ReplicaState.READY, 0) for n in (1, 2))
-            assert await ask("/", first) is Outcome.OK
-            idle = connections.pool.idle[1][0]
+            assert await send("/", first) is Outcome.OK
+            idle = transport.pool.idle[1][0]
             await until(lambda: loop.time() > idle.idle_since + SETTLE_TIME)
-            assert await ask("/full", first) is Outcome.OVERLOADED
-            assert connections.pool.keep_alive.idle_timeout(loop.time()) == 8.0, (
-                "a kept connection had its place"
+            assert await send("/full", first) is Outcome.OVERLOADED
+            assert transport.pool.keep_alive.idle_timeout(loop.time()) == 8.0, (
+                "a reused connection says nothing about capacity"
             )
-            assert await ask("/full", second) is Outcome.OVERLOADED
-            assert connections.pool.keep_alive.idle_timeout(loop.time()) < 5.0
+            assert await send("/full", second) is Outcome.OVERLOADED
+            assert transport.pool.keep_alive.idle_timeout(loop.time()) < 5.0
         finally:
-            connections.close()
+            transport.close()
             server.close()
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The time left that a replica is told is never more than its client has, from the request's last byte on."""
+"""The deadline that a replica receives never exceeds the time that its client still waits."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from typing import Any
 
 from lockspoke.lifecycle.event_loop import PolledLoop
-from tests.peers import Gateway, RawConnection, ScriptedServer
+from tests.peers import Gateway, RawConnection, ScriptedServer, block_event_loop
 from tests.standins import EVENTS, STREAM_HEAD, chunk, request_bytes, until
 
 DEADLINE_MS = 4000
-TOLERANCE_MS = 150  # the operators' figure
-BUSY_TIME = 0.4  # seconds
+TOLERANCE_MS = 150  # required
+BUSY_TIME = 0.4  # seconds for which the loop is busy
 
 
 def run_scenario(
     test: Callable[[Gateway, ScriptedServer], Awaitable[None]], full: bool = False, **settings: Any
 ) -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         peer = ScriptedServer(backlog_full=full)
         async with Gateway(peer, **settings) as gateway:
             await test(gateway, peer)
 
     with asyncio.Runner(loop_factory=PolledLoop) as runner:
-        runner.run(whole())
+        runner.run(scenario())
 
 
 async def received_deadline_ms(line: RawConnection) -> int:
-    """The time left that a request on a replica's connection tells."""
+    """The deadline in the request on a replica's connection."""
     found = re.search(rb"(?i)req-deadline-ms: (\d+)", await line.read_until(b"{}"))
     assert found is not None
     return int(found[1])
 
 
 def remaining_ms(sent_at: float) -> float:
-    """What the client has left of its deadline, and the slack."""
+    """What the client has left of its deadline, plus the tolerance."""
     return DEADLINE_MS - (time.monotonic() - sent_at) * 1000 + TOLERANCE_MS
 
 
@@ -72,7 +72,7 @@
 
 
 def test_a_pipelined_request_gets_the_time_that_remains_after_the_one_before_it() -> None:
-    """Its time began with its turn: it was told, and waited, longer than its client would."""
+    """Its deadline began with its turn, so that it had more time than its client."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
@@ -94,7 +94,7 @@
         await until(lambda: len(gateway.front.listener.connections) == 1)
         sent_at = time.monotonic()
         client.send(request_bytes(1, DEADLINE_MS))
-        time.sleep(BUSY_TIME)
+        block_event_loop(BUSY_TIME)
         assert await received_deadline_ms(await peer.accept()) <= remaining_ms(sent_at)
 
     run_scenario(test)
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -1,7 +1,7 @@
-"""The rule on drains over real connections: nothing new goes to a replica once its drain has been told.
+"""The drain rule over real connections: no new request is sent to a replica after its drain.
 
-A change is told when discovery has written it, read or not. What discovery, clients and replicas do is in the
-kernel before the gateway's loop hears of it, so each test has its bad order every time.
+A gateway is notified of a change when discovery has written it, read or not. What discovery, clients and
+replicas send is in the kernel before the gateway's loop reads it, so each test gets its order of events.
 """
 
 from __future__ import annotations
@@ -9,7 +9,6 @@
 import asyncio
 import contextlib
 import json
-import time
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -24,12 +23,12 @@
 from lockspoke.wire.discovery.messages import MAX_LIST_SIZE
 from lockspoke.wire.discovery.watch import DiscoveryWatch
 from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
-from tests.peers import Gateway, RawConnection, ScriptedServer
+from tests.peers import Gateway, RawConnection, ScriptedServer, block_event_loop
 from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk, request_bytes, until
 
 HOLD_MS = 60_000
 SHORT_HOLD_MS = 200
-BUSY_TIME = 0.3  # seconds for which the loop is held: longer than the grace of 250 ms
+BUSY_TIME = 0.3  # seconds for which the loop is blocked: longer than the grace period of 250 ms
 
 RESPONSE = STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b"")
 
@@ -40,13 +39,13 @@
 
 
 def list_response(rev: int, *targets: Any, whole: bool = False) -> bytes:
-    """An answer of discovery."""
+    """A response of discovery."""
     body = json.dumps({"rev": rev, "all": whole, "targets": targets}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
 class DrainScenario:
-    """A gateway, two replicas, and discovery in the test's hands."""
+    """A gateway, with two replicas and discovery controlled by the test."""
 
     def __init__(self, hold_ms: int = HOLD_MS, polls: bool = False) -> None:
         self.first, self.second, self.discovery = ScriptedServer(), ScriptedServer(), ScriptedServer()
@@ -59,7 +58,7 @@
         return list_response(2, entry("w0", self.first, "draining"))
 
     async def start_watch(self) -> RawConnection:
-        """The connection on which the gateway waits for a change, after an answer with none."""
+        """Start the watch; returns the connection on which the gateway waits for a change."""
         self.watch.watch(True)
         line = await self.discovery.accept()
         await line.read_until(b"\r\n\r\n")
@@ -68,18 +67,18 @@
         return line
 
     def submit_request(self, client: RawConnection) -> None:
-        """A request reaches the gateway's decisions in this very turn of the loop; they pick a replica."""
+        """Submit a request without yielding to the loop; the balancer chooses a replica."""
         client.send(request_bytes(1))
         (connection,) = self.gateway.front.listener.connections
         assert isinstance(connection, ClientConnection)
         connection._take(connection.stream.socket.recv(65536))
 
     def listed_state(self, uid: str) -> ReplicaState:
-        """What the list in force says of a replica."""
+        """The state of a replica in the current list."""
         return next(one.state for one in self.gateway.replica_set.replicas.values() if one.uid == uid)
 
     async def open_idle_connections(self, client: RawConnection) -> dict[str, RawConnection]:
-        """A connection kept idle to each replica, by uid."""
+        """Open an idle connection to each replica; returns them by uid."""
         lines: dict[str, RawConnection] = {}
         loop, number = asyncio.get_running_loop(), 100
         accepting = {
@@ -103,9 +102,9 @@
         return lines
 
     def chosen_replica(self) -> tuple[str, ScriptedServer]:
-        """The replica that the request was decided for."""
-        (call,) = self.gateway.core.requests.values()
-        uid = call.attempts[0].replica.uid
+        """The replica that was chosen for the only request."""
+        (request,) = self.gateway.core.requests.values()
+        uid = request.attempts[0].replica.uid
         return uid, self.first if uid == "w0" else self.second
 
 
@@ -128,7 +127,7 @@
 
 
 def test_a_drain_unread_while_the_loop_is_busy_is_applied_before_any_request_is_sent() -> None:
-    """Told, then the loop was busy for longer than the grace: requests ready to go were written first."""
+    """The loop was busy for longer than the grace period; requests were written before the drain was read."""
 
     async def test(scene: DrainScenario) -> None:
         line, client = await scene.start_watch(), await idle_client(scene)
@@ -136,16 +135,18 @@
         scene.submit_request(client)
         uid, replica = scene.chosen_replica()
         line.send(list_response(2, entry(uid, replica, "draining")))
-        time.sleep(BUSY_TIME)
+        block_event_loop(BUSY_TIME)
         other = lines["w1" if uid == "w0" else "w0"]
         assert b"0000000000000001" in await other.read_until(b"{}")
-        assert await lines[uid].read_to_end() == b"", "its idle connection is closed, and nothing came on it"
+        assert await lines[uid].read_to_end() == b"", (
+            "its idle connection is closed, and nothing was sent on it"
+        )
 
     run_scenario(test)
 
 
 def test_a_response_that_arrives_at_its_deadline_is_applied() -> None:
-    """Its bytes were read, and the call that they answered was given up in the same turn of the loop."""
+    """Its bytes were read, and the request was timed out in the same iteration of the loop."""
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
@@ -153,7 +154,7 @@
         while asyncio.get_running_loop().time() < held - 0.1:
             await asyncio.sleep(0.01)
         line.send(scene.drain_of_first)
-        time.sleep(max(0.0, held - asyncio.get_running_loop().time()))
+        block_event_loop(max(0.0, held - asyncio.get_running_loop().time()))
         await until(lambda: scene.gateway.replica_set.version == 2)
         assert scene.listed_state("w0") is ReplicaState.DRAINING
 
@@ -161,7 +162,7 @@
 
 
 def test_a_drain_written_as_discovery_moved_is_applied() -> None:
-    """The old service had written it, and it was dropped with its connection; the new one may be slow."""
+    """The old service had written it, and it was lost with the connection; the new service may be slow."""
 
     async def test(scene: DrainScenario) -> None:
         line, slow = await scene.start_watch(), ScriptedServer()
@@ -190,19 +191,19 @@
 
 @pytest.mark.parametrize("bad", [{"uid": 5}, {"uid": "w1", "state": "odd"}, 7, {"uid": "w1", "state": "up"}])
 def test_a_drain_beside_an_unreadable_entry_is_applied(bad: Any) -> None:
-    """One bad entry made the whole answer void, its good drains included."""
+    """One malformed entry made the whole response unusable, with its valid drains."""
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
         line.send(list_response(2, entry("w0", scene.first, "draining"), bad))
         await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
-        assert scene.gateway.replica_set.version == 1, "the same is asked for again"
+        assert scene.gateway.replica_set.version == 1, "the same changes are requested again"
 
     run_scenario(test)
 
 
 def test_a_stale_response_makes_no_drained_replica_ready() -> None:
-    """Its version was taken as it came, and what it listed with it; the whole list is asked for instead."""
+    """Its version and entries were applied as they were; the complete list is requested instead."""
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
@@ -216,15 +217,13 @@
         )
         line.send(list_response(1, entry("w0", scene.first), entry("w1", scene.second), whole=True))
         await line.read_until(b"from=1&")
-        assert scene.listed_state("w0") is ReplicaState.READY, (
-            "said as the whole list, it is the service's own word"
-        )
+        assert scene.listed_state("w0") is ReplicaState.READY, "a complete list is applied"
 
     run_scenario(test)
 
 
 def test_a_restarted_service_with_lower_versions_is_asked_for_its_complete_list() -> None:
-    """What it had changed up to that version was never asked for."""
+    """Its changes up to that version were never requested."""
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
@@ -236,52 +235,52 @@
 
 
 MALFORMED_RESPONSES = {
-    "no list": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
+    "not an object": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
     "not JSON": b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"rev": 2',
     "a bad version": b'HTTP/1.1 200 OK\r\nContent-Length: 39\r\n\r\n{"rev": -2, "all": true, "targets": []}',
     "no HTTP": b"{}" * 20_000,
     "an endless head": b"HTTP/1.1 200 OK\r\n" + b"X-Filler: " + b"x" * 70_000,
-    "a length that is none": b"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
-    "a list too long": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_LIST_SIZE + 1)
+    "a malformed length": b"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
+    "a list that is too large": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_LIST_SIZE + 1)
     + b" " * (MAX_LIST_SIZE + 1),
-    "a refusal": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+    "an overload": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 }
 
 
 @pytest.mark.parametrize("bad", MALFORMED_RESPONSES.values(), ids=MALFORMED_RESPONSES.keys())
 def test_an_unreadable_response_is_logged_once_and_requested_again(bad: bytes) -> None:
-    """What was in force stays; the drain that comes with the next answer is taken."""
+    """The list stays as it was; the drain in the next response is applied."""
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
         with capture_logs() as logs:
             for _ in range(2):
-                with contextlib.suppress(ConnectionError):  # it is cut off before its end
+                with contextlib.suppress(ConnectionError):  # the gateway closes before the end
                     await asyncio.get_running_loop().sock_sendall(line.sock, bad)
                 line = await scene.discovery.accept()
                 assert b"from=1&hold_ms=0 " in await line.read_until(b"\r\n\r\n")
                 assert scene.listed_state("w0") == scene.listed_state("w1") is ReplicaState.READY
             line.send(scene.drain_of_first)
             await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
-        failing = [one for one in logs if one["event"] == "discovery_failing"]
+        failing = [line for line in logs if line["event"] == "discovery_failing"]
         assert len(failing) == 1 and failing[0]["reason"]
 
     run_scenario(test, polls=True)
 
 
 def test_a_response_that_does_not_end_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It came a byte at a time for as long as its sender pleased."""
+    """It arrived a byte at a time, without a limit."""
     monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.3)
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
-        asked_again = asyncio.ensure_future(scene.discovery.accept())
+        next_connection = asyncio.ensure_future(scene.discovery.accept())
         line.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
-        while not asked_again.done():
+        while not next_connection.done():
             with contextlib.suppress(ConnectionError):
                 line.send(b" ")
             await asyncio.sleep(0.02)
-        assert b"from=1&hold_ms=0 " in await asked_again.result().read_until(b"\r\n\r\n")
+        assert b"from=1&hold_ms=0 " in await next_connection.result().read_until(b"\r\n\r\n")
 
     run_scenario(test)
 
@@ -301,14 +300,14 @@
 
 
 def test_the_last_response_of_a_former_service_does_not_end_the_poll_of_the_new_one() -> None:
-    """It was taken for the answer to the request that had failed: nobody asked again."""
+    """It counted as the response to the failed request, so the list was not polled again."""
 
     async def test(scene: DrainScenario) -> None:
         line, new = await scene.start_watch(), ScriptedServer()
         scene.watch.change_endpoint(new.endpoint)
         refusing = await new.accept()
         await refusing.read_until(b"\r\n\r\n")
-        refusing.send(MALFORMED_RESPONSES["a refusal"])
+        refusing.send(MALFORMED_RESPONSES["an overload"])
         assert await refusing.read_to_end() == b""
         line.send(scene.drain_of_first)
         await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
@@ -319,7 +318,7 @@
 
 
 class UnfinishedFollower:
-    """A former service whose last word is on its way for as long as the test pleases."""
+    """A follower of a former service that has a response until the test ends it."""
 
     has_unread_changes = True
 
@@ -328,7 +327,7 @@
 
 
 def test_a_former_follower_with_a_response_does_not_wait_for_other_followers() -> None:
-    """Moved twice at once, it waited for its own answer to be taken: no request was sent any more."""
+    """After two moves it waited for its own response to be applied, and no request was sent any more."""
 
     async def test(scene: DrainScenario) -> None:
         line, former, new = await scene.start_watch(), UnfinishedFollower(), ScriptedServer()
--- a/tests/wire/test_drain_play.py
+++ b/tests/wire/test_drain_simulation.py
@@ -1,23 +1,23 @@
-"""The rule on drains on random days; more of them with `--drain-days N`."""
+"""The drain rule in random simulations; `--drain-days N` runs more of them."""
 
 from __future__ import annotations
 
 import pytest
 
 from tests.clocked import ClockedLoop, run
-from tests.wire.drain_play import DrainChecker, DrainSimulation
+from tests.wire.drain_simulation import DrainChecker, DrainSimulation
 
-SEEDS = 8  # of each size that CI plays
+SEEDS = 8  # simulations of each size that CI runs
 
 
 def simulate(seed: int, gateways: int, faults_in_a_row: int) -> DrainChecker:
-    judges: list[DrainChecker] = []
+    checkers: list[DrainChecker] = []
 
-    async def play(loop: ClockedLoop) -> None:
-        judges.append(await DrainSimulation(loop, seed, gateways, faults_in_a_row).run())
+    async def scenario(loop: ClockedLoop) -> None:
+        checkers.append(await DrainSimulation(loop, seed, gateways, faults_in_a_row).run())
 
-    run(play)
-    return judges[0]
+    run(scenario)
+    return checkers[0]
 
 
 def pytest_generate_tests(metafunc: pytest.Metafunc) -> None:
@@ -29,6 +29,6 @@
 def test_no_request_is_sent_after_the_grace_of_a_drain(
     seed: int, gateways: int, faults_in_a_row: int
 ) -> None:
-    judge = simulate(seed, gateways, faults_in_a_row)
-    assert judge.requests > 100, "the day has seen traffic"
-    assert not judge.violations
+    checker = simulate(seed, gateways, faults_in_a_row)
+    assert checker.requests > 100, "there was traffic"
+    assert not checker.violations
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -1,10 +1,9 @@
-"""Two events that cross, in the order that does harm, every time: see docs/design/races.md."""
+"""Pairs of concurrent events, always in the order that does harm: see docs/design/races.md."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
-import time
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -18,7 +17,7 @@
 from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
 from lockspoke.wire.tcp import dialing
 from lockspoke.wire.tcp.listener import OutgoingBuffer
-from tests.peers import Gateway, RawConnection, ScriptedServer
+from tests.peers import Gateway, RawConnection, ScriptedServer, block_event_loop
 from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk, request_bytes, until
 
 READINESS_CHECK = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -26,19 +25,19 @@
 OVERLOADED_RESPONSE = (
     b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
-BUSY_TIME = 0.2  # seconds for which the loop is held: longer than a client may have been gone
+BUSY_TIME = 0.2  # seconds for which the loop is blocked: longer than a disconnect may stay unnoticed
 LONG_EVENT = b"data: " + b"x" * 30_000 + b"\n\n"
 
 
 def run_scenario(
     test: Callable[[Gateway, ScriptedServer], Awaitable[None]], full: bool = False, **settings: Any
 ) -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         peer = ScriptedServer(backlog_full=full)
         async with Gateway(peer, **settings) as gateway:
             await test(gateway, peer)
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 def client_connection(gateway: Gateway) -> ClientConnection:
@@ -74,7 +73,7 @@
         close(gateway)
         assert b"200 OK" in await client.read_until(b"ready\n")
         close(gateway)
-        assert await client.read_to_end() == b"", "with nothing to read it is closed"
+        assert await client.read_to_end() == b"", "an idle connection without unread bytes is closed"
 
     run_scenario(test)
 
@@ -91,7 +90,7 @@
 
 
 async def slow_stream(gateway: Gateway, peer: ScriptedServer) -> tuple[RawConnection, RawConnection]:
-    """A stream to a client that takes next to nothing, of a gateway that has been told to stop."""
+    """A stream to a client with a small receive buffer, of a gateway that is stopping."""
     gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
     client = await gateway.connect_client(SO_RCVBUF=4096)
     client.send(request_bytes(1))
@@ -101,11 +100,11 @@
 
 
 def test_a_slow_client_gets_the_end_of_its_last_response_after_the_linger_time() -> None:
-    """A second after the answer's end the connection was closed, with what the client had yet to take."""
+    """The connection was closed a second after the response, with bytes that the client had not received."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, replica = await slow_stream(gateway, peer)
-        # Most of it waits in the process.
+        # Most of the response stays in the process.
         client_connection(gateway).stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         replica.send(STREAM_HEAD + chunk(LONG_EVENT) + chunk(b""))
         await until(lambda: not gateway.core.requests)
@@ -118,7 +117,7 @@
 
 
 def test_bytes_received_during_the_last_response_do_not_truncate_it() -> None:
-    """A close over unread bytes resets: what the system still held of the answer went with it."""
+    """A close with unread bytes resets the connection: the kernel dropped the rest of the response."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, replica = await slow_stream(gateway, peer)
@@ -128,21 +127,21 @@
                 client_connection(gateway).open_request is not None and gateway.core.totals["attempts"] == 1
             )
         )
-        (call,) = gateway.core.requests.values()
+        (request,) = gateway.core.requests.values()
         await until(
-            lambda: call.streaming_attempt is not None and not client_connection(gateway).outbox.unsent
+            lambda: request.streaming_attempt is not None and not client_connection(gateway).outbox.unsent
         )
         client.send(request_bytes(2))
-        call.attempts[0].end(Outcome.OK)
+        request.attempts[0].end(Outcome.OK)
         assert (await client.read_to_end()).endswith(chunk(LONG_EVENT) + chunk(b""))
-        assert gateway.core.totals["calls"] == 1, "read after the shutdown, it is not run"
+        assert gateway.core.totals["calls"] == 1, "a request read after the shutdown is not run"
 
     run_scenario(test)
 
 
 def test_a_client_that_does_not_read_delays_no_event_of_another() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        lazy, slow_replica = await slow_stream(gateway, peer)
+        slow_client, slow_replica = await slow_stream(gateway, peer)
         client_connection(gateway).stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         slow_replica.send(STREAM_HEAD + b"".join(chunk(LONG_EVENT) for _ in range(4)))
         await until(lambda: client_connection(gateway).outbox.unsent > OutgoingBuffer.HIGH)
@@ -156,13 +155,13 @@
             assert (await client.read_until(chunk(event))).endswith(chunk(event))
         replica.send(chunk(b""))
         assert (await client.read_to_end()).endswith(chunk(b""))
-        lazy.close()
+        slow_client.close()
 
     run_scenario(test)
 
 
 async def idle_connection_pair(gateway: Gateway, peer: ScriptedServer) -> tuple[RawConnection, RawConnection]:
-    """A client that has its first answer, and the connection to the replica, ready to be used again."""
+    """A client that has its first response, and an idle connection to the replica that can be reused."""
     client = await gateway.connect_client()
     client.send(request_bytes(1))
     replica = await peer.accept()
@@ -179,16 +178,16 @@
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, first = await idle_connection_pair(gateway, peer)
         client.send(request_bytes(2))
-        # Taken from the client without the loop's looking at the replica's connection.
-        taken = client_connection(gateway)
-        data = taken.stream.socket.recv(65536)
+        # Read from the client before the loop polls the replica's connection.
+        connection = client_connection(gateway)
+        data = connection.stream.socket.recv(65536)
         if late:
             first.send(late)
         else:
             first.close()
-        taken._take(data)
+        connection._take(data)
         second = await peer.accept()
-        assert b"0000000000000002" in await second.read_until(b"{}"), "it goes over a new connection"
+        assert b"0000000000000002" in await second.read_until(b"{}"), "it is sent on a new connection"
         second.send(STREAM_HEAD + chunk(EVENTS[1]) + chunk(b""))
         assert (await client.read_until(chunk(b""))).endswith(chunk(EVENTS[1]) + chunk(b""))
 
@@ -201,7 +200,7 @@
 def test_a_replica_that_resets_may_have_run_a_request_only_if_its_last_byte_was_written(
     monkeypatch: pytest.MonkeyPatch, whole: bool, outcome: str, status: bytes
 ) -> None:
-    """Of a class that may run once: turned away, its client sends it again; failed, it does not."""
+    """Of a class that is not idempotent: if rejected, its client retries; if failed, it does not."""
 
     def small(sock: socket.socket, **options: int) -> IOStream:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
@@ -232,24 +231,24 @@
     gateway.update_replicas(ListedReplica(replica.uid, ReplicaState.DRAINING, replica.endpoint, "z"))
     gateway.update_replicas(
         ListedReplica(replica.uid, ReplicaState.READY, ("127.0.0.1", 9), "z")
-    )  # it comes back elsewhere
+    )  # it becomes ready at another address
 
 
 @pytest.mark.parametrize("happens", [disconnect_client, drain_and_move_replica])
 def test_nothing_is_written_to_a_connection_that_is_established_too_late(
     happens: Callable[[Gateway, RawConnection], Awaitable[None]],
 ) -> None:
-    """The client had left, or the replica was told gone from there: the request was written all the same."""
+    """The client had disconnected, or the replica had moved, and the request was written all the same."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         client.send(request_bytes(1))
         await until(lambda: gateway.core.totals["attempts"] == 1)
-        (call,) = gateway.core.requests.values()
+        (request,) = gateway.core.requests.values()
         await happens(gateway, client)
         late = await peer.free_backlog_and_accept()
-        await until(lambda: call.attempts[0].outcome is not None)
-        assert call.attempts[0].outcome is Outcome.NEVER_SENT
+        await until(lambda: request.attempts[0].outcome is not None)
+        assert request.attempts[0].outcome is Outcome.NEVER_SENT
         gateway.transport.close()
         assert await late.read_to_end() == b""
 
@@ -262,7 +261,8 @@
     replica = await peer.accept()
     await replica.read_until(b"{}")
     replica.send(OVERLOADED_RESPONSE)
-    client.close()  # in one turn of the loop with the refusal, after which it would wait for room and a retry
+    # in the loop iteration of the rejection, after which it would wait for capacity and a retry
+    client.close()
 
 
 async def wait_in_pipeline(gateway: Gateway, peer: ScriptedServer) -> None:
@@ -284,7 +284,7 @@
         await waits(gateway, peer)
         await until(lambda: gateway.core.totals["left"] == 1)
         other = await gateway.connect_client()
-        other.send(request_bytes(3))  # it would go after what waits
+        other.send(request_bytes(3))  # it would be sent after those that wait
         replica = await peer.accept()
         assert b"0000000000000003" in await replica.read_until(b"{}")
         assert gateway.core.totals["attempts"] == 2, "one for each of two requests"
@@ -294,20 +294,20 @@
 
 @pytest.mark.parametrize("pipelined", [False, True])
 def test_nothing_is_sent_for_a_client_whose_close_is_unread_in_a_busy_loop(pipelined: bool) -> None:
-    """It had left for longer than 0.1 s, and its request was written: the loop had not heard of the close."""
+    """It had disconnected more than 0.1 s before, and its request was written: the close was unread."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, replica = await idle_connection_pair(gateway, peer)
         client.send(request_bytes(2) + (request_bytes(3) if pipelined else b""))
-        taken = client_connection(gateway)
-        taken._take(taken.stream.socket.recv(65536))
+        connection = client_connection(gateway)
+        connection._take(connection.stream.socket.recv(65536))
         assert gateway.core.totals["attempts"] == 2
         client.close()
-        time.sleep(BUSY_TIME)
+        block_event_loop(BUSY_TIME)
         await until(lambda: gateway.core.totals["left"] == 1 and not gateway.core.requests)
         assert gateway.core.totals["outcome_never_sent"] == 1
         gateway.transport.close()
-        assert await replica.read_to_end() == b"", "nothing came on the connection that was kept"
+        assert await replica.read_to_end() == b"", "nothing was sent on the idle connection"
 
     run_scenario(test)
 
@@ -316,7 +316,7 @@
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = RawConnection(socket.create_connection(gateway.endpoint))
         client.send(READINESS_CHECK)
-        assert not gateway.front.listener.connections, "the loop has not heard of it"
+        assert not gateway.front.listener.connections, "the loop has not accepted it"
         gateway.front.listener.stop()
         assert b"200 OK" in await client.read_until(b"ready\n")
 
@@ -324,7 +324,7 @@
 
 
 def test_pipelined_requests_are_all_answered_by_a_gateway_that_stops() -> None:
-    """The first answer ended the connection, and what was read behind it was dropped without one."""
+    """The first response ended the connection, and the requests read after it got none."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await idle_client(gateway)
@@ -340,15 +340,15 @@
 
 
 def test_a_request_that_arrives_after_the_last_response_of_a_stopping_gateway_is_not_run() -> None:
-    """It comes behind the answer that ends the connection: its client sends it again."""
+    """It arrives after the response that ends the connection: its client retries it."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await idle_client(gateway)
         gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
         client.send(READINESS_CHECK)
-        taken = client_connection(gateway)
-        taken._take(taken.stream.socket.recv(65536))
-        client.send(request_bytes(2))  # the last answer is written, and the loop has not gone round
+        connection = client_connection(gateway)
+        connection._take(connection.stream.socket.recv(65536))
+        client.send(request_bytes(2))  # the last response is written, and the loop has not polled since
         assert (await client.read_to_end()).count(b"HTTP/1.1") == 1
         assert not gateway.core.totals["calls"]
         client.close()
