--- /dev/null
+++ b/tests/wire/drain_schedule.py
@@ -0,0 +1,84 @@
+"""Random schedules of faults, drains and other events for simulations of the drain rule."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass, field
+from enum import Enum, auto
+
+MAX_PROPAGATION_TIME = 6.0  # seconds after discovery had a change and could be reached
+DURATION = 45.0  # seconds
+REPLICAS = 6
+
+
+class Fault(Enum):
+    """A single fault of discovery: of the next request, or of all open connections."""
+
+    SILENCED = auto()  # open connections get no more responses and stay open
+    RESET = auto()  # open connections are closed
+    UNAVAILABLE = auto()  # the next request gets a 503
+    LOST = auto()  # the next request never gets a response
+    TRUNCATED = auto()  # the next response ends in the middle
+    SPLIT = auto()  # the second half of the next response is late
+    BAD_ENTRY = auto()  # the next response has an entry that can't be decoded
+    STALE = auto()  # the next response is the list as it was at the start
+    LATE = auto()  # the next response comes just before its deadline, and the one after it is lost
+
+
+class Outage(Enum):
+    """Why discovery can't be reached for a while."""
+
+    REFUSES = auto()
+    CONNECT_HANGS = auto()
+    SILENT = auto()
+    UNAVAILABLE = auto()
+    RESETS = auto()
+
+
+@dataclass
+class Schedule:
+    """The events of one simulation; times in seconds from its start."""
+
+    outages: list[tuple[float, float, Outage]] = field(default_factory=list)
+    faults: list[tuple[float, Fault]] = field(default_factory=list)
+    endpoint_changes: list[float] = field(default_factory=list)
+    # When the event loop is busy, and for how long.
+    busy_periods: list[tuple[float, float]] = field(default_factory=list)
+    changes: list[tuple[float, str, str]] = field(default_factory=list)  # when, uid, state
+    bans: list[tuple[float, float, str]] = field(default_factory=list)  # from when to when, uid
+
+
+def draw_schedule(random_: random.Random, faults_in_a_row: int) -> Schedule:
+    """Draw a schedule: periods with this many faults within the propagation time, each followed by quiet.
+
+    The end of an outage counts as a fault. With a single fault, so does the start, since hundreds of gateways
+    that start together are polling in turn.
+    """
+    day, now = Schedule(), random_.uniform(0.0, 4.0) + (MAX_PROPAGATION_TIME if faults_in_a_row == 1 else 0.0)
+    while now < DURATION - 10:
+        left = faults_in_a_row
+        if random_.random() < 0.4:
+            end = now + random_.uniform(0.5, 7.0)
+            day.outages.append((now, end, random_.choice(list(Outage))))
+            now, left = end, left - 1
+        # A stale list that comes twice is applied, rightly: so no fault comes twice.
+        for fault in random_.sample(list(Fault), left):
+            now += random_.uniform(0.0, 2.0)
+            day.faults.append((now, fault))
+            if fault is Fault.LATE:
+                break
+        now += MAX_PROPAGATION_TIME + 2.5
+    day.endpoint_changes = [random_.uniform(5, DURATION) for _ in range(random_.choice((0, 0, 1)))]
+    day.busy_periods = [(random_.uniform(0, DURATION), random_.uniform(0.05, 0.3)) for _ in range(6)]
+    times = [at for at, _ in day.faults] + [end for _, end, _ in day.outages] + day.endpoint_changes + [0.0]
+    for uid in random_.sample(range(REPLICAS), REPLICAS - 2):
+        # Drains come close to other events: before, during and soon after them.
+        at = max(-3.0, random_.choice(times) + random_.uniform(-1.5, 2.5))
+        day.changes.append((at, f"r{uid}", random_.choice(("draining", "removed"))))
+        if random_.random() < 0.4:
+            day.changes.append((at + random_.uniform(9.0, 15.0), f"r{uid}", "up"))
+    day.changes.sort()
+    for _ in range(random_.choice((0, 0, 1, 2))):
+        at = max(0.5, random_.choice(times) + random_.uniform(-0.5, 2.0))
+        day.bans.append((at, at + random_.uniform(0.5, 8.0), f"r{random_.randrange(REPLICAS)}"))
+    return day
--- a/tests/wire/test_drain_simulation.py
+++ b/tests/wire/test_drain_simulation.py
@@ -5,7 +5,8 @@
 import pytest
 
 from tests.clocked import ClockedLoop, run
-from tests.wire.drain_simulation import DrainChecker, DrainSimulation
+from tests.wire.drain_checker import DrainChecker
+from tests.wire.drain_simulation import DrainSimulation
 
 SEEDS = 8  # simulations of each size that CI runs
 
