--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -9,7 +9,7 @@
 import pytest
 from tornado.iostream import IOStream
 
-from lockspoke.core.core import Core
+from lockspoke.core.endpoint_list import EndpointListListener
 from lockspoke.core.replica_set import UNKNOWN_VERSION
 from lockspoke.wire.discovery import connection as discovery_connection
 from lockspoke.wire.discovery import watch
@@ -66,7 +66,7 @@
     async with FakeReplica() as replica, SilentDiscovery(silent) as discovery:
         discovery.change(replica)
         discovery_watch = watch.DiscoveryWatch(("127.0.0.1", discovery.port), hold_ms)
-        discovery_watch.attach(cast(Core, listener))
+        discovery_watch.attach(cast(EndpointListListener, listener))
         discovery_watch.watch(True)
         await until(
             lambda: len(listener.updates) >= updates or bool(listener.failed) or len(discovery.times) > 1
@@ -115,10 +115,10 @@
             await connects.wait()
             return await dial(endpoint)
 
-        one = watch.DiscoveryWatch(peer.endpoint, HOLD_MS, slow_dial)
-        one.attach(cast(Core, listener))
+        discovery_watch = watch.DiscoveryWatch(peer.endpoint, HOLD_MS, slow_dial)
+        discovery_watch.attach(cast(EndpointListListener, listener))
         connects.set()
-        one.watch(True)
+        discovery_watch.watch(True)
         line = await peer.accept()
         await line.read_until(b"\r\n\r\n")
         connects.clear()
@@ -132,7 +132,7 @@
         assert b"hold_ms=%d " % HOLD_MS in await line.read_until(b"\r\n\r\n")
         line.send(list_response(3))
         await until(lambda: len(listener.updates) == 2 or bool(listener.failed))
-        one.close()
+        discovery_watch.close()
         assert not listener.failed
 
     asyncio.run(scenario())
@@ -150,11 +150,11 @@
 
     async def scenario() -> None:
         peer, listener = ScriptedServer(), RecordingListener(1)
-        one = watch.DiscoveryWatch(peer.endpoint, HOLD_MS * 100)
-        one.attach(cast(Core, listener))
-        one.watch(True)
-        await test(one, peer, listener)
-        one.close()
+        discovery_watch = watch.DiscoveryWatch(peer.endpoint, HOLD_MS * 100)
+        discovery_watch.attach(cast(EndpointListListener, listener))
+        discovery_watch.watch(True)
+        await test(discovery_watch, peer, listener)
+        discovery_watch.close()
 
     asyncio.run(scenario())
 
@@ -164,7 +164,9 @@
 def test_bytes_after_a_response_are_never_read_as_the_next_response(extra: bytes, late: bool) -> None:
     """Each later request would have got the response to the one before it."""
 
-    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener) -> None:
+    async def test(
+        discovery_watch: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener
+    ) -> None:
         first = await peer.accept()
         await first.read_until(b"from=1&")
         if late:
@@ -183,11 +185,13 @@
 def test_a_list_received_as_discovery_moves_is_applied_without_its_version() -> None:
     """Its changes are in force, but its version means nothing to the new service, and would hide changes."""
 
-    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener) -> None:
+    async def test(
+        discovery_watch: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener
+    ) -> None:
         old, new = await peer.accept(), ScriptedServer()
         await old.read_until(b"from=1&")
         old.send(list_response(70))
-        one.change_endpoint(new.endpoint)
+        discovery_watch.change_endpoint(new.endpoint)
         line = await new.accept()
         assert b"from=" not in await line.read_until(b"\r\n\r\n")
         line.send(list_response(4))
@@ -203,7 +207,9 @@
 ) -> None:
     """The list would never have changed again, without a report."""
 
-    async def test(one: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener) -> None:
+    async def test(
+        discovery_watch: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener
+    ) -> None:
         first = await peer.accept()
         await first.read_until(b"from=1&")
 
@@ -213,7 +219,7 @@
         listener.on_next_update = fault
         first.send(list_response(2))
         await until(lambda: listener.failed == 1)
-        one.watch(True)
+        discovery_watch.watch(True)
         second = await peer.accept()
         assert b"from=" not in await second.read_until(b"\r\n\r\n"), (
             "the complete list: what was applied is not known"
