--- a/lockspoke/balancing/records.py
+++ b/lockspoke/balancing/records.py
@@ -177,8 +177,7 @@
     def unread(self, arrived: RequestArrived) -> float:
         """Prompt tokens that this replica would have to read, as far as own sends tell."""
         prefix = self.cached.get(arrived.prefix, 0.0)
-        if prefix > arrived.prefix_tokens:
-            prefix = arrived.prefix_tokens
+        prefix = min(prefix, arrived.prefix_tokens)
         session = self.cached.get(arrived.session, 0.0)
         left = arrived.prompt_tokens - (session if session > prefix else prefix)
         return left if left > 0.0 else 0.0
--- a/lockspoke/inventory/ini_reader.py
+++ b/lockspoke/inventory/ini_reader.py
@@ -123,7 +123,7 @@
         (column, pattern), *rest = tokens(raw)
     except ValueError as error:
         # Its name stands before the quote, mostly: a host whose line is spoilt has not been taken out.
-        pattern, column, rest = raw.split()[0], len(raw) - len(raw.lstrip()) + 1, []
+        pattern, column, rest = raw.split(maxsplit=1)[0], len(raw) - len(raw.lstrip()) + 1, []
         mend = "close it, or put a quote within quotes"
         problems.add(SYNTAX, Place(source.file, number, column), str(error), mend, host=pattern)
     place = Place(source.file, number, column)
