--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -24,9 +24,9 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.inventory.reading import FileText
-from lockspoke.inventory.snapshot import Reading, take
-from lockspoke.inventory.writing import FORMS, write
+from lockspoke.inventory.snapshot import ReadOptions, take_snapshot
+from lockspoke.inventory.source_reader import FileText
+from lockspoke.inventory.writing import FORMATS, write_inventory
 from tests.inventory.test_source import Load, Timed, edge, place, rows
 from tests.standins import Client, Program, until
 
@@ -103,10 +103,10 @@
 READING = """
 import gc, json, sys, time
 from pathlib import Path
-from lockspoke.inventory.files import collect
-from lockspoke.inventory.reconcile import Reconciler
+from lockspoke.inventory.files import read_files
+from lockspoke.inventory.reconciler import Reconciler
 from lockspoke.inventory.schema import Rules
-from lockspoke.inventory.snapshot import Memory, Reading, take
+from lockspoke.inventory.snapshot import ParseCache, ReadOptions, take_snapshot
 
 gc.disable()  # as the helper does, which reads what is large
 
@@ -115,20 +115,20 @@
     lines = Path("/proc/self/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmHWM")) / 1024
 
-reading, memory, reconciler = Reading(Rules(("lis-1",), {"gen-a": 0.7})), Memory(), Reconciler()
+options, cache, reconciler = ReadOptions(Rules(("lis-1",), {"gen-a": 0.7})), ParseCache(), Reconciler()
 before, figures = peak(), {}
 for name, path in (("whole", sys.argv[1]), ("one_row_changed", sys.argv[2])):
     began = time.perf_counter()
-    files = collect([Path(path)])
+    files = read_files([Path(path)])
     files = [type(files[0])("a." + path.rpartition(".")[2], files[0].data)]
-    snapshot = take(files, reading, memory).snapshot
+    snapshot = take_snapshot(files, options, cache).snapshot
     read = time.perf_counter()
     step = reconciler.step(snapshot, 0)
     done = time.perf_counter()
     figures[name] = {
         "read_ms": round((read - began) * 1e3, 1),
         "reconcile_ms": round((done - read) * 1e3, 1),
-        "workers": len(snapshot.workers),
+        "replicas": len(snapshot.replicas),
         "entries": len(step.entries),
     }
 figures["memory_mb"] = round(peak() - before, 1)
@@ -144,7 +144,7 @@
             text = big_rows(size, changed)
             if form != "csv":
                 files = [FileText("a.csv", text.encode())]
-                text = write(take(files, Reading()).snapshot.workers.values(), form)
+                text = write_inventory(take_snapshot(files, ReadOptions()).snapshot.replicas.values(), form)
             path.write_text(text)
         command = [sys.executable, "-c", READING, *map(str, paths)]
         found = [
@@ -201,7 +201,7 @@
     figures: dict[str, Any] = {"machine": platform.machine(), "python": platform.python_version()}
     if not options.only_removals:
         figures["reading"] = [reading(size) for size in SIZES]
-        figures["reading"] += [reading(SIZES[-1], form) for form in FORMS if form != "csv"]
+        figures["reading"] += [reading(SIZES[-1], form) for form in FORMATS if form != "csv"]
         figures["pauses"] = [asyncio.run(pauses(size)) for size in SIZES]
     if options.removals:
         figures["removals"] = asyncio.run(removals(options.removals))
--- a/lockspoke/cli/running.py
+++ b/lockspoke/cli/gateway_inventory.py
@@ -10,34 +10,34 @@
 import click
 
 from lockspoke.inventory import reports, store
-from lockspoke.inventory.files import folders, signature
-from lockspoke.inventory.model import WorkerRecord
+from lockspoke.inventory.files import file_signature, watched_folders
+from lockspoke.inventory.model import ReplicaRecord
 from lockspoke.inventory.problems import Problem
-from lockspoke.inventory.reconcile import Reconciler
-from lockspoke.inventory.snapshot import Memory
+from lockspoke.inventory.reconciler import Reconciler
+from lockspoke.inventory.snapshot import ParseCache
 from lockspoke.inventory.store import ACCEPT_NAME, STATUS_NAME
 
 from .inventory import inventory
-from .reading import (
+from .inventory_io import (
     console,
-    looking,
+    inventory_reader,
     paths_argument,
     print_decisions,
-    print_workers,
+    print_replicas,
+    problem_style,
     reading_options,
-    styled,
-    texts,
+    source_texts,
 )
 
-LOOK = 500  # milliseconds between two looks at the files where no notice comes
+POLL_MS = 500  # milliseconds between two looks at the files where no notice comes
 
 
-def _folder(edge: Path | None, keep: Path | None) -> Path:
+def _status_folder(edge: Path | None, keep: Path | None) -> Path:
     if keep is not None:
         return keep
     if edge is None:
         raise click.UsageError("name --edge or --keep")
-    settings = looking(edge, (), (), None, None, None, None).settings
+    settings = inventory_reader(edge, (), (), None, None, None, None).settings
     if not settings.keep:
         raise click.UsageError(f"{edge}: inventory.keep names no folder, so the gateway leaves no status")
     return Path(settings.keep)
@@ -56,30 +56,32 @@
     Example:
       lockspoke inventory status --edge deploy/edge.toml
     """
-    path = _folder(edge, keep) / STATUS_NAME
+    path = _status_folder(edge, keep) / STATUS_NAME
     try:
-        raw = json.loads(path.read_text())
+        status_document = json.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise click.UsageError(f"{path}: {error}") from None
-    held = {row["name"]: row["held"] for row in raw["workers"] if row["held"]}
+    held = {row["name"]: row["held"] for row in status_document["workers"] if row["held"]}
     if as_json:
-        click.echo(json.dumps(raw, indent=2))
-        return 1 if held or raw["guard"] or raw["kept_out"] else 0
-    age = max(0.0, time.time() - raw["at_ms"] / 1000)
-    click.echo(f"written {age:.0f} s ago by process {raw['pid']}; files {raw['fingerprint']}")
-    click.echo(f"{raw['problems']} problems in them")
+        click.echo(json.dumps(status_document, indent=2))
+        return 1 if held or status_document["guard"] or status_document["kept_out"] else 0
+    age = max(0.0, time.time() - status_document["at_ms"] / 1000)
+    click.echo(
+        f"written {age:.0f} s ago by process {status_document['pid']}; files {status_document['fingerprint']}"
+    )
+    click.echo(f"{status_document['problems']} problems in them")
     fields = ("name", "host", "port", "zone", "kind", "cell", "weight", "state")
-    workers = [
-        WorkerRecord(**{name: row[name] for name in fields}, labels=tuple(row["labels"].items()))
-        for row in raw["workers"]
+    replicas = [
+        ReplicaRecord(**{name: row[name] for name in fields}, labels=tuple(row["labels"].items()))
+        for row in status_document["workers"]
     ]
-    print_workers(workers, held)
-    for name, reason in raw["kept_out"].items():
+    print_replicas(replicas, held)
+    for name, reason in status_document["kept_out"].items():
         click.echo(f"kept out {name}: {reason}")
-    if raw["guard"]:
-        click.echo(f"{raw['guard']['hosts']} removals wait; to take them:")
-        click.echo(f"  lockspoke inventory accept {raw['guard']['accept']}")
-    return 1 if held or raw["guard"] or raw["kept_out"] else 0
+    if status_document["guard"]:
+        click.echo(f"{status_document['guard']['hosts']} removals wait; to take them:")
+        click.echo(f"  lockspoke inventory accept {status_document['guard']['accept']}")
+    return 1 if held or status_document["guard"] or status_document["kept_out"] else 0
 
 
 @inventory.command()
@@ -93,9 +95,9 @@
     """
     if not fingerprint.isalnum():
         raise click.UsageError(f"{fingerprint!r} is no fingerprint")
-    folder = _folder(edge, keep)
+    folder = _status_folder(edge, keep)
     try:
-        store.save(folder, fingerprint.encode(), ACCEPT_NAME)
+        store.write_atomically(folder, fingerprint.encode(), ACCEPT_NAME)
     except OSError as error:
         raise click.UsageError(f"{folder}: {error}") from None
     click.echo(f"left for the gateway in {folder}")
@@ -113,20 +115,24 @@
     Example:
       lockspoke inventory watch inventory/ --kind gen-a --kind gen-b
     """
-    from watchfiles import watch as notice
-
-    look = looking(paths=paths, **options)
-    paths = paths or look.paths
-    reconciler, memory, told = Reconciler(look.settings.caution()), Memory(), set[Problem]()
-
-    def once() -> None:
-        snapshot = look.report(paths, memory).snapshot
+    from watchfiles import watch as watch_files
+
+    reader = inventory_reader(paths=paths, **options)
+    paths = paths or reader.paths
+    reconciler, memory, reported = (
+        Reconciler(reader.settings.reconcile_policy()),
+        ParseCache(),
+        set[Problem](),
+    )
+
+    def read_once() -> None:
+        snapshot = reader.read(paths, memory).snapshot
         decisions = reconciler.step(snapshot, time.time_ns() // 1_000_000).decisions
-        new = [one for one in snapshot.problems if one not in told]
-        told.clear()
-        told.update(snapshot.problems)
+        new = [one for one in snapshot.problems if one not in reported]
+        reported.clear()
+        reported.update(snapshot.problems)
         if as_json:
-            rows = [{"act": one.act.value, "host": one.host, "reason": one.reason} for one in decisions]
+            rows = [{"act": one.action.value, "host": one.host, "reason": one.reason} for one in decisions]
             line = {
                 "workers": len(reconciler.known),
                 "problems": list(map(reports.problem_json, new)),
@@ -135,24 +141,29 @@
             click.echo(json.dumps(line))
             return
         if new:
-            click.echo(reports.as_text(new, texts(paths), styled(console())))
+            click.echo(reports.as_text(new, source_texts(paths), problem_style(console())))
         print_decisions(decisions)
         click.echo(f"{time.strftime('%H:%M:%S')} {reports.summary(len(reconciler.known), snapshot.problems)}")
 
-    seen = signature(paths)
-    once()
+    last_signature = file_signature(paths)
+    read_once()
     count = 1
     if count == rounds:
         return 0
     # The notice begins only when it is first waited for, so what was written until then is seen by a look.
-    for _ in notice(
-        *folders(paths), step=10, debounce=50, recursive=False, rust_timeout=LOOK, yield_on_timeout=True
+    for _ in watch_files(
+        *watched_folders(paths),
+        step=10,
+        debounce=50,
+        recursive=False,
+        rust_timeout=POLL_MS,
+        yield_on_timeout=True,
     ):
-        now = signature(paths)
-        if now == seen:
+        signature = file_signature(paths)
+        if signature == last_signature:
             continue
-        seen, count = now, count + 1
-        once()
+        last_signature, count = signature, count + 1
+        read_once()
         if count == rounds:
             break
     return 0
--- a/lockspoke/cli/inventory.py
+++ b/lockspoke/cli/inventory.py
@@ -15,19 +15,19 @@
 from lockspoke.inventory import reports, store, writing
 from lockspoke.inventory.model import Snapshot
 from lockspoke.inventory.problems import CODES
-from lockspoke.inventory.reconcile import Act, Caution, Decision, Reconciler
-from lockspoke.inventory.snapshot import Report
+from lockspoke.inventory.reconciler import Action, Decision, ReconcilePolicy, Reconciler
+from lockspoke.inventory.snapshot import SnapshotReport
 
-from .reading import (
-    Looking,
+from .inventory_io import (
+    InventoryReader,
     console,
-    looking,
+    inventory_reader,
     paths_argument,
     print_decisions,
-    print_workers,
+    print_replicas,
+    problem_style,
     reading_options,
-    styled,
-    texts,
+    source_texts,
 )
 
 
@@ -54,18 +54,20 @@
       lockspoke inventory check --edge deploy/edge.toml --json
       lockspoke inventory check inventory/ --sarif > inventory.sarif
     """
-    look = looking(paths=paths, **options)
-    report = look.report(paths)
+    reader = inventory_reader(paths=paths, **options)
+    report = reader.read(paths)
     problems = report.snapshot.problems
     if as_sarif:
         click.echo(json.dumps(reports.as_sarif(problems, _version()), indent=2))
     elif as_json:
-        click.echo(json.dumps(reports.as_json(report.snapshot.workers.values(), problems), indent=2))
+        click.echo(json.dumps(reports.as_json(report.snapshot.replicas.values(), problems), indent=2))
     else:
         if problems:
-            click.echo(reports.as_text(problems, texts(paths or look.paths), styled(console())))
-        click.echo(reports.summary(len(report.snapshot.workers), problems))
-    return 1 if any(one.is_error or strict for one in problems) else 0
+            click.echo(
+                reports.as_text(problems, source_texts(paths or reader.paths), problem_style(console()))
+            )
+        click.echo(reports.summary(len(report.snapshot.replicas), problems))
+    return 1 if any(entry.is_error or strict for entry in problems) else 0
 
 
 def _version() -> str:
@@ -81,14 +83,19 @@
     """List the codes of problems and what each means."""
     if as_json:
         rows = [
-            {"code": one.ident, "name": one.name, "severity": one.severity.value, "says": one.says}
-            for one in CODES.values()
+            {
+                "code": entry.id,
+                "name": entry.name,
+                "severity": entry.severity.value,
+                "says": entry.description,
+            }
+            for entry in CODES.values()
         ]
         click.echo(json.dumps(rows, indent=2))
         return
     table = Table("code", "name", "severity", "what it means", box=None, pad_edge=False)
     for code in CODES.values():
-        table.add_row(code.ident, code.name, code.severity.value, escape(code.says))
+        table.add_row(code.id, code.name, code.severity.value, escape(code.description))
     console().print(table)
 
 
@@ -106,14 +113,14 @@
       lockspoke inventory show workers.yaml --select 'lis-1:&gen_c'
       lockspoke inventory show --edge deploy/edge.toml --host w3
     """
-    report = looking(paths=paths, **options).report(paths)
+    report = inventory_reader(paths=paths, **options).read(paths)
     if host is not None:
-        return _show_host(report, host, as_json)
+        return _show_host_values(report, host, as_json)
     if groups:
         members: dict[str, list[str]] = {}
-        for one in report.checked:
-            for group in one.row.groups:
-                members.setdefault(group, []).append(one.row.name)
+        for entry in report.checked_rows:
+            for group in entry.row.groups:
+                members.setdefault(group, []).append(entry.row.name)
         if as_json:
             click.echo(json.dumps(members, indent=2))
         else:
@@ -122,41 +129,41 @@
                 table.add_row(escape(group), escape(" ".join(names)))
             console().print(table)
         return 0
-    workers = list(report.snapshot.workers.values())
+    replicas = list(report.snapshot.replicas.values())
     if as_json:
-        click.echo(json.dumps([worker.as_json() for worker in workers], indent=2))
+        click.echo(json.dumps([replica.as_json() for replica in replicas], indent=2))
     else:
-        print_workers(workers)
-        click.echo(reports.summary(len(workers), report.snapshot.problems))
+        print_replicas(replicas)
+        click.echo(reports.summary(len(replicas), report.snapshot.problems))
     return 0
 
 
-def _show_host(report: Report, name: str, as_json: bool) -> int:
-    found = [one for one in report.checked if one.row.name == name]
+def _show_host_values(report: SnapshotReport, name: str, as_json: bool) -> int:
+    found = [entry for entry in report.checked_rows if entry.row.name == name]
     if not found:
         raise click.UsageError(f"no source names the host {name!r}")
-    for one in found:
-        values = {key: (value.text, str(value.place)) for key, value in sorted(one.row.values.items())}
-        record = one.record.as_json() if one.record is not None else None
+    for entry in found:
+        values = {key: (value.text, str(value.place)) for key, value in sorted(entry.row.values.items())}
+        record = entry.record.as_json() if entry.record is not None else None
         if as_json:
             shown = {key: {"value": text, "place": place} for key, (text, place) in values.items()}
-            click.echo(json.dumps({"worker": record, "groups": one.row.groups, "values": shown}, indent=2))
+            click.echo(json.dumps({"worker": record, "groups": entry.row.groups, "values": shown}, indent=2))
             continue
         click.echo(
-            f"{name}, first at {one.row.place}; groups, weakest first: {' '.join(one.row.groups) or 'none'}"
+            f"{name}, first at {entry.row.place}; groups, weakest first: {' '.join(entry.row.groups) or 'nentry'}"
         )
         table = Table("variable", "value", "from", box=None, pad_edge=False)
         for key, (text, place) in values.items():
             table.add_row(escape(key), escape(text), escape(place))
         console().print(table)
         if record is None:
-            click.echo(f"not taken: {one.reason}")
+            click.echo(f"not taken: {entry.reason}")
     return 0
 
 
-def _read_two(old: Path, new: Path, options: dict[str, Any]) -> tuple[Looking, Snapshot, Snapshot]:
-    look = looking(paths=(old,), **options)
-    return look, look.report((old,)).snapshot, look.report((new,)).snapshot
+def _read_two(old: Path, new: Path, options: dict[str, Any]) -> tuple[InventoryReader, Snapshot, Snapshot]:
+    reader = inventory_reader(paths=(old,), **options)
+    return reader, reader.read((old,)).snapshot, reader.read((new,)).snapshot
 
 
 @inventory.command()
@@ -173,17 +180,17 @@
     Example:
       lockspoke inventory diff workers.csv workers.yaml
     """
-    _, before, after = _read_two(old, new, options)
+    _, old_snapshot, new_snapshot = _read_two(old, new, options)
     rows: list[dict[str, Any]] = []
-    for name in sorted(before.workers.keys() | after.workers.keys()):
-        one, other = before.workers.get(name), after.workers.get(name)
-        if one == other:
+    for name in sorted(old_snapshot.replicas.keys() | new_snapshot.replicas.keys()):
+        entry, other = old_snapshot.replicas.get(name), new_snapshot.replicas.get(name)
+        if entry == other:
             continue
-        left, right = one.as_json() if one else {}, other.as_json() if other else {}
+        left, right = entry.as_json() if entry else {}, other.as_json() if other else {}
         changed = {
             key: [left.get(key), right.get(key)] for key in left | right if left.get(key) != right.get(key)
         }
-        sign = "+" if one is None else "-" if other is None else "~"
+        sign = "+" if entry is None else "-" if other is None else "~"
         rows.append({"host": name, "sign": sign, "changed": changed})
     if as_json:
         click.echo(json.dumps(rows, indent=2))
@@ -196,7 +203,9 @@
         ]
         text = f"{row['sign']} {row['host']}" + (f": {', '.join(parts)}" if parts else "")
         out.print(f"[{colors[row['sign']]}]{escape(text)}[/]", soft_wrap=True)
-    click.echo(f"{len(rows)} of {len(before.workers.keys() | after.workers.keys())} workers differ")
+    click.echo(
+        f"{len(rows)} of {len(old_snapshot.replicas.keys() | new_snapshot.replicas.keys())} workers differ"
+    )
     return 1 if rows else 0
 
 
@@ -216,11 +225,15 @@
     Example:
       lockspoke inventory plan workers.csv workers.new.csv
     """
-    look, before, after = _read_two(old, new, options)
-    decisions = plan_of(look.settings.caution(), before, _moved(after, new, old), accept)
-    held = [one for one in decisions if one.act in (Act.HOLD, Act.KEEP_OUT, Act.GUARD)]
+    reader, old_snapshot, new_snapshot = _read_two(old, new, options)
+    decisions = plan_decisions(
+        reader.settings.reconcile_policy(), old_snapshot, _as_if_in_place_of(new_snapshot, new, old), accept
+    )
+    held = [entry for entry in decisions if entry.action in (Action.HOLD, Action.KEEP_OUT, Action.GUARD)]
     if as_json:
-        rows = [{"act": one.act.value, "host": one.host, "reason": one.reason} for one in decisions]
+        rows = [
+            {"act": entry.action.value, "host": entry.host, "reason": entry.reason} for entry in decisions
+        ]
         click.echo(json.dumps(rows, indent=2))
     else:
         print_decisions(decisions)
@@ -228,7 +241,7 @@
     return 1 if held else 0
 
 
-def _moved(snapshot: Snapshot, new: Path, old: Path) -> Snapshot:
+def _as_if_in_place_of(snapshot: Snapshot, new: Path, old: Path) -> Snapshot:
     """A snapshot as if its one source stood where the old one stands: NEW takes the place of OLD."""
 
     def name(file: str) -> str:
@@ -237,32 +250,34 @@
         return str(old / Path(file).relative_to(new)) if file.startswith(f"{new}/") else file
 
     return Snapshot(
-        workers=snapshot.workers,
+        replicas=snapshot.replicas,
         files={host: tuple(map(name, files)) for host, files in snapshot.files.items()},
-        bad=snapshot.bad,
-        drains=snapshot.drains,
-        doubtful={name(file): why for file, why in snapshot.doubtful.items()},
-        loose=snapshot.loose,
-        open_ended=frozenset(map(name, snapshot.open_ended)),
+        invalid_hosts=snapshot.invalid_hosts,
+        requested_states=snapshot.requested_states,
+        incomplete_sources={name(file): why for file, why in snapshot.incomplete_sources.items()},
+        unnamed_addresses=snapshot.unnamed_addresses,
+        unterminated_sources=frozenset(map(name, snapshot.unterminated_sources)),
         problems=snapshot.problems,
         fingerprint=snapshot.fingerprint,
     )
 
 
-def plan_of(caution: Caution, before: Snapshot, after: Snapshot, accept: bool) -> tuple[Decision, ...]:
+def plan_decisions(
+    caution: ReconcilePolicy, old_snapshot: Snapshot, new_snapshot: Snapshot, accept: bool
+) -> tuple[Decision, ...]:
     """The decisions that lead from one snapshot to the other, a while later."""
     # What is compared is taken as done: nobody is writing it any more.
     reconciler = Reconciler(replace(caution, unfinished_ms=0))
-    reconciler.step(before, 0)
+    reconciler.step(old_snapshot, 0)
     if accept:
-        reconciler.accept(after.fingerprint)
-    return reconciler.step(after, 10 * max(caution.window_ms, caution.flap_half_life_ms)).decisions
+        reconciler.accept(new_snapshot.fingerprint)
+    return reconciler.step(new_snapshot, 10 * max(caution.window_ms, caution.flap_half_life_ms)).decisions
 
 
 @inventory.command()
 @paths_argument
 @reading_options
-@click.option("--to", "target", required=True, type=click.Choice(writing.FORMS), help="the form to write")
+@click.option("--to", "target", required=True, type=click.Choice(writing.FORMATS), help="the form to write")
 @click.option("-o", "--output", type=click.Path(path_type=Path), help="a file, put in place whole")
 def convert(paths: tuple[Path, ...], target: str, output: Path | None, **options: Any) -> int:
     """Write the workers of sources in another form; with an error in them, nothing is written.
@@ -272,16 +287,16 @@
       lockspoke inventory convert workers.ini --to csv
       lockspoke inventory convert inventory/ --to yaml -o workers.yaml
     """
-    look = looking(paths=paths, **options)
-    report = look.report(paths)
-    errors = [one for one in report.snapshot.problems if one.is_error]
+    reader = inventory_reader(paths=paths, **options)
+    report = reader.read(paths)
+    errors = [entry for entry in report.snapshot.problems if entry.is_error]
     if errors:
-        click.echo(reports.as_text(errors, texts(paths or look.paths)), err=True)
+        click.echo(reports.as_text(errors, source_texts(paths or reader.paths)), err=True)
         click.echo("nothing is written: mend these first", err=True)
         return 1
-    text = writing.write(report.snapshot.workers.values(), target)
+    text = writing.write_inventory(report.snapshot.replicas.values(), target)
     if output is None:
         click.echo(text, nl=False)
     else:
-        store.save(output.resolve().parent, text.encode(), output.name)
+        store.write_atomically(output.resolve().parent, text.encode(), output.name)
     return 0
--- a/lockspoke/cli/reading.py
+++ b/lockspoke/cli/inventory_io.py
@@ -12,39 +12,39 @@
 from rich.markup import escape
 from rich.table import Table
 
-from lockspoke.inventory.files import collect
-from lockspoke.inventory.model import WorkerRecord
-from lockspoke.inventory.reading import FORMS
-from lockspoke.inventory.reconcile import Act, Decision
+from lockspoke.inventory.files import read_files
+from lockspoke.inventory.model import ReplicaRecord
+from lockspoke.inventory.reconciler import Action, Decision
 from lockspoke.inventory.settings import InventorySettings
-from lockspoke.inventory.snapshot import Memory, Report, take
+from lockspoke.inventory.snapshot import ParseCache, SnapshotReport, take_snapshot
+from lockspoke.inventory.source_reader import FORMATS
 from lockspoke.lifecycle.config import ConfigError
 from lockspoke.lifecycle.edge_file import read_edge
 
 F = TypeVar("F", bound=Callable[..., Any])
 _COLORS = {
-    Act.ADD: "green",
-    Act.CHANGE: "cyan",
-    Act.DRAIN: "yellow",
-    Act.REMOVE: "red",
-    Act.HOLD: "magenta",
-    Act.KEEP_OUT: "magenta",
-    Act.GUARD: "bold red",
-    Act.ACCEPT: "bold yellow",
+    Action.ADD: "green",
+    Action.CHANGE: "cyan",
+    Action.DRAIN: "yellow",
+    Action.REMOVE: "red",
+    Action.HOLD: "magenta",
+    Action.KEEP_OUT: "magenta",
+    Action.GUARD: "bold red",
+    Action.ACCEPT: "bold yellow",
 }
 _STYLES = {"error": "red", "warning": "yellow", "place": "bold", "mend": "green"}
 
 
 @dataclass(slots=True)
-class Looking:
+class InventoryReader:
     """How a command reads: settings from the edge file, with the options of the command before them."""
 
     settings: InventorySettings
     zones: tuple[str, ...]
 
-    def report(self, paths: tuple[Path, ...], memory: Memory | None = None) -> Report:
+    def read(self, paths: tuple[Path, ...], memory: ParseCache | None = None) -> SnapshotReport:
         """Read sources."""
-        return take(collect(paths or self.paths), self.settings.reading(self.zones), memory)
+        return take_snapshot(read_files(paths or self.paths), self.settings.read_options(self.zones), memory)
 
     @property
     def paths(self) -> tuple[Path, ...]:
@@ -64,7 +64,7 @@
                 "--kind", "kinds", multiple=True, metavar="NAME[=WEIGHT]", help="a kind that is known"
             ),
             click.option(
-                "--form", type=click.Choice(FORMS), help="where a file's name does not tell its form"
+                "--form", type=click.Choice(FORMATS), help="where a file's name does not tell its form"
             ),
             click.option("--select", metavar="PATTERN", help="only hosts of a pattern, as lis-1:&gen_c:!w3"),
             click.option("--port", type=click.IntRange(1, 65535), help="for hosts that give none"),
@@ -75,7 +75,7 @@
     return command
 
 
-def looking(
+def inventory_reader(
     edge: Path | None,
     zones: tuple[str, ...],
     kinds: tuple[str, ...],
@@ -84,44 +84,44 @@
     port: int | None,
     lookups: bool | None,
     paths: tuple[Path, ...] = (),
-) -> Looking:
+) -> InventoryReader:
     """Settings from the edge file and options. Raises a usage error that names what is wrong."""
-    base: dict[str, Any] = {"paths": [str(path) for path in paths] or ["."]}
+    values: dict[str, Any] = {"paths": [str(path) for path in paths] or ["."]}
     if edge is not None:
         try:
-            found = [section for section in read_edge(edge) if section.name == "inventory"]
+            sections = [section for section in read_edge(edge) if section.name == "inventory"]
         except ConfigError as error:
             raise click.UsageError(str(error)) from None
-        if not found:
+        if not sections:
             raise click.UsageError(f"{edge} has no section [inventory]")
-        given = found[0].settings
-        base = {name: getattr(given, name) for name in given.__struct_fields__}
+        section_settings = sections[0].settings
+        values = {name: getattr(section_settings, name) for name in section_settings.__struct_fields__}
     elif not paths:
         raise click.UsageError("name a file or folder, or --edge")
     if zones:
-        base["zones"] = list(zones)
+        values["zones"] = list(zones)
     if kinds:
         weights = {}
-        for word in kinds:
-            name, _, weight = word.partition("=")
+        for option in kinds:
+            name, _, weight = option.partition("=")
             try:
                 weights[name] = float(weight or 1.0)
             except ValueError:
-                raise click.UsageError(f"--kind {word}: {weight!r} is no weight") from None
-        base["kinds"] = weights
+                raise click.UsageError(f"--kind {option}: {weight!r} is no weight") from None
+        values["kinds"] = weights
     for name, value in (("form", form), ("select", select), ("port", port), ("lookups", lookups)):
         if value is not None:
-            base[name] = value
+            values[name] = value
     try:
-        return Looking(InventorySettings(**base), tuple(base.get("zones", ())))
+        return InventoryReader(InventorySettings(**values), tuple(values.get("zones", ())))
     except ValueError as error:
         raise click.UsageError(str(error)) from None
 
 
 def console() -> Console:
     """Where tables go: with colour on a terminal, plain and unbroken when piped."""
-    made = Console(highlight=False, soft_wrap=False)
-    return made if made.is_terminal else Console(highlight=False, width=240, no_color=True)
+    terminal = Console(highlight=False, soft_wrap=False)
+    return terminal if terminal.is_terminal else Console(highlight=False, width=240, no_color=True)
 
 
 def paths_argument(command: F) -> F:
@@ -129,7 +129,7 @@
     return click.argument("paths", nargs=-1, type=click.Path(path_type=Path))(command)
 
 
-def styled(out: Console) -> Callable[[str, str], str]:
+def problem_style(out: Console) -> Callable[[str, str], str]:
     """How problems are dressed: with colour on a terminal."""
     if not out.is_terminal:
         return lambda text, _: text
@@ -138,28 +138,30 @@
     )
 
 
-def texts(paths: tuple[Path, ...]) -> dict[str, str]:
+def source_texts(paths: tuple[Path, ...]) -> dict[str, str]:
     """The sources as text, for showing lines of them."""
-    return {file.path: (file.data or b"").decode("utf-8-sig", "replace") for file in collect(paths)}
+    return {file.path: (file.data or b"").decode("utf-8-sig", "replace") for file in read_files(paths)}
 
 
-def print_workers(workers: list[WorkerRecord], more: dict[str, str] | None = None) -> None:
+def print_replicas(replicas: list[ReplicaRecord], hold_reasons: dict[str, str] | None = None) -> None:
     """A table of workers; `more` says why each is held."""
     names = ("name", "host", "port", "zone", "kind", "cell", "weight", "state", "labels")
-    table = Table(*names, *(["held"] if more is not None else []), box=None, pad_edge=False)
+    table = Table(*names, *(["held"] if hold_reasons is not None else []), box=None, pad_edge=False)
     colors = {"up": "green", "draining": "yellow", "removed": "red"}
-    for worker in workers:
-        labels = " ".join(f"{name}={value}" for name, value in worker.labels)
+    for replica in replicas:
+        labels = " ".join(f"{name}={value}" for name, value in replica.labels)
         cells = [
-            *map(escape, (worker.name, worker.host, str(worker.port), worker.zone, worker.kind)),
+            *map(escape, (replica.name, replica.host, str(replica.port), replica.zone, replica.kind)),
             *(
-                str(worker.cell),
-                f"{worker.weight:g}",
-                f"[{colors[worker.state]}]{worker.state}[/]",
+                str(replica.cell),
+                f"{replica.weight:g}",
+                f"[{colors[replica.state]}]{replica.state}[/]",
                 escape(labels),
             ),
         ]
-        table.add_row(*cells, *([escape(more.get(worker.name, ""))] if more is not None else []))
+        table.add_row(
+            *cells, *([escape(hold_reasons.get(replica.name, ""))] if hold_reasons is not None else [])
+        )
     console().print(table)
 
 
@@ -168,6 +170,6 @@
     out = console()
     for one in decisions:
         out.print(
-            f"[{_COLORS[one.act]}]{one.act.value:>8}[/] {escape(one.host or '*')}: {escape(one.reason)}",
+            f"[{_COLORS[one.action]}]{one.action.value:>8}[/] {escape(one.host or '*')}: {escape(one.reason)}",
             soft_wrap=True,
         )
--- a/lockspoke/cli/main.py
+++ b/lockspoke/cli/main.py
@@ -7,7 +7,7 @@
 import click
 from click.shell_completion import get_completion_class
 
-from . import running  # noqa: F401 - adds its commands to the group
+from . import gateway_inventory  # noqa: F401 - adds its commands to the group
 from .address import address
 from .config import config
 from .inventory import inventory
--- a/lockspoke/inventory/documents.py
+++ b/lockspoke/inventory/documents.py
@@ -13,14 +13,14 @@
 
 import yaml
 
-from .limits import DEPTH, LimitError
+from .limits import MAX_DEPTH, LimitError
 from .problems import Place
 
 _Loader: Any = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
 _NULLS = {"", "~", "null", "Null", "NULL"}
 _NUMBER = re.compile(r"-?(?:0|[1-9][0-9]*)(?:\.[0-9]+)?(?:[eE][+-]?[0-9]+)?")
 _SPACE = re.compile(r"[ \t\r\n]*")
-_WORDS = {"true": "true", "false": "false", "null": None}
+_JSON_LITERALS = {"true": "true", "false": "false", "null": None}
 
 
 class DocumentError(ValueError):
@@ -37,7 +37,7 @@
 
     text: str | None
     place: Place
-    vault: bool = False
+    encrypted: bool = False
 
 
 @dataclass(slots=True)
@@ -59,7 +59,7 @@
 Node = Scalar | Mapping | Sequence
 
 
-class _Builder:
+class _TreeBuilder:
     """Puts nodes together, whichever form they come from."""
 
     def __init__(self) -> None:
@@ -82,8 +82,8 @@
     def open(self, node: Mapping | Sequence) -> None:
         self.add(node)
         self.stack.append((node, []))
-        if len(self.stack) > DEPTH:
-            raise LimitError(f"nested deeper than {DEPTH} levels")
+        if len(self.stack) > MAX_DEPTH:
+            raise LimitError(f"nested deeper than {MAX_DEPTH} levels")
 
 
 def read_yaml(text: str, file: str) -> Node | None:
@@ -92,7 +92,7 @@
     Raises DocumentError where the form is broken and LimitError past a bound. What was read up to a break
     is lost: half a tree says nothing of what is missing.
     """
-    builder, anchors = _Builder(), dict[str, Node]()
+    builder, anchors = _TreeBuilder(), dict[str, Node]()
     place = Place(file, 1, 1)
     try:
         for event in yaml.parse(text, Loader=_Loader):
@@ -103,7 +103,7 @@
                 value: str | None = event.value
                 if not event.style and event.tag is None and event.value in _NULLS:
                     value = None
-                node = Scalar(value, place, vault=event.tag in ("!vault", "!vault-encrypted"))
+                node = Scalar(value, place, encrypted=event.tag in ("!vault", "!vault-encrypted"))
             elif isinstance(event, yaml.AliasEvent):
                 if event.anchor not in anchors:
                     raise DocumentError(place, f"the alias *{event.anchor} names no anchor")
@@ -130,8 +130,8 @@
         raise LimitError(f"{error} at {place}") from None
     except yaml.YAMLError as error:
         mark = getattr(error, "problem_mark", None) or getattr(error, "context_mark", None)
-        at = Place(file, mark.line + 1, mark.column + 1) if mark is not None else place
-        raise DocumentError(at, _yaml_words(error)) from None
+        index = Place(file, mark.line + 1, mark.column + 1) if mark is not None else place
+        raise DocumentError(index, _yaml_error_text(error)) from None
     except (ValueError, OverflowError) as error:  # characters that the library's reader does not take
         if isinstance(error, DocumentError):
             raise
@@ -139,7 +139,7 @@
     return builder.root
 
 
-def _yaml_words(error: yaml.YAMLError) -> str:
+def _yaml_error_text(error: yaml.YAMLError) -> str:
     """What the library says, without its marks; a tab gets plain words, since it is met most."""
     problem = getattr(error, "problem", None) or getattr(error, "reason", None) or type(error).__name__
     if "cannot start any token" in str(problem):
@@ -148,87 +148,87 @@
     return f"{problem} {context}" if context else str(problem)
 
 
-class Lines:
+class LineIndex:
     """Turns places in a text into lines and columns."""
 
     def __init__(self, text: str, file: str) -> None:
         self.file = file
         self.starts = [0, *(match.end() for match in re.finditer("\n", text))]
 
-    def place(self, at: int) -> Place:
+    def place_at(self, index: int) -> Place:
         """The place of a character."""
-        line = bisect_right(self.starts, at)
-        return Place(self.file, line, at - self.starts[line - 1] + 1)
+        line = bisect_right(self.starts, index)
+        return Place(self.file, line, index - self.starts[line - 1] + 1)
 
 
 def read_json(text: str, file: str) -> Node | None:
     """Read a JSON text. Raises as `read_yaml` does."""
-    builder, lines = _Builder(), Lines(text, file)
-    at = _skip(text, 0)
-    want_value, first = True, False  # `first`: a container has just been opened and may close at once
+    builder, lines = _TreeBuilder(), LineIndex(text, file)
+    index = _skip_whitespace(text, 0)
+    expects_value, first = True, False  # `first`: a container has just been opened and may close at once
     while True:
         mapping = bool(builder.stack) and isinstance(builder.stack[-1][0], Mapping)
-        letter = text[at : at + 1]
-        if letter and letter in "}]" and (first or not want_value) and builder.stack:
-            if mapping != (letter == "}"):
-                raise DocumentError(lines.place(at), f"{letter!r} closes what was opened otherwise")
+        char = text[index : index + 1]
+        if char and char in "}]" and (first or not expects_value) and builder.stack:
+            if mapping != (char == "}"):
+                raise DocumentError(lines.place_at(index), f"{char!r} closes what was opened otherwise")
             builder.stack.pop()
-            at, want_value, first = at + 1, False, False
-        elif not want_value:
-            if letter != ",":
-                raise DocumentError(lines.place(at), "want a comma here, or the end of what is open")
-            at, want_value = _skip(text, at + 1), True
-            if text[at : at + 1] in ("}", "]"):
-                raise DocumentError(lines.place(at), "a comma stands before the end; take it out")
+            index, expects_value, first = index + 1, False, False
+        elif not expects_value:
+            if char != ",":
+                raise DocumentError(lines.place_at(index), "want a comma here, or the end of what is open")
+            index, expects_value = _skip_whitespace(text, index + 1), True
+            if text[index : index + 1] in ("}", "]"):
+                raise DocumentError(lines.place_at(index), "a comma stands before the end; take it out")
             continue
         else:
             first = False
             if mapping:
-                if letter != '"':
-                    raise DocumentError(lines.place(at), "want a key in double quotes")
-                key, end = _string(text, at, lines)
-                builder.add(Scalar(key, lines.place(at)))
-                at = _skip(text, end)
-                if text[at : at + 1] != ":":
-                    raise DocumentError(lines.place(at), "want a colon behind the key")
-                at = _skip(text, at + 1)
-            at, first = _value(text, at, lines, builder)
-            want_value = first
-        at = _skip(text, at)
+                if char != '"':
+                    raise DocumentError(lines.place_at(index), "want a key in double quotes")
+                key, end = _read_string(text, index, lines)
+                builder.add(Scalar(key, lines.place_at(index)))
+                index = _skip_whitespace(text, end)
+                if text[index : index + 1] != ":":
+                    raise DocumentError(lines.place_at(index), "want a colon behind the key")
+                index = _skip_whitespace(text, index + 1)
+            index, first = _read_value(text, index, lines, builder)
+            expects_value = first
+        index = _skip_whitespace(text, index)
         if not builder.stack:
-            if at < len(text):
-                raise DocumentError(lines.place(at), "something stands behind the end")
+            if index < len(text):
+                raise DocumentError(lines.place_at(index), "something stands behind the end")
             return builder.root
 
 
-def _skip(text: str, at: int) -> int:
-    match = _SPACE.match(text, at)
-    return match.end() if match else at
+def _skip_whitespace(text: str, index: int) -> int:
+    match = _SPACE.match(text, index)
+    return match.end() if match else index
 
 
-def _string(text: str, at: int, lines: Lines) -> tuple[str, int]:
+def _read_string(text: str, index: int, lines: LineIndex) -> tuple[str, int]:
     try:
-        value, end = scanstring(text, at + 1, True)
+        value, end = scanstring(text, index + 1, True)
         return str(value), int(end)
     except JSONDecodeError as error:
-        raise DocumentError(lines.place(min(error.pos, len(text))), error.msg) from None
+        raise DocumentError(lines.place_at(min(error.pos, len(text))), error.msg) from None
 
 
-def _value(text: str, at: int, lines: Lines, builder: _Builder) -> tuple[int, bool]:
+def _read_value(text: str, index: int, lines: LineIndex, builder: _TreeBuilder) -> tuple[int, bool]:
     """One value; gives where it ends, and whether it opens something."""
-    place, letter = lines.place(at), text[at : at + 1]
-    if letter == "{" or letter == "[":
-        builder.open(Mapping(place) if letter == "{" else Sequence(place))
-        return at + 1, True
-    if letter == '"':
-        value, at = _string(text, at, lines)
+    place, char = lines.place_at(index), text[index : index + 1]
+    if char == "{" or char == "[":
+        builder.open(Mapping(place) if char == "{" else Sequence(place))
+        return index + 1, True
+    if char == '"':
+        value, index = _read_string(text, index, lines)
         builder.add(Scalar(value, place))
-        return at, False
-    for word, meaning in _WORDS.items():
-        if text.startswith(word, at):
+        return index, False
+    for word, meaning in _JSON_LITERALS.items():
+        if text.startswith(word, index):
             builder.add(Scalar(meaning, place))
-            return at + len(word), False
-    if match := _NUMBER.match(text, at):
+            return index + len(word), False
+    if match := _NUMBER.match(text, index):
         builder.add(Scalar(match[0], place))
         return match.end(), False
-    raise DocumentError(place, "want a value" if letter else "the text ends amid a value")
+    raise DocumentError(place, "want a value" if char else "the text ends amid a value")
--- a/lockspoke/inventory/files.py
+++ b/lockspoke/inventory/files.py
@@ -8,18 +8,18 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from .limits import FILE_BYTES, FILES
-from .reading import FileText
+from .limits import MAX_FILE_BYTES, MAX_FILES
+from .source_reader import FileText
 
 # What Ansible passes over in a folder of sources, and what editors leave beside a file they write.
-_IGNORED = re.compile(
+_IGNORED_NAMES = re.compile(
     r"^\.|~$|^#.*#$|\.(pyc|pyo|swp|swx|bak|rpm|md|txt|rst|orig|cfg|retry|tmp|part)$|^__pycache__$"
 )
-_VARS = {"group_vars": "group_vars", "host_vars": "host_vars"}
-_VARS_ENDINGS = ("", ".yml", ".yaml", ".json")
+_VARIABLE_FOLDERS = {"group_vars": "group_vars", "host_vars": "host_vars"}
+_VARIABLE_SUFFIXES = ("", ".yml", ".yaml", ".json")
 
 
-def collect(paths: Sequence[Path]) -> list[FileText]:
+def read_files(paths: Sequence[Path]) -> list[FileText]:
     """Read all files of an inventory, in the order in which they are merged.
 
     A folder stands for the sources in it, in the order of their names. `group_vars/` and `host_vars/` beside
@@ -28,47 +28,47 @@
     found: list[FileText] = []
     beside: dict[Path, None] = {}
     for path in paths:
-        for source in _sources(path):
-            found.append(_read(source, "source"))
-            if len(found) > FILES:
-                return [*found, FileText(str(path), None, f"more than {FILES} files")]
+        for source in _source_paths(path):
+            found.append(_read_file(source, "source"))
+            if len(found) > MAX_FILES:
+                return [*found, FileText(str(path), None, f"more than {MAX_FILES} files")]
         beside.setdefault(path if path.is_dir() else path.parent)
     for folder in beside:
-        for role in _VARS:
-            for subject, file in _variables(folder / role):
-                found.append(_read(file, role, subject))
-                if len(found) > FILES:
-                    return [*found, FileText(str(folder), None, f"more than {FILES} files")]
+        for role in _VARIABLE_FOLDERS:
+            for subject, file in _variable_files(folder / role):
+                found.append(_read_file(file, role, subject))
+                if len(found) > MAX_FILES:
+                    return [*found, FileText(str(folder), None, f"more than {MAX_FILES} files")]
     return found
 
 
-def signature(paths: Sequence[Path]) -> tuple[object, ...]:
+def file_signature(paths: Sequence[Path]) -> tuple[object, ...]:
     """What changes when any file of an inventory is written, replaced, linked elsewhere or taken away.
 
     Costs a stat for each file and reads none of them.
     """
     marks: list[object] = []
     for path in paths:
-        for source in _sources(path):
-            marks.append(_mark(source))
+        for source in _source_paths(path):
+            marks.append(_stat_mark(source))
         folder = path if path.is_dir() else path.parent
-        for role in _VARS:
-            marks += [_mark(file) for _, file in _variables(folder / role)]
+        for role in _VARIABLE_FOLDERS:
+            marks += [_stat_mark(file) for _, file in _variable_files(folder / role)]
     return tuple(marks)
 
 
-def folders(paths: Sequence[Path]) -> list[Path]:
+def watched_folders(paths: Sequence[Path]) -> list[Path]:
     """The folders in which a change can matter: of the sources, of their links' targets, of variables."""
     found: dict[Path, None] = {}
     for path in paths:
         base = path if path.is_dir() else path.parent
         found.setdefault(base)
-        for target in (path, *(_sources(path))):
+        for target in (path, *(_source_paths(path))):
             try:
                 found.setdefault(target.resolve(strict=True).parent)
             except (OSError, RuntimeError):
                 continue
-        for role in _VARS:
+        for role in _VARIABLE_FOLDERS:
             top = base / role
             if top.is_dir():
                 found.setdefault(top)
@@ -78,14 +78,14 @@
     return [folder for folder in found if folder.is_dir()]
 
 
-def replaced(before: tuple[object, ...], after: tuple[object, ...]) -> bool:
+def were_replaced(before: tuple[object, ...], after: tuple[object, ...]) -> bool:
     """Whether files were put in place whole (another inode) rather than written where they are."""
     old = {mark[0]: mark for mark in before if isinstance(mark, tuple)}
     changed = [mark for mark in after if isinstance(mark, tuple) and old.get(mark[0]) != mark]
     return all(mark[0] in old and mark[2] != old[mark[0]][2] for mark in changed)
 
 
-def _sources(path: Path) -> Iterator[Path]:
+def _source_paths(path: Path) -> Iterator[Path]:
     try:
         if not path.is_dir():
             yield path
@@ -95,23 +95,23 @@
         yield path  # reading it tells what is wrong
         return
     for name in names:
-        if _IGNORED.search(name) or name in _VARS:
+        if _IGNORED_NAMES.search(name) or name in _VARIABLE_FOLDERS:
             continue
         inner = path / name
         if inner.is_dir():
-            yield from _sources(inner)
+            yield from _source_paths(inner)
         else:
             yield inner
 
 
-def _variables(folder: Path) -> Iterator[tuple[str, Path]]:
+def _variable_files(folder: Path) -> Iterator[tuple[str, Path]]:
     """Files of variables with their subjects: NAME, NAME.yml, or a folder NAME with files in it."""
     try:
         names = sorted(os.listdir(folder))
     except OSError:
         return
     for name in names:
-        if _IGNORED.search(name):
+        if _IGNORED_NAMES.search(name):
             continue
         inner = folder / name
         if inner.is_dir():
@@ -121,17 +121,17 @@
                 yield name, inner
                 continue
             for part in parts:
-                if not _IGNORED.search(part) and os.path.splitext(part)[1] in _VARS_ENDINGS:
+                if not _IGNORED_NAMES.search(part) and os.path.splitext(part)[1] in _VARIABLE_SUFFIXES:
                     yield name, inner / part
             continue
         stem, ending = os.path.splitext(name)
-        if ending in _VARS_ENDINGS[1:]:
+        if ending in _VARIABLE_SUFFIXES[1:]:
             yield stem, inner
         else:
             yield name, inner  # a host's name has dots of its own
 
 
-def _read(path: Path, role: str, subject: str = "") -> FileText:
+def _read_file(path: Path, role: str, subject: str = "") -> FileText:
     try:
         # A pipe or a device would hold up the reader for good: regular files only.
         handle = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
@@ -139,14 +139,14 @@
             status = os.fstat(file.fileno())
             if not stat.S_ISREG(status.st_mode):
                 return FileText(str(path), None, "not a regular file", role, subject)
-            data = file.read(FILE_BYTES + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         return FileText(str(path), None, error.strerror or type(error).__name__, role, subject)
     script = role == "source" and bool(status.st_mode & 0o111) and data.startswith(b"#!")
     return FileText(str(path), data, "", role, subject, script)
 
 
-def _mark(path: Path) -> tuple[object, ...]:
+def _stat_mark(path: Path) -> tuple[object, ...]:
     try:
         status = path.stat()
     except OSError as error:
--- a/lockspoke/inventory/model.py
+++ b/lockspoke/inventory/model.py
@@ -17,7 +17,7 @@
 
     raw: Any
     place: Place
-    vault: bool = False
+    encrypted: bool = False
 
     @property
     def text(self) -> str:
@@ -31,16 +31,16 @@
 
     name: str
     place: Place
-    vars: dict[str, Value] = field(default_factory=dict)
-    clashes: list[tuple[str, Value, Value]] = field(default_factory=list)  # given twice, with two values
+    variables: dict[str, Value] = field(default_factory=dict)
+    conflicts: list[tuple[str, Value, Value]] = field(default_factory=list)  # given twice, with two values
 
-    def give(self, given: dict[str, Value]) -> None:
+    def add_variables(self, given: dict[str, Value]) -> None:
         """Further variables, from another place where the host stands; the later goes before the earlier."""
         for key, value in given.items():
-            before = self.vars.get(key)
+            before = self.variables.get(key)
             if before is not None and before.raw != value.raw:
-                self.clashes.append((key, before, value))
-            self.vars[key] = value
+                self.conflicts.append((key, before, value))
+            self.variables[key] = value
 
 
 @dataclass(slots=True)
@@ -51,8 +51,8 @@
     place: Place
     hosts: dict[str, Place] = field(default_factory=dict)
     children: dict[str, Place] = field(default_factory=dict)
-    vars: dict[str, Value] = field(default_factory=dict)
-    spoilt: Place | None = None  # where its variables can't be read: nothing is known of its hosts
+    variables: dict[str, Value] = field(default_factory=dict)
+    malformed_at: Place | None = None  # where its variables can't be read: nothing is known of its hosts
 
 
 @dataclass(slots=True)
@@ -64,13 +64,13 @@
     """
 
     file: str
-    form: str
-    whole: bool = True  # read to its end: a host that is not in it has been taken out
-    closed: bool = True  # ends with a newline, as whole text files do
-    rows: list[Host] = field(default_factory=list)
+    format: str
+    complete: bool = True  # read to its end: a host that is not in it has been taken out
+    ends_with_newline: bool = True  # ends with a newline, as whole text files do
+    hosts: list[Host] = field(default_factory=list)
     groups: dict[str, Group] = field(default_factory=dict)
 
-    def group(self, name: str, place: Place) -> Group:
+    def get_or_add_group(self, name: str, place: Place) -> Group:
         """A group by its name, made where it is new."""
         return self.groups.setdefault(name, Group(name, place))
 
@@ -88,7 +88,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerRecord:
+class ReplicaRecord:
     """A worker as the schema has accepted it.
 
     `weight` is relative to a worker of the yardstick's speed; `cell` is a whole number from 0 on; `state`
@@ -126,12 +126,12 @@
     could not be made out: an absence that either may explain is no removal.
     """
 
-    workers: dict[str, WorkerRecord]
+    replicas: dict[str, ReplicaRecord]
     files: dict[str, tuple[str, ...]] = field(default_factory=dict)  # of each worker, where it stands
-    bad: dict[str, str] = field(default_factory=dict)
-    drains: dict[str, str] = field(default_factory=dict)
-    doubtful: dict[str, str] = field(default_factory=dict)
-    loose: frozenset[tuple[str, int]] = frozenset()
-    open_ended: frozenset[str] = frozenset()  # sources whose last line has no newline
+    invalid_hosts: dict[str, str] = field(default_factory=dict)
+    requested_states: dict[str, str] = field(default_factory=dict)
+    incomplete_sources: dict[str, str] = field(default_factory=dict)
+    unnamed_addresses: frozenset[tuple[str, int]] = frozenset()
+    unterminated_sources: frozenset[str] = frozenset()  # sources whose last line has no newline
     problems: tuple[Problem, ...] = ()
     fingerprint: str = ""
--- a/lockspoke/inventory/patterns.py
+++ b/lockspoke/inventory/patterns.py
@@ -45,17 +45,17 @@
     sign: str
     text: str
     matches: Callable[[str], bool]
-    cut: slice | int | None = None
+    subscript: slice | int | None = None
 
 
-class _Build(Transformer[Token, Any]):
+class _TermBuilder(Transformer[Token, Any]):
     """From the parse tree to terms."""
 
     def term(self, parts: list[Any]) -> Term:
         sign = ""
         if isinstance(parts[0], Token) and parts[0].type == "SIGN":
             sign = str(parts.pop(0))
-        text, cut = str(parts[0]), _cut(str(parts[1])) if len(parts) > 1 else None
+        text, cut = str(parts[0]), _parse_subscript(str(parts[1])) if len(parts) > 1 else None
         if text.startswith("~"):
             return Term(sign, text, re.compile(text[1:]).match, cut)  # type: ignore[arg-type]
         if any(letter in text for letter in "*?["):
@@ -66,7 +66,7 @@
         return tuple(parts)
 
 
-def _cut(text: str) -> slice | int:
+def _parse_subscript(text: str) -> slice | int:
     """A subscript; both ends of a span count, as in Ansible."""
     first, colon, last = text[1:-1].partition(":") if ":" in text else text[1:-1].rpartition("-")
     if not colon or not (first or ":" in text):
@@ -102,10 +102,10 @@
                 if not inside or any(letter in term.text for letter in "*?[~"):
                     inside |= {name for name in order if term.matches(name)}
                 found = sorted((name for name in inside if name in place), key=place.__getitem__)
-            if isinstance(term.cut, slice):
-                return set(found[term.cut])
-            if term.cut is not None:
-                return {found[term.cut]} if -len(found) <= term.cut < len(found) else set()
+            if isinstance(term.subscript, slice):
+                return set(found[term.subscript])
+            if term.subscript is not None:
+                return {found[term.subscript]} if -len(found) <= term.subscript < len(found) else set()
             return set(found)
 
         plain = [term for term in self.terms if not term.sign]
@@ -119,13 +119,13 @@
         return [name for name in order if name in chosen]
 
 
-def read_pattern(text: str) -> Pattern:
+def parse_pattern(text: str) -> Pattern:
     """Read a pattern. Raises PatternError."""
     if len(text) > 4096:
         raise PatternError("the pattern is longer than 4096 characters", 4097)
     try:
         tree = _parser().parse(text)
-        return Pattern(text, _Build().transform(tree))
+        return Pattern(text, _TermBuilder().transform(tree))
     except UnexpectedInput as error:
         column = getattr(error, "column", None)
         column = column if isinstance(column, int) and column > 0 else len(text) + 1
--- a/lockspoke/inventory/problems.py
+++ b/lockspoke/inventory/problems.py
@@ -30,10 +30,10 @@
 class Code:
     """One kind of problem; `ident` never changes its meaning."""
 
-    ident: str
+    id: str
     name: str
     severity: Severity
-    says: str  # what it means and what becomes of the rows concerned
+    description: str  # what it means and what becomes of the rows concerned
 
 
 def _error(ident: str, name: str, says: str) -> Code:
@@ -48,25 +48,27 @@
 UNREADABLE = _error("INV101", "unreadable", "A source is missing or can't be read; its hosts are held.")
 NOT_UTF8 = _error("INV102", "not-utf8", "A source isn't UTF-8 text; its hosts are held.")
 TOO_LARGE = _error("INV103", "too-large", "A source, line or value is past the size that is read.")
-SYNTAX = _error("INV104", "syntax", "The form is broken here, and what follows is not read.")
+SYNTAX_ERROR = _error("INV104", "syntax", "The form is broken here, and what follows is not read.")
 TOO_DEEP = _error("INV105", "too-deep", "Nesting, aliases or hosts beyond what is read.")
-UNKNOWN_FORM = _error("INV106", "unknown-form", "Neither the name nor the text tells which form it has.")
-NO_WORKERS = _error("INV107", "no-workers", "A source names no host at all.")
-SCRIPT = _warning("INV108", "script", "An executable inventory script is never run here; it is passed over.")
-ENCRYPTED = _warning("INV109", "encrypted", "A file under a vault key is passed over.")
+UNKNOWN_FORMAT = _error("INV106", "unknown-form", "Neither the name nor the text tells which form it has.")
+NO_REPLICAS = _error("INV107", "no-workers", "A source names no host at all.")
+INVENTORY_SCRIPT = _warning(
+    "INV108", "script", "An executable inventory script is never run here; it is passed over."
+)
+ENCRYPTED_FILE = _warning("INV109", "encrypted", "A file under a vault key is passed over.")
 # Structure
 UNKNOWN_COLUMN = _warning("INV201", "unknown-column", "A column that no setting names is not used.")
 NO_NAME_COLUMN = _error("INV202", "no-name-column", "A CSV file's header has no column for the name.")
 REPEATED_COLUMN = _error("INV203", "repeated-column", "Two columns of one header stand for the same thing.")
 CELL_COUNT = _error("INV204", "cell-count", "A row has more or fewer cells than the header.")
 GROUP_KEY = _error("INV205", "group-key", "A group holds hosts, children and vars, nothing else.")
-SHAPE = _error("INV206", "shape", "A mapping, a list or a plain value stands where another is wanted.")
+WRONG_TYPE = _error("INV206", "shape", "A mapping, a list or a plain value stands where another is wanted.")
 REPEATED_KEY = _error("INV207", "repeated-key", "One mapping has a key twice.")
-RANGE = _error("INV208", "range", "A host range that can't be expanded.")
+BAD_RANGE = _error("INV208", "range", "A host range that can't be expanded.")
 GROUP_LOOP = _error("INV209", "group-loop", "A group is its own ancestor.")
 UNDEFINED_GROUP = _error("INV210", "undefined-group", "A child group that is defined nowhere.")
-ASSIGNMENT = _error("INV211", "assignment", "Something that is no key=value where one is wanted.")
-PRIORITY = _error("INV212", "priority", "ansible_group_priority is no whole number.")
+BAD_ASSIGNMENT = _error("INV211", "assignment", "Something that is no key=value where one is wanted.")
+BAD_PRIORITY = _error("INV212", "priority", "ansible_group_priority is no whole number.")
 STRAY_VARS = _warning("INV213", "stray-vars", "Variables for a host or group that no source names.")
 # Values
 NO_NAME = _error("INV301", "no-name", "A row without a name.")
@@ -80,19 +82,19 @@
 BAD_NUMBER = _error("INV309", "bad-number", "A weight or cell that is no number in its range.")
 UNKNOWN_STATE = _error("INV310", "unknown-state", "A state other than up, draining or removed.")
 BAD_LABEL = _error("INV311", "bad-label", "Labels that are not name=value pairs.")
-TEMPLATE = _error("INV312", "template", "A value that needs templating, which is not done here.")
-VAULT = _error("INV313", "vault", "A value under a vault key.")
-MISSING = _error("INV314", "missing", "A value that the settings require.")
+TEMPLATE_VALUE = _error("INV312", "template", "A value that needs templating, which is not done here.")
+VAULT_VALUE = _error("INV313", "vault", "A value under a vault key.")
+MISSING_VALUE = _error("INV314", "missing", "A value that the settings require.")
 # Between rows
-TWICE = _error("INV401", "name-twice", "Two rows have one name.")
-SAME_ADDRESS = _error("INV402", "same-address", "Two workers have one address.")
-TWO_KINDS = _error("INV403", "two-kinds", "A host stands under two kinds.")
-TWO_ZONES = _error("INV404", "two-zones", "A host stands under two zones.")
-DISAGREE = _error("INV405", "sources-disagree", "Two sources give a host different values.")
-CONTRADICTS = _warning("INV406", "contradicts-group", "A host's own value goes against its group's.")
+DUPLICATE_NAME = _error("INV401", "name-twice", "Two rows have one name.")
+DUPLICATE_ADDRESS = _error("INV402", "same-address", "Two workers have one address.")
+CONFLICTING_KINDS = _error("INV403", "two-kinds", "A host stands under two kinds.")
+CONFLICTING_ZONES = _error("INV404", "two-zones", "A host stands under two zones.")
+SOURCES_DISAGREE = _error("INV405", "sources-disagree", "Two sources give a host different values.")
+CONTRADICTS_GROUP = _warning("INV406", "contradicts-group", "A host's own value goes against its group's.")
 NOTHING_SELECTED = _warning("INV501", "nothing-selected", "The pattern selects no host.")
 
-CODES = {code.ident: code for code in list(globals().values()) if isinstance(code, Code)}
+CODES = {code.id: code for code in list(globals().values()) if isinstance(code, Code)}
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,8 +104,8 @@
     code: Code
     place: Place
     message: str
-    mend: str = ""
-    clash: Place | None = None
+    suggestion: str = ""
+    related_place: Place | None = None
     host: str = ""  # the worker concerned, where it has a name
 
     @property
@@ -118,12 +120,12 @@
 
     def __str__(self) -> str:
         """What is wrong, what it clashes with, and the mend."""
-        clash = f" (see {self.clash})" if self.clash is not None else ""
-        mend = f"; {self.mend}" if self.mend else ""
-        return f"{self.message}{clash}{mend}"
+        related_place = f" (see {self.related_place})" if self.related_place is not None else ""
+        suggestion = f"; {self.suggestion}" if self.suggestion else ""
+        return f"{self.message}{related_place}{suggestion}"
 
 
-class Problems:
+class ProblemCollector:
     """Collects problems in the order in which they are found, each once."""
 
     def __init__(self) -> None:
@@ -134,14 +136,14 @@
         code: Code,
         place: Place,
         message: str,
-        mend: str = "",
-        clash: Place | None = None,
+        suggestion: str = "",
+        related_place: Place | None = None,
         host: str = "",
     ) -> None:
         """Note one."""
-        self.found.setdefault(Problem(code, place, message, mend, clash, host))
+        self.found.setdefault(Problem(code, place, message, suggestion, related_place, host))
 
     def sorted(self) -> list[Problem]:
         """By file, line and column; what holds for all hosts of one range is told once."""
-        told = {(one.place, one.code.ident, one.message): one for one in reversed(self.found)}
+        told = {(one.place, one.code.id, one.message): one for one in reversed(self.found)}
         return [told[key] for key in sorted(told)]
--- a/lockspoke/inventory/ranges.py
+++ b/lockspoke/inventory/ranges.py
@@ -6,7 +6,7 @@
 import string
 from itertools import product
 
-from .limits import HOSTS
+from .limits import MAX_HOSTS
 
 _PART = re.compile(r"\[([^\[\]]*)\]")
 _LETTERS = string.ascii_letters  # as Ansible counts: a to z, then A to Z
@@ -16,7 +16,7 @@
     """A range that can't be expanded; the text says why and what to write."""
 
 
-def expand(name: str) -> list[str]:
+def expand_range(name: str) -> list[str]:
     """The hosts that a name stands for, in order; a name without a range stands for itself.
 
     Raises RangeError. Numeric ranges are inclusive, keep the width of a start with leading zeros and may
@@ -31,10 +31,10 @@
         parts.append([name[at : match.start()]])
         if ":" not in match[1]:
             raise RangeError(f"{match[0]!r} is no range; write [first:last] or [first:last:step]")
-        parts.append(_steps(match[1]))
+        parts.append(_expand_bounds(match[1]))
         count *= len(parts[-1])
-        if count > HOSTS:
-            raise RangeError(f"{name!r} stands for more than {HOSTS} hosts; split it")
+        if count > MAX_HOSTS:
+            raise RangeError(f"{name!r} stands for more than {MAX_HOSTS} hosts; split it")
         at = match.end()
     parts.append([name[at:]])
     if any(bracket in text for part in parts[::2] for text in part for bracket in "[]"):
@@ -42,7 +42,7 @@
     return ["".join(chosen) for chosen in product(*parts)]
 
 
-def _steps(text: str) -> list[str]:
+def _expand_bounds(text: str) -> list[str]:
     bounds = text.split(":")
     if len(bounds) > 3:
         raise RangeError(f"[{text}] has more than three parts; write [first:last:step]")
@@ -51,27 +51,27 @@
         raise RangeError(f"[{text}] has no end; write [first:last]")
     if not (step.isascii() and step.isdigit() and int(step[:7]) > 0 and len(step) < 7):
         raise RangeError(f"[{text}] has the step {step!r}; write a whole number from 1 on")
-    if _letter(first) and _letter(last):
+    if _is_letter(first) and _is_letter(last):
         low, high = _LETTERS.index(first), _LETTERS.index(last)
         if low > high:
             raise RangeError(f"[{text}] runs backwards; write [{last}:{first}]")
         return list(_LETTERS[low : high + 1 : int(step)])
-    if not (_digits(first) and _digits(last)):
+    if not (_is_number(first) and _is_number(last)):
         raise RangeError(f"[{text}] is neither two numbers nor two letters")
     if first.startswith("0") and len(first) > 1 and len(last) != len(first):
         raise RangeError(f"[{text}] has bounds of different width; write the end with {len(first)} digits")
     low, high = int(first), int(last)
     if low > high:
         raise RangeError(f"[{text}] runs backwards; write [{last}:{first}]")
-    if (high - low) // int(step) >= HOSTS:
-        raise RangeError(f"[{text}] stands for more than {HOSTS} hosts; split it")
+    if (high - low) // int(step) >= MAX_HOSTS:
+        raise RangeError(f"[{text}] stands for more than {MAX_HOSTS} hosts; split it")
     width = len(first) if first.startswith("0") else 1
     return [f"{number:0{width}}" for number in range(low, high + 1, int(step))]
 
 
-def _letter(text: str) -> bool:
+def _is_letter(text: str) -> bool:
     return len(text) == 1 and text in _LETTERS
 
 
-def _digits(text: str) -> bool:
+def _is_number(text: str) -> bool:
     return text.isascii() and text.isdigit() and len(text) < 10
--- a/lockspoke/inventory/reports.py
+++ b/lockspoke/inventory/reports.py
@@ -6,11 +6,11 @@
 from pathlib import PurePosixPath
 from typing import Any
 
-from .model import WorkerRecord
+from .model import ReplicaRecord
 from .problems import CODES, Place, Problem, Severity
 
 SARIF_SCHEMA = "https://json.schemastore.org/sarif-2.1.0.json"
-WIDEST = 100  # characters of a source line that are shown
+MAX_EXCERPT_CHARS = 100  # characters of a source line that are shown
 
 
 def as_text(
@@ -25,14 +25,14 @@
     blocks = []
     for problem in problems:
         level = problem.severity.value
-        place, mark = style(str(problem.place), "place"), style(f"{level}[{problem.code.ident}]", level)
+        place, mark = style(str(problem.place), "place"), style(f"{level}[{problem.code.id}]", level)
         head = f"{place}: {mark}: {problem.message}"
         lines = [head, *_excerpt(problem.place, texts, style)]
-        if problem.clash is not None:
-            lines.append(f"    clashes with {style(str(problem.clash), 'place')}")
-            lines += _excerpt(problem.clash, texts, style)
-        if problem.mend:
-            lines.append(f"    {style('mend:', 'mend')} {problem.mend}")
+        if problem.related_place is not None:
+            lines.append(f"    clashes with {style(str(problem.related_place), 'place')}")
+            lines += _excerpt(problem.related_place, texts, style)
+        if problem.suggestion:
+            lines.append(f"    {style('mend:', 'mend')} {problem.suggestion}")
         blocks.append("\n".join(lines))
     return "\n".join(blocks)
 
@@ -45,48 +45,50 @@
     if place.line > len(lines):
         return []
     line, column = lines[place.line - 1].replace("\t", " ").rstrip("\r"), max(place.column, 1)
-    start = max(0, column - WIDEST // 2) if len(line) > WIDEST else 0
-    shown = line[start : start + WIDEST]
+    start = max(0, column - MAX_EXCERPT_CHARS // 2) if len(line) > MAX_EXCERPT_CHARS else 0
+    shown = line[start : start + MAX_EXCERPT_CHARS]
     number = f"{place.line:>5} | "
-    found = [number + "".join(letter if letter.isprintable() else "?" for letter in shown)]
+    found = [number + "".join(char if char.isprintable() else "?" for char in shown)]
     if place.column:
         found.append(" " * (len(number) + column - 1 - start) + style("^", "mend"))
     return found
 
 
-def summary(workers: int, problems: Iterable[Problem]) -> str:
+def summary(replica_count: int, problems: Iterable[Problem]) -> str:
     """One line: how many workers, errors and warnings."""
     levels = [problem.severity for problem in problems]
     errors, warnings = levels.count(Severity.ERROR), levels.count(Severity.WARNING)
-    return f"{_count(workers, 'worker')}, {_count(errors, 'error')}, {_count(warnings, 'warning')}"
+    return (
+        f"{_counted(replica_count, 'worker')}, {_counted(errors, 'error')}, {_counted(warnings, 'warning')}"
+    )
 
 
-def _count(number: int, what: str) -> str:
+def _counted(number: int, what: str) -> str:
     return f"{number} {what}{'' if number == 1 else 's'}"
 
 
 def problem_json(problem: Problem) -> dict[str, Any]:
     """One problem as a plain object."""
-    raw: dict[str, Any] = {
+    document: dict[str, Any] = {
         "file": problem.place.file,
         "line": problem.place.line,
         "column": problem.place.column,
-        "code": problem.code.ident,
+        "code": problem.code.id,
         "name": problem.code.name,
         "severity": problem.severity.value,
         "message": problem.message,
-        "mend": problem.mend,
+        "mend": problem.suggestion,
         "host": problem.host,
     }
-    if problem.clash is not None:
-        raw["clash"] = problem.clash._asdict()
-    return raw
+    if problem.related_place is not None:
+        document["clash"] = problem.related_place._asdict()
+    return document
 
 
-def as_json(workers: Iterable[WorkerRecord], problems: Iterable[Problem]) -> dict[str, Any]:
+def as_json(replicas: Iterable[ReplicaRecord], problems: Iterable[Problem]) -> dict[str, Any]:
     """What `check --json` prints."""
     return {
-        "workers": [worker.as_json() for worker in workers],
+        "workers": [replica.as_json() for replica in replicas],
         "problems": [problem_json(problem) for problem in problems],
     }
 
@@ -96,26 +98,26 @@
     idents = list(CODES)
     rules = [
         {
-            "id": code.ident,
+            "id": code.id,
             "name": "".join(part.capitalize() for part in code.name.split("-")),
-            "shortDescription": {"text": code.says},
+            "shortDescription": {"text": code.description},
             "defaultConfiguration": {"level": code.severity.value},
         }
         for code in CODES.values()
     ]
     results = []
     for problem in problems:
-        text = f"{problem.message}; {problem.mend}" if problem.mend else problem.message
+        text = f"{problem.message}; {problem.suggestion}" if problem.suggestion else problem.message
         result: dict[str, Any] = {
-            "ruleId": problem.code.ident,
-            "ruleIndex": idents.index(problem.code.ident),
+            "ruleId": problem.code.id,
+            "ruleIndex": idents.index(problem.code.id),
             "level": problem.severity.value,
             "message": {"text": text},
-            "locations": [_location(problem.place)],
+            "locations": [_sarif_location(problem.place)],
         }
-        if problem.clash is not None:
+        if problem.related_place is not None:
             result["relatedLocations"] = [
-                _location(problem.clash) | {"message": {"text": "clashes with this"}}
+                _sarif_location(problem.related_place) | {"message": {"text": "clashes with this"}}
             ]
         results.append(result)
     driver = {"name": "lockspoke", "semanticVersion": version, "rules": rules}
@@ -126,7 +128,7 @@
     }
 
 
-def _location(place: Place) -> dict[str, Any]:
+def _sarif_location(place: Place) -> dict[str, Any]:
     physical: dict[str, Any] = {"artifactLocation": {"uri": _uri(place.file)}}
     if place.line:
         region = {"startLine": place.line} | ({"startColumn": place.column} if place.column else {})
--- a/lockspoke/inventory/schema.py
+++ b/lockspoke/inventory/schema.py
@@ -10,22 +10,22 @@
 from types import MappingProxyType
 from typing import TypeVar
 
-from .model import Row, Value, WorkerRecord
+from .model import ReplicaRecord, Row, Value
 from .problems import (
     BAD_HOST,
     BAD_LABEL,
     BAD_NAME,
     BAD_NUMBER,
     BAD_PORT,
-    MISSING,
+    DUPLICATE_ADDRESS,
+    MISSING_VALUE,
     NO_ADDRESS,
-    SAME_ADDRESS,
-    TEMPLATE,
+    TEMPLATE_VALUE,
     UNKNOWN_KIND,
     UNKNOWN_STATE,
     UNKNOWN_ZONE,
     UNUSABLE_HOST,
-    VAULT,
+    VAULT_VALUE,
     Code,
     Place,
     Problem,
@@ -51,7 +51,7 @@
         "down": "removed",
     }
 )
-_ORDER = ("up", "draining", "removed")
+_STATES_BY_CAUTION = ("up", "draining", "removed")
 _NAME = re.compile(r"[A-Za-z0-9_](?:[A-Za-z0-9._-]{0,251}[A-Za-z0-9_])?")
 _DNS = re.compile(
     r"(?=.{1,253}$)(?:[A-Za-z0-9_](?:[A-Za-z0-9_-]{0,61}[A-Za-z0-9])?\.)*[A-Za-z](?:[A-Za-z0-9-]{0,61}[A-Za-z0-9])?"
@@ -71,19 +71,19 @@
     port: int = 0  # where a row gives none; 0: it must
     require: tuple[str, ...] = ()  # fields that each row must give
     names: Mapping[str, str] = field(default_factory=dict)  # of columns and variables, the schema's names
-    implied: bool = True  # a group called like a kind or zone puts its hosts there
+    implied_groups: bool = True  # a group called like a kind or zone puts its hosts there
 
     @property
-    def canonical(self) -> dict[str, str]:
+    def canonical_names(self) -> dict[str, str]:
         """By the name of a variable, the schema's name for it."""
         own = {name: name for name in FIELDS - {"name", "groups"}}
         return own | {theirs: ours for ours, theirs in FALLBACKS.items()} | dict(self.names)
 
     @property
-    def group_meanings(self) -> dict[str, tuple[str, str]]:
+    def implied_values(self) -> dict[str, tuple[str, str]]:
         """By the name of a group, what standing in it says: names of groups have `_` where kinds have `-`."""
         meant: dict[str, tuple[str, str]] = {}
-        if self.implied:
+        if self.implied_groups:
             for key, words in (("zone", self.zones), ("kind", tuple(self.kinds))):
                 for word in words:
                     for name in (word, word.replace("-", "_"), f"{key}_{word.replace('-', '_')}"):
@@ -91,20 +91,20 @@
         return meant
 
 
-class _FaultError(Exception):
+class _InvalidValueError(Exception):
     """A value that can't be taken."""
 
-    def __init__(self, code: Code, message: str, mend: str = "") -> None:
+    def __init__(self, code: Code, message: str, suggestion: str = "") -> None:
         super().__init__(message)
-        self.code, self.mend = code, mend
+        self.code, self.suggestion = code, suggestion
 
 
 @dataclass(slots=True)
-class Checked:
+class CheckedRow:
     """A row after the check: its record if it is right, and what is wrong if not."""
 
     row: Row
-    record: WorkerRecord | None
+    record: ReplicaRecord | None
     problems: list[Problem]
     state: str = "up"  # as far as it can be read, also where the rest is wrong
     address: tuple[str, int] | None = None  # the same
@@ -112,45 +112,47 @@
     @property
     def reason(self) -> str:
         """Why it is not taken, in a few words."""
-        return "; ".join(f"{one.code.ident} {one.message}" for one in self.problems if one.is_error)
+        return "; ".join(f"{one.code.id} {one.message}" for one in self.problems if one.is_error)
 
 
-def check_row(row: Row, rules: Rules) -> Checked:
+def check_row(row: Row, rules: Rules) -> CheckedRow:
     """Check one row alone. All that is wrong with it is found, not the first fault only."""
-    return _Checker(row, rules).run()
+    return _RowChecker(row, rules).check()
 
 
-class _Checker:
+class _RowChecker:
     def __init__(self, row: Row, rules: Rules) -> None:
         self.row, self.rules = row, rules
         self.problems: list[Problem] = list(row.problems)
         self.values: dict[str, Value] = {}
         self.labels: dict[str, Value] = {}
 
-    def run(self) -> Checked:
+    def check(self) -> CheckedRow:
         row, rules = self.row, self.rules
-        self._sort()
-        name = self._name()
-        host, port = self._address()
-        zone = self._word("zone", rules.zones, UNKNOWN_ZONE)
-        kind = self._word("kind", tuple(rules.kinds), UNKNOWN_KIND)
-        cell = self._take("cell", _cell, 0)
-        weight = self._take("weight", _weight, rules.kinds.get(kind, 1.0))
-        state = self._take("state", _state, "up")
-        labels = self._labels()
+        self._collect_values()
+        name = self._check_name()
+        host, port = self._check_address()
+        zone = self._check_known_name("zone", rules.zones, UNKNOWN_ZONE)
+        kind = self._check_known_name("kind", tuple(rules.kinds), UNKNOWN_KIND)
+        cell = self._parse_field("cell", _parse_cell, 0)
+        weight = self._parse_field("weight", _parse_weight, rules.kinds.get(kind, 1.0))
+        state = self._parse_field("state", _parse_state, "up")
+        labels = self._check_labels()
         for need in rules.require:
             if need in FIELDS and not self.text(need) and need not in ("name", "host", "port"):
-                self._add(MISSING, row.place, f"{row.name or 'the row'} has no {need}", f"give it a {need}")
+                self._add(
+                    MISSING_VALUE, row.place, f"{row.name or 'the row'} has no {need}", f"give it a {need}"
+                )
         address = (host, port) if host and port else None
         record = None
         if address is not None and not any(one.is_error for one in self.problems):
-            record = WorkerRecord(name, *address, zone, kind, cell, weight, state, labels)
-        return Checked(row, record, self.problems, state, address)
+            record = ReplicaRecord(name, *address, zone, kind, cell, weight, state, labels)
+        return CheckedRow(row, record, self.problems, state, address)
 
-    def _add(self, code: Code, place: Place, message: str, mend: str = "") -> None:
-        self.problems.append(Problem(code, place, message, mend, None, self.row.name))
+    def _add(self, code: Code, place: Place, message: str, suggestion: str = "") -> None:
+        self.problems.append(Problem(code, place, message, suggestion, None, self.row.name))
 
-    def _sort(self) -> None:
+    def _collect_values(self) -> None:
         """Variables by the schema's names: a mapped or own name goes before Ansible's fallback."""
         for key, value in self.row.values.items():
             ours = self.rules.names.get(key, key)
@@ -166,28 +168,28 @@
         value = self.values.get(field_name)
         return value.text.strip() if value is not None else ""
 
-    def _take(self, field_name: str, read: Callable[[str], T], default: T) -> T:
+    def _parse_field(self, field_name: str, read: Callable[[str], T], default: T) -> T:
         """A value read by its own rule; what is wrong is noted, and the default stands for it."""
         value = self.values.get(field_name)
-        if value is None or not self._plain(field_name, value):
+        if value is None or not self._is_plain(field_name, value):
             return default
         text = value.text.strip()
         if not text:
             return default
         try:
             return read(text)
-        except _FaultError as fault:
-            self._add(fault.code, value.place, str(fault), fault.mend)
+        except _InvalidValueError as fault:
+            self._add(fault.code, value.place, str(fault), fault.suggestion)
             return default
 
-    def _plain(self, field_name: str, value: Value) -> bool:
+    def _is_plain(self, field_name: str, value: Value) -> bool:
         """Whether a value can be used as it stands: one that has to be worked out is never guessed."""
-        if value.vault or value.text.startswith("$ANSIBLE_VAULT;"):
-            self._add(VAULT, value.place, f"{field_name} is under a vault key", "keep it in the open")
+        if value.encrypted or value.text.startswith("$ANSIBLE_VAULT;"):
+            self._add(VAULT_VALUE, value.place, f"{field_name} is under a vault key", "keep it in the open")
             return False
         if _TEMPLATE.search(value.text):
-            message = f"{field_name} is a template, {_short(value.text)}"
-            self._add(TEMPLATE, value.place, message, "write the value itself")
+            message = f"{field_name} is a template, {_quoted(value.text)}"
+            self._add(TEMPLATE_VALUE, value.place, message, "write the value itself")
             return False
         if isinstance(value.raw, list | dict):
             what = "a list" if isinstance(value.raw, list) else "a mapping"
@@ -196,7 +198,7 @@
                 if field_name in ("weight", "cell")
                 else BAD_LABEL
                 if field_name == "labels"
-                else MISSING,
+                else MISSING_VALUE,
                 value.place,
                 f"{field_name} is {what}",
                 "write one plain value",
@@ -204,35 +206,35 @@
             return False
         return True
 
-    def _name(self) -> str:
+    def _check_name(self) -> str:
         row = self.row
         if row.name and not _NAME.fullmatch(row.name) and not is_ip(row.name):
-            mend = "use letters, digits, dot, dash and underscore"
-            self._add(BAD_NAME, row.place, f"{_short(row.name)} is no name for a worker", mend)
+            suggestion = "use letters, digits, dot, dash and underscore"
+            self._add(BAD_NAME, row.place, f"{_quoted(row.name)} is no name for a worker", suggestion)
         return row.name
 
-    def _address(self) -> tuple[str, int]:
+    def _check_address(self) -> tuple[str, int]:
         row = self.row
         before = len(self.problems)
-        joined = self._take("endpoint", str, "")
+        joined = self._parse_field("endpoint", str, "")
         place = self.values["endpoint"].place if "endpoint" in self.values else row.place
         if joined:
             host, colon, port_text = joined.rpartition(":")
             if not colon or not host:
-                mend = "write host:port, an IPv6 address in brackets"
-                self._add(NO_ADDRESS, place, f"the endpoint is {_short(joined)}", mend)
+                suggestion = "write host:port, an IPv6 address in brackets"
+                self._add(NO_ADDRESS, place, f"the endpoint is {_quoted(joined)}", suggestion)
                 return "", 0
             if ":" in host and not (host.startswith("[") and host.endswith("]")):
                 self._add(
-                    BAD_HOST, place, f"the endpoint is {_short(joined)}", "write [address]:port for IPv6"
+                    BAD_HOST, place, f"the endpoint is {_quoted(joined)}", "write [address]:port for IPv6"
                 )
                 return "", 0
-            host, port = host.strip("[]"), self._read(port_text, place, _port, 0)
+            host, port = host.strip("[]"), self._parse_text(port_text, place, _parse_port, 0)
         else:
-            host = self._take("host", str, "") or (row.name if "host" not in self.values else "")
+            host = self._parse_field("host", str, "") or (row.name if "host" not in self.values else "")
             host = host.strip("[]")
             place = self.values["host"].place if "host" in self.values else row.place
-            port = self._take("port", _port, self.rules.port)
+            port = self._parse_field("port", _parse_port, self.rules.port)
             if not port and len(self.problems) == before:
                 self._add(
                     NO_ADDRESS, row.place, f"{row.name or 'the row'} has no port", "give it port or endpoint"
@@ -243,9 +245,9 @@
                     NO_ADDRESS, place, f"{row.name or 'the row'} has no host", "give it host or endpoint"
                 )
             return "", port
-        return self._host(host, place), port
+        return self._check_host(host, place), port
 
-    def _host(self, host: str, place: Place) -> str:
+    def _check_host(self, host: str, place: Place) -> str:
         try:
             address = ipaddress.ip_address(host)
         except ValueError:
@@ -254,14 +256,14 @@
             if self.rules.lookups and not numeric and _DNS.fullmatch(host):
                 return host.lower()
             if numeric or (self.rules.lookups and not _DNS.fullmatch(host)):
-                message, mend = (
-                    f"{_short(host)} is no IP address",
+                message, suggestion = (
+                    f"{_quoted(host)} is no IP address",
                     "write four numbers up to 255, as 10.1.0.18",
                 )
             else:
-                message = f"{_short(host)} is no IP address, and look-ups are off"
-                mend = "write the address, or set lookups = true"
-            self._add(BAD_HOST, place, message, mend)
+                message = f"{_quoted(host)} is no IP address, and look-ups are off"
+                suggestion = "write the address, or set lookups = true"
+            self._add(BAD_HOST, place, message, suggestion)
             return ""
         if address.is_unspecified or address.is_multicast or str(address) == "255.255.255.255":
             self._add(
@@ -270,31 +272,31 @@
             return ""
         return str(address)
 
-    def _read(self, text: str, place: Place, read: Callable[[str], T], default: T) -> T:
+    def _parse_text(self, text: str, place: Place, read: Callable[[str], T], default: T) -> T:
         try:
             return read(text.strip())
-        except _FaultError as fault:
-            self._add(fault.code, place, str(fault), fault.mend)
+        except _InvalidValueError as fault:
+            self._add(fault.code, place, str(fault), fault.suggestion)
             return default
 
-    def _word(self, field_name: str, known: tuple[str, ...], code: Code) -> str:
+    def _check_known_name(self, field_name: str, known: tuple[str, ...], code: Code) -> str:
         def read(text: str) -> str:
             if known and text not in known:
                 close = difflib.get_close_matches(text, known, 1, 0.5)
                 meant = f"did you mean {close[0]}? " if close else ""
-                raise _FaultError(
-                    code, f"{field_name} {_short(text)} is not known", f"{meant}known are {', '.join(known)}"
+                raise _InvalidValueError(
+                    code, f"{field_name} {_quoted(text)} is not known", f"{meant}known are {', '.join(known)}"
                 )
             return text
 
-        return self._take(field_name, read, "")
+        return self._parse_field(field_name, read, "")
 
-    def _labels(self) -> tuple[tuple[str, str], ...]:
+    def _check_labels(self) -> tuple[tuple[str, str], ...]:
         found: dict[str, str] = {}
         value = self.values.get("labels")
         if value is not None and isinstance(value.raw, dict):
             pairs = [(str(key), "" if text is None else text, value.place) for key, text in value.raw.items()]
-        elif value is not None and self._plain("labels", value):
+        elif value is not None and self._is_plain("labels", value):
             pairs = []
             for part in filter(None, (part.strip() for part in re.split("[;,]", value.text))):
                 key, equals, text = part.partition("=")
@@ -302,7 +304,7 @@
                     self._add(
                         BAD_LABEL,
                         value.place,
-                        f"label {_short(part)} has no value",
+                        f"label {_quoted(part)} has no value",
                         "write name=value;name=value",
                     )
                 pairs.append((key.strip(), text.strip(), value.place))
@@ -311,18 +313,21 @@
         pairs += [(key, one.text, one.place) for key, one in self.labels.items() if one.text]
         for key, text, place in pairs:
             if not _LABEL.fullmatch(key) or not isinstance(text, str) or (text and len(text) > 256):
-                message = f"label {_short(key)} is no short name with a plain value"
+                message = f"label {_quoted(key)} is no short name with a plain value"
                 self._add(BAD_LABEL, place, message, "use letters, digits, and . _ / - within")
             elif _TEMPLATE.search(text):
                 self._add(
-                    TEMPLATE, place, f"label {key} is a template, {_short(text)}", "write the value itself"
+                    TEMPLATE_VALUE,
+                    place,
+                    f"label {key} is a template, {_quoted(text)}",
+                    "write the value itself",
                 )
             else:
                 found[key] = text
         return tuple(sorted(found.items()))
 
 
-def _short(text: str) -> str:
+def _quoted(text: str) -> str:
     return repr(text if len(text) <= 60 else text[:57] + "...")
 
 
@@ -335,44 +340,50 @@
     return True
 
 
-def _port(text: str) -> int:
+def _parse_port(text: str) -> int:
     if not (text.isascii() and text.isdigit() and len(text) <= 5 and 0 < int(text) < 65536):
-        raise _FaultError(BAD_PORT, f"the port is {_short(text)}", "write a whole number from 1 to 65535")
+        raise _InvalidValueError(
+            BAD_PORT, f"the port is {_quoted(text)}", "write a whole number from 1 to 65535"
+        )
     return int(text)
 
 
-def _cell(text: str) -> int:
+def _parse_cell(text: str) -> int:
     if not (text.isascii() and text.isdigit() and len(text) <= 6):
-        raise _FaultError(BAD_NUMBER, f"the cell is {_short(text)}", "write a whole number from 0 to 999999")
+        raise _InvalidValueError(
+            BAD_NUMBER, f"the cell is {_quoted(text)}", "write a whole number from 0 to 999999"
+        )
     return int(text)
 
 
-def _weight(text: str) -> float:
+def _parse_weight(text: str) -> float:
     if not _NUMBER.fullmatch(text) or not 0 < float(text) <= 1000:
-        raise _FaultError(
-            BAD_NUMBER, f"the weight is {_short(text)}", "write a number above 0, at most 1000, as 1.25"
+        raise _InvalidValueError(
+            BAD_NUMBER, f"the weight is {_quoted(text)}", "write a number above 0, at most 1000, as 1.25"
         )
     return float(text)
 
 
-def _state(text: str) -> str:
+def _parse_state(text: str) -> str:
     state = STATES.get(text.lower())
     if state is None:
-        raise _FaultError(UNKNOWN_STATE, f"the state is {_short(text)}", "write up, draining or removed")
+        raise _InvalidValueError(
+            UNKNOWN_STATE, f"the state is {_quoted(text)}", "write up, draining or removed"
+        )
     return state
 
 
-def more_careful(one: str, other: str) -> str:
+def more_restrictive(one: str, other: str) -> str:
     """Of two states that a host is given, the one that takes more away."""
-    return max(one, other, key=_ORDER.index)
+    return max(one, other, key=_STATES_BY_CAUTION.index)
 
 
-def check_addresses(checked: Iterable[Checked]) -> None:
+def reject_duplicate_addresses(checked: Iterable[CheckedRow]) -> None:
     """Find workers that share an address; each of them loses its record, for none can be told the right one.
 
     Those that are removed have no address any more, and count for nothing here.
     """
-    stands: dict[tuple[str, int], list[Checked]] = {}
+    stands: dict[tuple[str, int], list[CheckedRow]] = {}
     for one in checked:
         if one.record is not None and one.state != "removed":
             stands.setdefault(one.record.address, []).append(one)
@@ -385,10 +396,12 @@
             other = sharing[0] if one is not sharing[0] else sharing[1]
             host = f"[{address[0]}]" if ":" in address[0] else address[0]
             message = f"{names} have one address, {host}:{address[1]}"
-            mend = "give each its own, or take one of them out"
+            suggestion = "give each its own, or take one of them out"
             place = _address_place(one.row)
             one.problems.append(
-                Problem(SAME_ADDRESS, place, message, mend, _address_place(other.row), one.row.name)
+                Problem(
+                    DUPLICATE_ADDRESS, place, message, suggestion, _address_place(other.row), one.row.name
+                )
             )
             one.record = None
 
--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -6,23 +6,23 @@
 
 import msgspec
 
-from .patterns import PatternError, read_pattern
-from .reconcile import Caution
+from .patterns import PatternError, parse_pattern
+from .reconciler import ReconcilePolicy
 from .schema import FIELDS, Rules
-from .snapshot import Reading
+from .snapshot import ReadOptions
 
-Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
+Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=7 * 86400.0)]
 Weight = Annotated[float, msgspec.Meta(gt=0.0, le=1000.0)]
-Whole = Annotated[int, msgspec.Meta(ge=0)]
+NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 Port = Annotated[int, msgspec.Meta(ge=0, le=65535)]
 
 
-class Guard(msgspec.Struct, frozen=True, kw_only=True):
+class GuardSettings(msgspec.Struct, frozen=True, kw_only=True):
     """The section `[inventory.guard]`: how far a change of the files may reach at once. Times in seconds."""
 
-    removed_share: Share = 0.3
-    removed_least: Whole = 3
+    removed_share: Fraction = 0.3
+    removed_least: NonNegativeInt = 3
     window: Seconds = 60.0
     settle: Seconds = 0.0  # 0: a mass removal waits for an operator
     unfinished: Seconds = 5.0
@@ -54,9 +54,9 @@
         0.1  # without a write, for a file written in place
     )
     missing: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 1.0  # that a file may be away unremarked
-    inline_kb: Whole = 8  # larger inventories are read in a process of their own
+    inline_kb: NonNegativeInt = 8  # larger inventories are read in a process of their own
     keep: str = ""  # a folder that lasts, for the last good list and the status
-    guard: Guard = Guard()
+    guard: GuardSettings = GuardSettings()
 
     def __post_init__(self) -> None:
         """Check what types do not tell."""
@@ -70,11 +70,11 @@
                 raise ValueError(f"require has {word!r}, want any of {', '.join(sorted(FIELDS))}")
         if self.select:
             try:
-                read_pattern(self.select)
+                parse_pattern(self.select)
             except PatternError as error:
                 raise ValueError(f"select is wrong: {error}") from None
 
-    def reading(self, zones: tuple[str, ...] = ()) -> Reading:
+    def read_options(self, zones: tuple[str, ...] = ()) -> ReadOptions:
         """How sources are read; `zones` are the gateway's, for where none are named here."""
         rules = Rules(
             zones=tuple(self.zones) or zones,
@@ -83,26 +83,26 @@
             port=self.port,
             require=tuple(self.require),
             names=self.names,
-            implied=self.implied_groups,
+            implied_groups=self.implied_groups,
         )
-        select = read_pattern(self.select) if self.select else None
-        return Reading(rules, self.form, select, self.merge == "later")
+        select = parse_pattern(self.select) if self.select else None
+        return ReadOptions(rules, self.form, select, self.merge == "later")
 
-    def caution(self) -> Caution:
+    def reconcile_policy(self) -> ReconcilePolicy:
         """How careful the reconciler is."""
         guard = self.guard
-        return Caution(
+        return ReconcilePolicy(
             removed_share=guard.removed_share,
             removed_least=guard.removed_least,
-            window_ms=_ms(guard.window),
-            settle_ms=_ms(guard.settle),
-            unfinished_ms=_ms(guard.unfinished),
+            window_ms=_to_ms(guard.window),
+            settle_ms=_to_ms(guard.settle),
+            unfinished_ms=_to_ms(guard.unfinished),
             flap_limit=guard.flap_limit,
-            flap_half_life_ms=_ms(guard.flap_half_life),
-            blink_ms=_ms(guard.blink),
+            flap_half_life_ms=_to_ms(guard.flap_half_life),
+            blink_ms=_to_ms(guard.blink),
             new_is_cold=guard.new_is_cold,
         )
 
 
-def _ms(seconds: float) -> int:
+def _to_ms(seconds: float) -> int:
     return round(seconds * 1000)
--- a/lockspoke/inventory/snapshot.py
+++ b/lockspoke/inventory/snapshot.py
@@ -6,25 +6,25 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .merging import Merger, Variables
+from .merging import HostVariables, Merger
 from .model import Row, Snapshot, Source
 from .patterns import Pattern
-from .problems import NOTHING_SELECTED, Place, Problem, Problems
-from .reading import FileText, read_file, read_variables
-from .schema import FIELDS, Checked, Rules, check_addresses, check_row, more_careful
+from .problems import NOTHING_SELECTED, Place, Problem, ProblemCollector
+from .schema import FIELDS, CheckedRow, Rules, check_row, more_restrictive, reject_duplicate_addresses
+from .source_reader import FileText, read_source, read_variables
 
 
 @dataclass(frozen=True, slots=True)
-class Reading:
+class ReadOptions:
     """How sources are read: the schema's rules, a form for files whose name doesn't tell it, a selection."""
 
     rules: Rules = field(default_factory=Rules)
-    form: str = ""
+    file_format: str = ""
     select: Pattern | None = None
     later_wins: bool = False  # of two sources that differ, the later holds, as in Ansible
 
 
-class Memory:
+class ParseCache:
     """What files and rows came to the last time: most of a large inventory is as it was.
 
     Only rows without a fault are kept, for a fault names a line and lines move.
@@ -32,63 +32,69 @@
 
     def __init__(self) -> None:
         self.sources: dict[tuple[str, bytes], tuple[Source | None, list[Problem]]] = {}
-        self.records: dict[tuple[object, ...], Checked] = {}
-        self.seen: tuple[set[tuple[str, bytes]], set[tuple[object, ...]]] = (set(), set())
-        self.reading: Reading | None = None
+        self.records: dict[tuple[object, ...], CheckedRow] = {}
+        self.used_keys: tuple[set[tuple[str, bytes]], set[tuple[object, ...]]] = (set(), set())
+        self.options: ReadOptions | None = None
 
-    def begin(self, reading: Reading) -> None:
+    def begin(self, reading: ReadOptions) -> None:
         """A new snapshot; by other settings, nothing holds any more."""
-        if reading != self.reading:
+        if reading != self.options:
             self.sources.clear()
             self.records.clear()
-        self.reading = reading
-        self.seen = (set(), set())
+        self.options = reading
+        self.used_keys = (set(), set())
 
     def end(self) -> None:
         """Forget what this snapshot did not need."""
-        self.sources = {key: self.sources[key] for key in self.seen[0] if key in self.sources}
-        self.records = {key: self.records[key] for key in self.seen[1] if key in self.records}
+        self.sources = {key: self.sources[key] for key in self.used_keys[0] if key in self.sources}
+        self.records = {key: self.records[key] for key in self.used_keys[1] if key in self.records}
 
     def read(
-        self, file: FileText, reading: Reading, names: dict[str, str], problems: Problems
+        self, file: FileText, reading: ReadOptions, names: dict[str, str], problems: ProblemCollector
     ) -> Source | None:
         """A file of hosts, read anew only where it has changed."""
         key = (file.path, hashlib.blake2b(file.data or file.error.encode(), digest_size=16).digest())
-        found = self.sources.get(key)
-        if found is None:
-            own = Problems()
-            found = read_file(file, reading.form, names, FIELDS, own), list(own.found)
-            self.sources[key] = found
-        self.seen[0].add(key)
-        for problem in found[1]:
+        entry = self.sources.get(key)
+        if entry is None:
+            file_problems = ProblemCollector()
+            entry = (
+                read_source(file, reading.file_format, names, FIELDS, file_problems),
+                list(file_problems.found),
+            )
+            self.sources[key] = entry
+        self.used_keys[0].add(key)
+        for problem in entry[1]:
             problems.found.setdefault(problem)
-        return found[0]
+        return entry[0]
 
-    def check(self, row: Row, rules: Rules) -> Checked:
+    def check(self, row: Row, rules: Rules) -> CheckedRow:
         """A row after the schema's check."""
-        key = (row.name, *((name, _frozen(value.raw), value.vault) for name, value in row.values.items()))
+        key = (
+            row.name,
+            *((name, _hashable(value.raw), value.encrypted) for name, value in row.values.items()),
+        )
         if row.problems:
             return check_row(row, rules)
-        found = self.records.get(key)
-        if found is None:
+        entry = self.records.get(key)
+        if entry is None:
             checked = check_row(row, rules)
             if checked.record is None or checked.problems:
                 return checked
-            found = self.records[key] = checked
-        self.seen[1].add(key)
-        return Checked(row, found.record, [], found.state, found.address)
+            entry = self.records[key] = checked
+        self.used_keys[1].add(key)
+        return CheckedRow(row, entry.record, [], entry.state, entry.address)
 
 
-def _frozen(raw: object) -> object:
+def _hashable(raw: object) -> object:
     return raw if raw is None or isinstance(raw, str) else repr(raw)
 
 
 @dataclass(slots=True)
-class Report:
+class SnapshotReport:
     """A snapshot with what led to it: the rows, for tools that show them."""
 
     snapshot: Snapshot
-    checked: list[Checked]
+    checked_rows: list[CheckedRow]
     sources: list[Source]
 
 
@@ -102,51 +108,55 @@
     return digest.hexdigest()
 
 
-def take(files: list[FileText], reading: Reading, memory: Memory | None = None) -> Report:
+def take_snapshot(
+    files: list[FileText], options: ReadOptions, cache: ParseCache | None = None
+) -> SnapshotReport:
     """Read, merge, select and check. Never raises for what a file holds: the report has all that is wrong.
 
     `memory` carries over what an unchanged file or row came to the last time.
     """
-    problems, rules = Problems(), reading.rules
+    problems, rules = ProblemCollector(), options.rules
     names = {key.lower(): value for key, value in rules.names.items()}
     sources: list[Source] = []
-    given: dict[str, dict[str, Variables]] = {"group_vars": {}, "host_vars": {}}
-    memory = memory or Memory()
-    memory.begin(reading)
+    variables: dict[str, dict[str, HostVariables]] = {"group_vars": {}, "host_vars": {}}
+    cache = cache or ParseCache()
+    cache.begin(options)
     for file in files:
         if file.role == "source":
-            source = memory.read(file, reading, names, problems)
+            source = cache.read(file, options, names, problems)
             if source is not None:
                 sources.append(source)
             continue
-        values, spoilt = read_variables(file, problems)
-        held = given[file.role].setdefault(file.subject, Variables(place=Place(file.path)))
-        held.values.update(values)
-        held.spoilt = held.spoilt or spoilt
-    merger = Merger(rules.canonical, rules.group_meanings, reading.later_wins, problems)
-    rows = merger.rows(sources, given["group_vars"], given["host_vars"])
-    rows = _selected(rows, reading.select, sources, problems)
+        values, malformed_at = read_variables(file, problems)
+        subject_variables = variables[file.role].setdefault(
+            file.subject, HostVariables(place=Place(file.path))
+        )
+        subject_variables.values.update(values)
+        subject_variables.malformed_at = subject_variables.malformed_at or malformed_at
+    merger = Merger(rules.canonical_names, rules.implied_values, options.later_wins, problems)
+    rows = merger.rows(sources, variables["group_vars"], variables["host_vars"])
+    rows = _select_rows(rows, options.select, sources, problems)
     # A problem that a reader found in a row of its own makes the host's record worth nothing.
     by_host: dict[str, str] = {}
     for problem in problems.found:
         if problem.is_error and problem.host:
-            by_host.setdefault(problem.host, f"{problem.code.ident} {problem.message}")
-    checked = [memory.check(row, rules) for row in rows]
-    memory.end()
+            by_host.setdefault(problem.host, f"{problem.code.id} {problem.message}")
+    checked = [cache.check(row, rules) for row in rows]
+    cache.end()
     for one in checked:
         if one.row.name in by_host or not one.row.name:
             # What its reader has told already is not told again by what is missing now.
             one.record = None
             one.problems = [problem for problem in one.problems if problem.place != one.row.place]
-    check_addresses(checked)
+    reject_duplicate_addresses(checked)
     for one in checked:
         for problem in one.problems:
             problems.found.setdefault(problem)
-    return Report(_snapshot(files, sources, checked, by_host, problems), checked, sources)
+    return SnapshotReport(_build_snapshot(files, sources, checked, by_host, problems), checked, sources)
 
 
-def _selected(
-    rows: list[Row], pattern: Pattern | None, sources: list[Source], problems: Problems
+def _select_rows(
+    rows: list[Row], pattern: Pattern | None, sources: list[Source], problems: ProblemCollector
 ) -> list[Row]:
     if pattern is None or not rows:
         return rows
@@ -166,47 +176,49 @@
     return [row for row in rows if row.name in chosen]
 
 
-def _snapshot(
+def _build_snapshot(
     files: list[FileText],
     sources: list[Source],
-    checked: list[Checked],
+    checked: list[CheckedRow],
     by_host: dict[str, str],
-    problems: Problems,
+    problems: ProblemCollector,
 ) -> Snapshot:
-    workers = {one.row.name: one.record for one in checked if one.record is not None}
-    bad: dict[str, str] = {}
-    drains: dict[str, str] = {}
-    loose: set[tuple[str, int]] = set()
+    replicas = {one.row.name: one.record for one in checked if one.record is not None}
+    invalid_hosts: dict[str, str] = {}
+    requested_states: dict[str, str] = {}
+    unnamed_addresses: set[tuple[str, int]] = set()
     for one in checked:
         if one.record is not None:
             continue
         name = one.row.name
         if one.address is not None:
-            loose.add(one.address)
+            unnamed_addresses.add(one.address)
         if not name:
             continue
-        bad[name] = by_host.get(name) or one.reason or "its row is not right"
+        invalid_hosts[name] = by_host.get(name) or one.reason or "its row is not right"
         if one.state != "up":
-            drains[name] = more_careful(one.state, drains.get(name, "up"))
+            requested_states[name] = more_restrictive(one.state, requested_states.get(name, "up"))
     for name, reason in by_host.items():  # hosts named in a row that gave no record at all
-        if name not in workers:
-            bad.setdefault(name, reason)
-    doubtful = {source.file: _why(source, problems) for source in sources if not source.whole}
+        if name not in replicas:
+            invalid_hosts.setdefault(name, reason)
+    incomplete_sources = {
+        source.file: _incomplete_reason(source, problems) for source in sources if not source.complete
+    }
     return Snapshot(
-        workers=workers,
+        replicas=replicas,
         files={one.row.name: one.row.files for one in checked},
-        bad=bad,
-        drains=drains,
-        doubtful=doubtful,
-        loose=frozenset(loose),
-        open_ended=frozenset(source.file for source in sources if not source.closed),
+        invalid_hosts=invalid_hosts,
+        requested_states=requested_states,
+        incomplete_sources=incomplete_sources,
+        unnamed_addresses=frozenset(unnamed_addresses),
+        unterminated_sources=frozenset(source.file for source in sources if not source.ends_with_newline),
         problems=tuple(problems.sorted()),
         fingerprint=fingerprint(files),
     )
 
 
-def _why(source: Source, problems: Problems) -> str:
+def _incomplete_reason(source: Source, problems: ProblemCollector) -> str:
     for problem in problems.found:
         if problem.is_error and problem.place.file == source.file and not problem.host:
-            return f"{problem.code.ident} {problem.message}"
+            return f"{problem.code.id} {problem.message}"
     return "not read to its end"
--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -25,14 +25,14 @@
 from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate
 
 from . import store
-from .files import collect, folders, replaced, signature
-from .helper import Helper, HelperError
-from .model import Snapshot, WorkerRecord
+from .files import file_signature, read_files, watched_folders, were_replaced
+from .model import ReplicaRecord, Snapshot
+from .parser_process import ParserProcess, ParserProcessError
 from .problems import Problem
-from .reconcile import Act, Known, Reconciler, Step
+from .reconciler import Action, KnownReplica, Reconciler, ReconcileResult
 from .schema import is_ip
 from .settings import InventorySettings
-from .snapshot import Memory, take
+from .snapshot import ParseCache, take_snapshot
 
 STEP_MS = 5  # of the notice: how long after a change it looks for more
 SAVE = 0.2  # seconds between two writes of what is kept
@@ -59,15 +59,15 @@
     ) -> None:
         self.settings, self.zones, self.wall_ms = settings, zones, wall_ms
         self.core: Core | None = None
-        self.reconciler = Reconciler(settings.caution())
+        self.reconciler = Reconciler(settings.reconcile_policy())
         self.reconciler.accept(settings.guard.accept)
         self.snapshot: Snapshot | None = None
         self.took_ms = 0.0  # the last read
         self.read_at_ms = 0
         self._fresh = False  # read, and not yet decided on
         self._rev = 0
-        self._memory = Memory()
-        self._helper = Helper()
+        self._memory = ParseCache()
+        self._helper = ParserProcess()
         self._signature: tuple[object, ...] = ()
         self._told: set[Problem] = set()
         self._names: dict[str, tuple[str, float]] = {}  # of hosts that were looked up, until when
@@ -103,31 +103,31 @@
         """
         kept = self._kept()
         if kept:
-            self.reconciler = Reconciler(self.settings.caution(), kept)
+            self.reconciler = Reconciler(self.settings.reconcile_policy(), kept)
             self.reconciler.accept(self.settings.guard.accept)
-        self._signature = signature(self.paths)
+        self._signature = file_signature(self.paths)
         began = time.perf_counter()
-        reading = self.settings.reading(self.zones)
-        snapshot = take(collect(self.paths), reading, self._memory).snapshot
-        self._memory = Memory()  # a large one is kept by the helper
+        reading = self.settings.read_options(self.zones)
+        snapshot = take_snapshot(read_files(self.paths), reading, self._memory).snapshot
+        self._memory = ParseCache()  # a large one is kept by the helper
         snapshot = self._looked_up(snapshot, self._lookup_now)
         self._note(snapshot, time.perf_counter() - began)
         step = self.reconciler.step(snapshot, self.wall_ms())
         self._tell(snapshot, step)
         if not self.reconciler.known:
             errors = [one for one in snapshot.problems if one.is_error]
-            what = "\n".join(f"{one.place}: {one.code.ident} {one}" for one in errors[:LINES])
+            what = "\n".join(f"{one.place}: {one.code.id} {one}" for one in errors[:LINES])
             raise InventoryError(f"the inventory gives no worker\n{what}".rstrip())
         self._save()
         self._rev += 1
         return ReplicaListUpdate(self._rev, True, self.reconciler.entries())
 
-    def _kept(self) -> list[Known]:
+    def _kept(self) -> list[KnownReplica]:
         if not self.settings.keep:
             return []
         try:
             found = store.load(Path(self.settings.keep))
-        except (store.KeptError, OSError) as error:
+        except (store.CachedListError, OSError) as error:
             log.warning("inventory_kept_unusable", folder=self.settings.keep, reason=str(error))
             return []
         if found is None:
@@ -147,7 +147,7 @@
             self._tasks = [asyncio.ensure_future(self._run()), asyncio.ensure_future(self._notice())]
             self._begin_saving()
             if self._large:
-                self._helper.begin()
+                self._helper.start_early()
         asyncio.get_running_loop().call_soon(self._confirm)
 
     def _confirm(self) -> None:
@@ -167,7 +167,7 @@
         """New settings from now on. What is known of workers stays; the files are read anew."""
         moved = (settings.paths, settings.watch) != (self.settings.paths, self.settings.watch)
         self.settings = settings
-        self.reconciler.caution = settings.caution()
+        self.reconciler.policy = settings.reconcile_policy()
         self.reconciler.accept(settings.guard.accept)
         if moved and self._tasks:
             self._end_tasks()
@@ -203,7 +203,7 @@
         failing = False
         while self.settings.watch == "notice":
             try:
-                watched = await self._off(folders, self.paths)
+                watched = await self._off(watched_folders, self.paths)
                 if self.settings.keep and Path(self.settings.keep).is_dir():
                     watched.append(Path(self.settings.keep))
                 if not watched:
@@ -219,7 +219,7 @@
                 ):
                     failing = False
                     self._poked.set()
-                    if set(await self._off(folders, self.paths)) - set(watched):
+                    if set(await self._off(watched_folders, self.paths)) - set(watched):
                         break
                 if self._halt.is_set():
                     return
@@ -270,8 +270,8 @@
     async def _signed(self) -> tuple[object, ...]:
         """The sources' signature: on the loop where that costs less than the way to a thread and back."""
         if self.settings.watch == "poll" or len(self._signature) > 50:
-            return await self._off(signature, self.paths)  # type: ignore[no-any-return]
-        return signature(self.paths)
+            return await self._off(file_signature, self.paths)  # type: ignore[no-any-return]
+        return file_signature(self.paths)
 
     async def _settled(self, now: tuple[object, ...]) -> tuple[object, ...]:
         """Wait while a file is written in place, or away for a moment; one renamed into place is whole."""
@@ -280,7 +280,7 @@
             gone = _missing(now) - _missing(self._signature)
             if gone and asyncio.get_running_loop().time() - began < self.settings.missing:
                 await asyncio.sleep(min(0.02, self.settings.missing))
-            elif not gone and now != self._signature and not replaced(self._signature, now):
+            elif not gone and now != self._signature and not were_replaced(self._signature, now):
                 await asyncio.sleep(self.settings.quiet)
             else:
                 return now
@@ -296,19 +296,21 @@
         snapshot: Snapshot | None = None
         if self._large:
             try:
-                before = self.snapshot.workers if self.snapshot is not None else {}
+                before = self.snapshot.replicas if self.snapshot is not None else {}
                 snapshot = await self._helper.read(settings, zones, before)
-            except HelperError as error:
+            except ParserProcessError as error:
                 log.error("inventory_helper_failed", reason=str(error))
         if snapshot is None:
             if self._large:  # without its helper: slower for calls, but never blind
-                files = await self._off(collect, self.paths)
-                snapshot = (await self._off(take, files, settings.reading(zones))).snapshot
+                files = await self._off(read_files, self.paths)
+                snapshot = (await self._off(take_snapshot, files, settings.read_options(zones))).snapshot
             else:
-                snapshot = take(collect(self.paths), settings.reading(zones), self._memory).snapshot
+                snapshot = take_snapshot(
+                    read_files(self.paths), settings.read_options(zones), self._memory
+                ).snapshot
         assert snapshot is not None
         if settings.lookups:
-            names = {one.host for one in snapshot.workers.values() if not is_ip(one.host)}
+            names = {one.host for one in snapshot.replicas.values() if not is_ip(one.host)}
             await asyncio.gather(*(self._lookup(name) for name in names))
             snapshot = self._looked_up(snapshot, lambda name: self._names.get(name, ("", 0.0))[0])
         self._note(snapshot, time.perf_counter() - began)
@@ -369,19 +371,19 @@
         """Put addresses in the place of names; a name without one makes its host's row count as wrong."""
         if not self.settings.lookups:
             return snapshot
-        workers: dict[str, WorkerRecord] = {}
-        bad = dict(snapshot.bad)
-        for name, worker in snapshot.workers.items():
-            address = worker.host if is_ip(worker.host) else resolve(worker.host)
+        replicas: dict[str, ReplicaRecord] = {}
+        invalid_hosts = dict(snapshot.invalid_hosts)
+        for name, replica in snapshot.replicas.items():
+            address = replica.host if is_ip(replica.host) else resolve(replica.host)
             if address:
-                workers[name] = replace(worker, host=address)
+                replicas[name] = replace(replica, host=address)
             else:
-                bad[name] = f"{worker.host!r} can't be looked up"
-        return replace(snapshot, workers=workers, bad=bad)
+                invalid_hosts[name] = f"{replica.host!r} can't be looked up"
+        return replace(snapshot, replicas=replicas, invalid_hosts=invalid_hosts)
 
     # Telling
 
-    def _tell(self, snapshot: Snapshot, step: Step) -> None:
+    def _tell(self, snapshot: Snapshot, step: ReconcileResult) -> None:
         """Log what is new: problems that were not there before, and decisions."""
         found = set(snapshot.problems)
         new = [one for one in snapshot.problems if one not in self._told]
@@ -392,19 +394,23 @@
                 file=one.place.file,
                 line=one.place.line,
                 column=one.place.column,
-                code=one.code.ident,
+                code=one.code.id,
                 problem=str(one),
             )
         mended = len(self._told - found)
         self._told = found
         for decision in step.decisions[:LINES]:
             level = (
-                40 if decision.act is Act.GUARD else 30 if decision.act in (Act.HOLD, Act.KEEP_OUT) else 20
+                40
+                if decision.action is Action.GUARD
+                else 30
+                if decision.action in (Action.HOLD, Action.KEEP_OUT)
+                else 20
             )
             log.log(
                 level,
                 "inventory_decision",
-                act=decision.act.value,
+                act=decision.action.value,
                 host=decision.host,
                 reason=decision.reason,
             )
@@ -425,7 +431,7 @@
     def status(self) -> dict[str, Any]:
         """How every host stands, what is held against the files, and why."""
         snapshot, reconciler = self.snapshot, self.reconciler
-        guard = reconciler.guard
+        guard = reconciler.pending_removal
         return {
             "at_ms": self.wall_ms(),
             "pid": os.getpid(),
@@ -434,15 +440,15 @@
             "read_at_ms": self.read_at_ms,
             "took_ms": self.took_ms,
             "problems": len(snapshot.problems) if snapshot is not None else 0,
-            "doubtful": dict(snapshot.doubtful) if snapshot is not None else {},
+            "doubtful": dict(snapshot.incomplete_sources) if snapshot is not None else {},
             "guard": None
             if guard is None
             else {"since_ms": guard.since_ms, "hosts": guard.hosts, "accept": guard.fingerprint},
             "workers": [
-                one.record.as_json() | {"held": one.held, "boot_ms": one.boot_ms}
+                one.record.as_json() | {"held": one.hold_reason, "boot_ms": one.boot_ms}
                 for one in list(reconciler.known.values())
             ],
-            "kept_out": dict(reconciler.out),
+            "kept_out": dict(reconciler.excluded),
             "decisions": self._recent[-20:],
         }
 
@@ -495,14 +501,14 @@
         data = store.encode(list(self.reconciler.known.values()), self.snapshot.fingerprint)
         try:
             folder.mkdir(parents=True, exist_ok=True)
-            store.save(folder, data)
-            store.save(folder, json.dumps(self.status(), indent=1).encode(), store.STATUS_NAME)
+            store.write_atomically(folder, data)
+            store.write_atomically(folder, json.dumps(self.status(), indent=1).encode(), store.STATUS_NAME)
         except OSError as error:
             log.error("inventory_not_kept", folder=self.settings.keep, reason=str(error))
 
 
 def _plain(decision: Any) -> dict[str, str]:
-    return {"act": decision.act.value, "host": decision.host, "reason": decision.reason}
+    return {"act": decision.action.value, "host": decision.host, "reason": decision.reason}
 
 
 def _missing(marks: tuple[object, ...]) -> set[object]:
--- a/lockspoke/inventory/store.py
+++ b/lockspoke/inventory/store.py
@@ -13,62 +13,62 @@
 from pathlib import Path
 from typing import Any
 
-from .model import WorkerRecord
-from .reconcile import Known
+from .model import ReplicaRecord
+from .reconciler import KnownReplica
 
-NAME = "inventory.last"
+CACHED_LIST_NAME = "inventory.last"
 STATUS_NAME = "inventory.status.json"
 ACCEPT_NAME = "inventory.accept"
-_HEAD = b"lockspoke-inventory 1 "
-LIMIT = 64 * 1024 * 1024
+_HEADER = b"lockspoke-inventory 1 "
+MAX_BYTES = 64 * 1024 * 1024
 
 
-class KeptError(ValueError):
+class CachedListError(ValueError):
     """A kept list that can't be used; the text says why."""
 
 
-def encode(known: Iterable[Known], fingerprint: str) -> bytes:
+def encode(known: Iterable[KnownReplica], fingerprint: str) -> bytes:
     """A kept list as bytes: a line with the version and a BLAKE2b digest, then JSON."""
     hosts = [
-        one.record.as_json() | {"files": list(one.files), "boot_ms": one.boot_ms, "held": one.held}
+        one.record.as_json() | {"files": list(one.files), "boot_ms": one.boot_ms, "held": one.hold_reason}
         for one in known
     ]
     body = json.dumps({"fingerprint": fingerprint, "hosts": hosts}, separators=(",", ":")).encode()
     digest = hashlib.blake2b(body, digest_size=16).hexdigest().encode()
-    return _HEAD + digest + b"\n" + body
+    return _HEADER + digest + b"\n" + body
 
 
-def decode(data: bytes) -> tuple[list[Known], str]:
+def decode(data: bytes) -> tuple[list[KnownReplica], str]:
     """A kept list and the fingerprint of the files it was made from. Raises KeptError."""
-    head, newline, body = data.partition(b"\n")
-    if not head.startswith(b"lockspoke-inventory "):
-        raise KeptError("it is no kept inventory")
-    if not head.startswith(_HEAD):
-        raise KeptError(f"its version is not known: {head[:40].decode(errors='replace')!r}")
-    if not newline or head[len(_HEAD) :] != hashlib.blake2b(body, digest_size=16).hexdigest().encode():
-        raise KeptError("its checksum does not hold")
-    raw = json.loads(body)
-    return [_known(host) for host in raw["hosts"]], raw["fingerprint"]
-
-
-def _known(raw: dict[str, Any]) -> Known:
-    labels = tuple(sorted(raw["labels"].items()))
+    header, newline, body = data.partition(b"\n")
+    if not header.startswith(b"lockspoke-inventory "):
+        raise CachedListError("it is no kept inventory")
+    if not header.startswith(_HEADER):
+        raise CachedListError(f"its version is not known: {header[:40].decode(errors='replace')!r}")
+    if not newline or header[len(_HEADER) :] != hashlib.blake2b(body, digest_size=16).hexdigest().encode():
+        raise CachedListError("its checksum does not hold")
+    fields = json.loads(body)
+    return [_decode_replica(host) for host in fields["hosts"]], fields["fingerprint"]
+
+
+def _decode_replica(fields: dict[str, Any]) -> KnownReplica:
+    labels = tuple(sorted(fields["labels"].items()))
     names = ("name", "host", "port", "zone", "kind", "cell", "weight", "state")
-    record = WorkerRecord(**{name: raw[name] for name in names}, labels=labels)
-    return Known(record, tuple(raw["files"]), raw["boot_ms"], raw["held"])
+    record = ReplicaRecord(**{name: fields[name] for name in names}, labels=labels)
+    return KnownReplica(record, tuple(fields["files"]), fields["boot_ms"], fields["held"])
 
 
-def save(folder: Path, data: bytes, name: str = NAME) -> None:
+def write_atomically(folder: Path, data: bytes, name: str = CACHED_LIST_NAME) -> None:
     """Put a file in place whole: written beside, synced, renamed, the folder synced. Raises OSError."""
-    beside = folder / f".{name}.{os.getpid()}"
+    temporary = folder / f".{name}.{os.getpid()}"
     try:
-        with beside.open("wb") as file:
+        with temporary.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        beside.replace(folder / name)
+        temporary.replace(folder / name)
     finally:
-        beside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
     handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(handle)
@@ -76,13 +76,13 @@
         os.close(handle)
 
 
-def load(folder: Path) -> tuple[list[Known], str] | None:
+def load(folder: Path) -> tuple[list[KnownReplica], str] | None:
     """The kept list of a folder; None where there is none. Raises KeptError and OSError."""
     try:
-        with (folder / NAME).open("rb") as file:
-            data = file.read(LIMIT + 1)
+        with (folder / CACHED_LIST_NAME).open("rb") as file:
+            data = file.read(MAX_BYTES + 1)
     except FileNotFoundError:
         return None
-    if len(data) > LIMIT:
-        raise KeptError("it is too large")
+    if len(data) > MAX_BYTES:
+        raise CachedListError("it is too large")
     return decode(data)
--- a/lockspoke/inventory/writing.py
+++ b/lockspoke/inventory/writing.py
@@ -10,81 +10,81 @@
 
 import yaml
 
-from .model import WorkerRecord
+from .model import ReplicaRecord
 
 COLUMNS = ("name", "host", "port", "zone", "kind", "cell", "weight", "state", "labels")
 _OPTIONAL = {"zone": "", "kind": "", "cell": 0, "weight": 1.0, "state": "up"}
 
 
-def write(workers: Iterable[WorkerRecord], form: str) -> str:
+def write_inventory(replicas: Iterable[ReplicaRecord], file_format: str) -> str:
     """The text of an inventory with these workers; `form` is csv, yaml, json or ini."""
-    return _WRITERS[form](list(workers))
+    return _WRITERS[file_format](list(replicas))
 
 
-def _values(worker: WorkerRecord) -> dict[str, Any]:
+def _values(replica: ReplicaRecord) -> dict[str, Any]:
     """What has to be said of a worker: what is as it is without a word is left out."""
-    values: dict[str, Any] = {"host": worker.host, "port": worker.port}
+    values: dict[str, Any] = {"host": replica.host, "port": replica.port}
     for name, default in _OPTIONAL.items():
-        if (value := getattr(worker, name)) != default:
+        if (value := getattr(replica, name)) != default:
             values[name] = value
-    if worker.labels:
-        values["labels"] = dict(worker.labels)
+    if replica.labels:
+        values["labels"] = dict(replica.labels)
     return values
 
 
-def _labels(worker: WorkerRecord) -> str:
-    return ";".join(f"{name}={value}" for name, value in worker.labels)
+def _labels(replica: ReplicaRecord) -> str:
+    return ";".join(f"{name}={value}" for name, value in replica.labels)
 
 
-def _csv(workers: Sequence[WorkerRecord]) -> str:
-    out = io.StringIO()
-    writer = csv.writer(out, lineterminator="\n")
+def _csv(replicas: Sequence[ReplicaRecord]) -> str:
+    buffer = io.StringIO()
+    writer = csv.writer(buffer, lineterminator="\n")
     writer.writerow(COLUMNS)
-    for worker in workers:
-        cells = [getattr(worker, name) for name in COLUMNS[:-1]]
-        writer.writerow([*cells, _labels(worker)])
-    return out.getvalue()
+    for replica in replicas:
+        cells = [getattr(replica, name) for name in COLUMNS[:-1]]
+        writer.writerow([*cells, _labels(replica)])
+    return buffer.getvalue()
 
 
-def _yaml(workers: Sequence[WorkerRecord]) -> str:
-    raw = {"all": {"hosts": {worker.name: _values(worker) for worker in workers}}}
-    text: str = yaml.safe_dump(raw, sort_keys=False, allow_unicode=True, width=1000)
+def _yaml(replicas: Sequence[ReplicaRecord]) -> str:
+    document = {"all": {"hosts": {replica.name: _values(replica) for replica in replicas}}}
+    text: str = yaml.safe_dump(document, sort_keys=False, allow_unicode=True, width=1000)
     return text
 
 
-def _json(workers: Sequence[WorkerRecord]) -> str:
-    hostvars = {worker.name: _values(worker) for worker in workers}
-    raw = {
+def _json(replicas: Sequence[ReplicaRecord]) -> str:
+    hostvars = {replica.name: _values(replica) for replica in replicas}
+    document = {
         "_meta": {"hostvars": hostvars},
         "all": {"children": ["ungrouped"]},
-        "ungrouped": {"hosts": [worker.name for worker in workers]},
+        "ungrouped": {"hosts": [replica.name for replica in replicas]},
     }
-    return json.dumps(raw, indent=4) + "\n"
+    return json.dumps(document, indent=4) + "\n"
 
 
-def _ini(workers: Sequence[WorkerRecord]) -> str:
+def _ini(replicas: Sequence[ReplicaRecord]) -> str:
     lines = ["[workers]"]
-    for worker in workers:
-        values = _values(worker)
-        if worker.labels:
-            values["labels"] = _labels(worker)
+    for replica in replicas:
+        values = _values(replica)
+        if replica.labels:
+            values["labels"] = _labels(replica)
         lines.append(
-            " ".join([worker.name, *(f"{name}={_quoted(str(value))}" for name, value in values.items())])
+            " ".join([replica.name, *(f"{name}={_quoted(str(value))}" for name, value in values.items())])
         )
     return "\n".join(lines) + "\n"
 
 
 def _quoted(text: str) -> str:
-    if text and not any(letter in text for letter in " \t\"'#\\"):
+    if text and not any(char in text for char in " \t\"'#\\"):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
     return f'"{escaped}"'
 
 
-_WRITERS: dict[str, Callable[[Sequence[WorkerRecord]], str]] = {
+_WRITERS: dict[str, Callable[[Sequence[ReplicaRecord]], str]] = {
     "csv": _csv,
     "yaml": _yaml,
     "json": _json,
     "ini": _ini,
 }
-FORMS = tuple(_WRITERS)
+FORMATS = tuple(_WRITERS)
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -240,13 +240,13 @@
 def _kept_case() -> Any:
     try:
         kept = inventory_store.load(Path(KEPT))
-    except inventory_store.KeptError as error:
+    except inventory_store.CachedListError as error:
         return f"refused: {error}"
     assert kept is not None
     return {
         "fingerprint": kept[1],
         "hosts": [
-            one.record.as_json() | {"files": one.files, "boot_ms": one.boot_ms, "held": one.held}
+            one.record.as_json() | {"files": one.files, "boot_ms": one.boot_ms, "held": one.hold_reason}
             for one in kept[0]
         ],
     }
--- a/tests/inventory/test_problems.py
+++ b/tests/inventory/test_problems.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 
 from lockspoke.inventory import problems as catalogue
-from lockspoke.inventory.files import collect
-from lockspoke.inventory.patterns import read_pattern
+from lockspoke.inventory.files import read_files
+from lockspoke.inventory.patterns import parse_pattern
 from lockspoke.inventory.problems import CODES, Severity
 from lockspoke.inventory.reports import as_json, as_sarif, as_text, summary
 from lockspoke.inventory.schema import Rules
-from lockspoke.inventory.snapshot import Reading, take
+from lockspoke.inventory.snapshot import ReadOptions, take_snapshot
 
 KINDS = {"gen-a": 0.7, "gen-b": 1.0, "gen-c": 1.3}
 RULES = Rules(zones=("lis-1", "lis-2"), kinds=KINDS, require=("zone",), port=5000)
@@ -102,12 +102,12 @@
 
 def test_every_code_is_brought_about_and_names_its_line(tmp_path: Path) -> None:
     (tmp_path / "a.csv").write_text(planted())
-    report = take(collect([tmp_path / "a.csv"]), Reading(RULES))
-    told = {(one.code.ident, one.place.line) for one in report.snapshot.problems}
+    report = take_snapshot(read_files([tmp_path / "a.csv"]), ReadOptions(RULES))
+    told = {(one.code.id, one.place.line) for one in report.snapshot.problems}
     want = {(code, line + 1) for line, (_, code) in PLANTED.items() if code is not None}
     want |= {("INV402", 23), ("INV402", 25)}  # w22 and w24 share an address; w11's own row is wrong
     assert told == want
-    assert list(report.snapshot.workers) == ["w23"]
+    assert list(report.snapshot.replicas) == ["w23"]
     seen = {code for code, _ in told}
 
     folder = tmp_path / "folder"
@@ -116,23 +116,27 @@
         (folder / name).write_bytes(text if isinstance(text, bytes) else text.encode())
     (folder / "run.sh").chmod(0o755)
     os.symlink("nowhere", folder / "gone.csv")
-    report = take(collect([folder]), Reading(Rules(zones=RULES.zones, kinds=KINDS, port=5000)))
+    report = take_snapshot(
+        read_files([folder]), ReadOptions(Rules(zones=RULES.zones, kinds=KINDS, port=5000))
+    )
     got: dict[str, set[tuple[str, int]]] = {}
     for one in report.snapshot.problems:
-        got.setdefault(os.path.relpath(one.place.file, folder), set()).add((one.code.ident, one.place.line))
+        got.setdefault(os.path.relpath(one.place.file, folder), set()).add((one.code.id, one.place.line))
     for name, (_, lines) in FILES.items():
         assert set(lines) <= got[name], (name, got[name])
     assert got["gone.csv"] == {("INV101", 0)}
     seen |= {code for lines in got.values() for code, _ in lines}
-    selected = take([*collect([tmp_path / "a.csv"])], Reading(RULES, select=read_pattern("nothing")))
-    seen |= {one.code.ident for one in selected.snapshot.problems}
+    selected = take_snapshot(
+        [*read_files([tmp_path / "a.csv"])], ReadOptions(RULES, select=parse_pattern("nothing"))
+    )
+    seen |= {one.code.id for one in selected.snapshot.problems}
     assert seen == CODES.keys()
 
 
 def test_reports_show_the_line_the_clash_and_the_mend(tmp_path: Path) -> None:
     path = tmp_path / "a.csv"
     path.write_text(planted())
-    snapshot = take(collect([path]), Reading(RULES)).snapshot
+    snapshot = take_snapshot(read_files([path]), ReadOptions(RULES)).snapshot
     text = as_text(snapshot.problems, {str(path): path.read_text()})
     block = next(part for part in text.split(f"{path}:") if part.startswith("20:1: error[INV403]"))
     assert (
@@ -141,7 +145,7 @@
     assert f"clashes with {path}" in text and "mend: keep one of the rows" in text
     assert summary(1, snapshot.problems).startswith("1 worker, ")
 
-    raw = json.loads(json.dumps(as_json(snapshot.workers.values(), snapshot.problems)))
+    raw = json.loads(json.dumps(as_json(snapshot.replicas.values(), snapshot.problems)))
     assert raw["workers"][0]["name"] == "w23" and len(raw["problems"]) == len(snapshot.problems)
     assert {"file", "line", "column", "code", "severity", "message"} <= raw["problems"][0].keys()
 
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -11,26 +11,26 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lockspoke.inventory.files import collect
-from lockspoke.inventory.model import WorkerRecord
-from lockspoke.inventory.patterns import PatternError, read_pattern
-from lockspoke.inventory.ranges import RangeError, expand
-from lockspoke.inventory.reading import FileText, tell_form
+from lockspoke.inventory.files import read_files
+from lockspoke.inventory.model import ReplicaRecord
+from lockspoke.inventory.patterns import PatternError, parse_pattern
+from lockspoke.inventory.ranges import RangeError, expand_range
 from lockspoke.inventory.schema import Rules
-from lockspoke.inventory.snapshot import Memory, Reading, Report, take
-from lockspoke.inventory.writing import FORMS, write
+from lockspoke.inventory.snapshot import ParseCache, ReadOptions, SnapshotReport, take_snapshot
+from lockspoke.inventory.source_reader import FileText, detect_format
+from lockspoke.inventory.writing import FORMATS, write_inventory
 from tests.wire.http.test_http1 import fixed
 
 RULES = Rules(zones=("lis-1", "lis-2"), kinds={"gen-a": 0.7, "gen-b": 1.0, "gen-c": 1.3}, port=5000)
 
 
-def read(text: str | bytes, name: str, rules: Rules = RULES, **more: Any) -> Report:
+def read(text: str | bytes, name: str, rules: Rules = RULES, **more: Any) -> SnapshotReport:
     data = text.encode() if isinstance(text, str) else text
-    return take([FileText(name, data)], Reading(rules, **more))
+    return take_snapshot([FileText(name, data)], ReadOptions(rules, **more))
 
 
-def codes(report: Report) -> list[tuple[str, int]]:
-    return [(one.code.ident, one.place.line) for one in report.snapshot.problems]
+def codes(report: SnapshotReport) -> list[tuple[str, int]]:
+    return [(one.code.id, one.place.line) for one in report.snapshot.problems]
 
 
 def folder(path: Path, files: dict[str, str]) -> Path:
@@ -54,7 +54,7 @@
     ],
 )
 def test_ranges_expand_as_ansible_documents(name: str, hosts: list[str]) -> None:
-    assert expand(name) == hosts
+    assert expand_range(name) == hosts
 
 
 @pytest.mark.parametrize(
@@ -63,9 +63,9 @@
 )
 def test_a_range_that_cannot_be_expanded_says_so(name: str) -> None:
     with pytest.raises(RangeError):
-        expand(name)
+        expand_range(name)
     report = read(f"name,host\n{name},10.0.0.1\n", "a.csv")
-    assert codes(report)[0] == ("INV208", 2) and not report.snapshot.workers
+    assert codes(report)[0] == ("INV208", 2) and not report.snapshot.replicas
 
 
 @pytest.mark.parametrize("mark", [",", ";", "\t"])
@@ -75,11 +75,11 @@
     text += "w[2:3],10.0.0.2,5001,lis-2,gen-c,\r\n"
     rules = Rules(RULES.zones, RULES.kinds, names={"address": "host"})
     report = read(text.replace(",", mark) if mark != "," else text, "a.csv", rules)
-    one = report.snapshot.workers["w1"]
+    one = report.snapshot.replicas["w1"]
     assert (one.address, one.zone, one.kind, one.weight) == (("10.0.0.1", 5001), "lis-1", "gen-a", 0.7)
     # The two of the range have one address: each is told, on its line behind the quoted newline.
     assert codes(report) == [("INV201", 2), ("INV402", 6)]
-    assert set(report.snapshot.bad) == {"w2", "w3"}
+    assert set(report.snapshot.invalid_hosts) == {"w2", "w3"}
 
 
 ANSIBLE = {
@@ -109,9 +109,9 @@
 
 
 def test_variables_go_by_ansibles_documented_precedence(tmp_path: Path) -> None:
-    report = take(collect([folder(tmp_path, ANSIBLE)]), Reading(RULES))
+    report = take_snapshot(read_files([folder(tmp_path, ANSIBLE)]), ReadOptions(RULES))
     assert not report.snapshot.problems
-    workers = report.snapshot.workers
+    workers = report.snapshot.replicas
     # group_vars/all before groups in the source, host_vars before all, a child before its parent.
     assert [(workers[w].cell, workers[w].weight) for w in ("w1", "w2", "w3")] == [
         (5, 3.0),
@@ -120,7 +120,7 @@
     ]
     assert workers["w1"].labels == (("rack", "r1"),) and workers["w1"].address == ("10.0.0.1", 5001)
     (tmp_path / "group_vars/all.yml").unlink()
-    workers = take(collect([tmp_path]), Reading(RULES)).snapshot.workers
+    workers = take_snapshot(read_files([tmp_path]), ReadOptions(RULES)).snapshot.replicas
     assert [workers[w].weight for w in ("w1", "w2", "w3")] == [1.0, 2.0, 5.0]
 
 
@@ -148,12 +148,12 @@
 
 def test_ini_is_read_line_by_line_and_each_fault_told() -> None:
     report = read(INI, "hosts")
-    workers = report.snapshot.workers
+    workers = report.snapshot.replicas
     assert workers["w1"].port == 5001 and dict(workers["w1"].labels) == {"rack": "r1", "row": "2"}
     assert (workers["w4"].zone, workers["w4"].kind, workers["w4"].cell) == ("lis-2", "gen-b", 7)
     assert codes(report) == [("INV402", 5), ("INV211", 7), ("INV104", 8), ("INV210", 12), ("INV104", 18)]
-    assert set(report.snapshot.bad) == {"w2", "w3", "w5", "w6"}
-    assert set(report.snapshot.doubtful) == {"hosts"}  # whose hosts [odd:things] names is not known
+    assert set(report.snapshot.invalid_hosts) == {"w2", "w3", "w5", "w6"}
+    assert set(report.snapshot.incomplete_sources) == {"hosts"}  # whose hosts [odd:things] names is not known
 
 
 def test_a_listing_as_ansible_inventory_prints_it() -> None:
@@ -164,9 +164,9 @@
         "short": ["w2"],
     }
     report = read(json.dumps(raw, indent=2), "l.json")
-    one = report.snapshot.workers["w1"]
+    one = report.snapshot.replicas["w1"]
     assert (one.kind, one.zone, one.cell, one.labels) == ("gen-c", "lis-1", 3, (("a", "\u00e9\U0001f600"),))
-    assert report.snapshot.bad.keys() == {"w2"}  # it has no host
+    assert report.snapshot.invalid_hosts.keys() == {"w2"}  # it has no host
     for text, line in (
         ('{"a":\n {"hosts": ["w1",]}}', 2),
         ('{"a":\n\n tru}', 3),
@@ -179,7 +179,7 @@
 
 def test_forms_are_told_by_name_or_text() -> None:
     forms = {"a.yml": "yaml", "a.tsv": "csv", "hosts": "ini"}
-    assert {name: tell_form(name, "w1 host=1\n") for name in forms} == forms
+    assert {name: detect_format(name, "w1 host=1\n") for name in forms} == forms
     texts = {
         "{": "json",
         "---\nall:": "yaml",
@@ -188,7 +188,7 @@
         "[g]\n": "ini",
         "#!/bin/sh\n<x>": "",
     }
-    assert {text: tell_form("hosts", text) for text in texts} == texts
+    assert {text: detect_format("hosts", text) for text in texts} == texts
 
 
 @pytest.mark.parametrize(
@@ -210,16 +210,16 @@
 def test_patterns_select_as_ansible_does(pattern: str, chosen: str) -> None:
     hosts = [f"w{number}" for number in range(6)]
     groups = {"lis-1": hosts[:4], "gen_c": hosts[1:5]}
-    assert read_pattern(pattern).select(hosts, groups) == chosen.split()
+    assert parse_pattern(pattern).select(hosts, groups) == chosen.split()
 
 
 def test_a_bad_pattern_is_told_and_a_selection_narrows_a_snapshot() -> None:
     for bad in ("[", "~[", "~(", "w" * 5000, "a:&&b"):
         with pytest.raises(PatternError):
-            read_pattern(bad)
+            parse_pattern(bad)
     text = "name,host,groups\nw1,10.0.0.1,north\nw2,10.0.0.2,south\n"
-    assert list(read(text, "a.csv", select=read_pattern("north")).snapshot.workers) == ["w1"]
-    assert ("INV501", 0) in codes(read(text, "a.csv", select=read_pattern("east")))
+    assert list(read(text, "a.csv", select=parse_pattern("north")).snapshot.replicas) == ["w1"]
+    assert ("INV501", 0) in codes(read(text, "a.csv", select=parse_pattern("east")))
 
 
 def test_hostile_files_cost_little_and_are_told() -> None:
@@ -245,7 +245,9 @@
     for name, text in texts.items():
         began = time.monotonic()
         report = read(text, name)
-        assert (report.snapshot.doubtful or report.snapshot.bad) and len(report.snapshot.workers) <= 1, name
+        assert (report.snapshot.incomplete_sources or report.snapshot.invalid_hosts) and len(
+            report.snapshot.replicas
+        ) <= 1, name
         assert time.monotonic() - began < 20, name
 
 
@@ -269,12 +271,12 @@
             and 0 <= problem.place.line <= data.count(b"\n") + 2
         )
     files = [FileText("hosts", b"w1 host=10.0.0.1"), FileText(name, data, role="host_vars", subject="w1")]
-    take(files, Reading(RULES))
+    take_snapshot(files, ReadOptions(RULES))
 
 
 WORKERS = st.lists(
     st.builds(
-        WorkerRecord,
+        ReplicaRecord,
         name=st.from_regex(r"[a-z][a-z0-9.-]{0,8}[a-z0-9]", fullmatch=True),
         host=st.ip_addresses()
         .map(str)
@@ -298,17 +300,17 @@
 
 
 @fixed
-@given(WORKERS, st.sampled_from(FORMS))
-def test_what_is_written_reads_back_the_same(workers: list[WorkerRecord], form: str) -> None:
-    report = read(write(workers, form), f"a.{form}", Rules())
+@given(WORKERS, st.sampled_from(FORMATS))
+def test_what_is_written_reads_back_the_same(workers: list[ReplicaRecord], form: str) -> None:
+    report = read(write_inventory(workers, form), f"a.{form}", Rules())
     assert not [one for one in report.snapshot.problems if one.is_error]
-    assert list(report.snapshot.workers.values()) == workers
+    assert list(report.snapshot.replicas.values()) == workers
 
 
 def test_what_is_remembered_from_read_to_read_changes_nothing() -> None:
-    memory, reading = Memory(), Reading(RULES)
+    memory, reading = ParseCache(), ReadOptions(RULES)
     rows = [f"w{n},10.0.0.{n}\n" for n in range(1, 9)]
     for changed in ("w3,10.0.0.99\n", "w3,10.0.0.4\n", "w3,nowhere\n", rows[2]):
         rows[2] = changed
         files = [FileText("a.csv", ("name,host\n" + "".join(rows)).encode())]
-        assert take(files, reading, memory).snapshot == take(files, reading).snapshot
+        assert take_snapshot(files, reading, memory).snapshot == take_snapshot(files, reading).snapshot
