--- a/lockspoke/cli/inventory.py
+++ b/lockspoke/cli/inventory.py
@@ -13,9 +13,10 @@
 from rich.table import Table
 
 from lockspoke.inventory import reports, store, writing
+from lockspoke.inventory.decisions import Action, Decision, ReconcilePolicy
 from lockspoke.inventory.model import Snapshot
 from lockspoke.inventory.problems import CODES
-from lockspoke.inventory.reconciler import Action, Decision, ReconcilePolicy, Reconciler
+from lockspoke.inventory.reconciler import Reconciler
 from lockspoke.inventory.snapshot import SnapshotReport
 
 from .inventory_io import (
--- a/lockspoke/cli/inventory_io.py
+++ b/lockspoke/cli/inventory_io.py
@@ -12,9 +12,9 @@
 from rich.markup import escape
 from rich.table import Table
 
+from lockspoke.inventory.decisions import Action, Decision
 from lockspoke.inventory.files import read_files
 from lockspoke.inventory.model import ReplicaRecord
-from lockspoke.inventory.reconciler import Action, Decision
 from lockspoke.inventory.settings import InventorySettings
 from lockspoke.inventory.snapshot import ParseCache, SnapshotReport, take_snapshot
 from lockspoke.inventory.source_reader import FORMATS
--- /dev/null
+++ b/lockspoke/inventory/decision_log.py
@@ -0,0 +1,79 @@
+"""Logs what is new in a snapshot and in the reconciler's decisions, and remembers the latest decisions."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import Any
+
+import structlog
+
+from .decisions import Action, Decision, ReconcileResult
+from .model import Snapshot
+from .problems import Problem
+
+MAX_LINES = 40  # log lines of one kind for one snapshot; the rest are only counted
+MAX_RECENT = 100  # decisions that are remembered
+
+_LEVELS = {
+    Action.GUARD: logging.ERROR,
+    Action.HOLD: logging.WARNING,
+    Action.KEEP_OUT: logging.WARNING,
+}
+
+log = structlog.get_logger()
+
+
+class DecisionLog:
+    """Logs each problem once, when it appears, and every decision."""
+
+    def __init__(self, clock_ms: Callable[[], int]) -> None:
+        self._clock_ms = clock_ms
+        self._reported: set[Problem] = set()
+        self._recent: list[dict[str, Any]] = []
+
+    def report(
+        self, snapshot: Snapshot, result: ReconcileResult, replica_count: int, duration_ms: float
+    ) -> None:
+        """Log what a snapshot has changed; nothing if it has changed nothing."""
+        new = [problem for problem in snapshot.problems if problem not in self._reported]
+        current = set(snapshot.problems)
+        resolved = len(self._reported - current)
+        self._reported = current
+        for problem in new[:MAX_LINES]:
+            _log_problem(problem)
+        for decision in result.decisions[:MAX_LINES]:
+            self._log_decision(decision)
+        del self._recent[:-MAX_RECENT]
+        if new or resolved or result.decisions:
+            log.info(
+                "inventory_read",
+                workers=replica_count,
+                problems=len(snapshot.problems),
+                new_problems=len(new),
+                mended=resolved,
+                decisions=len(result.decisions),
+                fingerprint=snapshot.fingerprint,
+                took_ms=duration_ms,
+            )
+
+    def recent(self, count: int) -> list[dict[str, Any]]:
+        """The latest decisions as plain objects, oldest first. May be called from any thread."""
+        return self._recent[-count:]
+
+    def _log_decision(self, decision: Decision) -> None:
+        fields = {"act": decision.action.value, "host": decision.host, "reason": decision.reason}
+        log.log(_LEVELS.get(decision.action, logging.INFO), "inventory_decision", **fields)
+        self._recent.append({"at_ms": self._clock_ms()} | fields)
+
+
+def _log_problem(problem: Problem) -> None:
+    log.log(
+        logging.ERROR if problem.is_error else logging.WARNING,
+        "inventory_problem",
+        file=problem.place.file,
+        line=problem.place.line,
+        column=problem.place.column,
+        code=problem.code.id,
+        problem=str(problem),
+    )
--- a/lockspoke/inventory/files.py
+++ b/lockspoke/inventory/files.py
@@ -8,6 +8,7 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
+from .file_signature import FileSignature, mark_files
 from .limits import MAX_FILE_BYTES, MAX_FILES
 from .source_reader import FileText
 
@@ -42,19 +43,21 @@
     return found
 
 
-def file_signature(paths: Sequence[Path]) -> tuple[object, ...]:
-    """What changes when any file of an inventory is written, replaced, linked elsewhere or taken away.
+def file_signature(paths: Sequence[Path]) -> FileSignature:
+    """The signature of all files of an inventory; it differs once one is written, replaced or removed.
 
-    Costs a stat for each file and reads none of them.
+    Costs a `stat` call for each file and reads none of them.
     """
-    marks: list[object] = []
+    return mark_files(_all_files(paths))
+
+
+def _all_files(paths: Sequence[Path]) -> Iterator[Path]:
     for path in paths:
-        for source in _source_paths(path):
-            marks.append(_stat_mark(source))
+        yield from _source_paths(path)
         folder = path if path.is_dir() else path.parent
         for role in _VARIABLE_FOLDERS:
-            marks += [_stat_mark(file) for _, file in _variable_files(folder / role)]
-    return tuple(marks)
+            for _, file in _variable_files(folder / role):
+                yield file
 
 
 def watched_folders(paths: Sequence[Path]) -> list[Path]:
@@ -78,13 +81,6 @@
     return [folder for folder in found if folder.is_dir()]
 
 
-def were_replaced(before: tuple[object, ...], after: tuple[object, ...]) -> bool:
-    """Whether files were put in place whole (another inode) rather than written where they are."""
-    old = {mark[0]: mark for mark in before if isinstance(mark, tuple)}
-    changed = [mark for mark in after if isinstance(mark, tuple) and old.get(mark[0]) != mark]
-    return all(mark[0] in old and mark[2] != old[mark[0]][2] for mark in changed)
-
-
 def _source_paths(path: Path) -> Iterator[Path]:
     try:
         if not path.is_dir():
@@ -144,11 +140,3 @@
         return FileText(str(path), None, error.strerror or type(error).__name__, role, subject)
     script = role == "source" and bool(status.st_mode & 0o111) and data.startswith(b"#!")
     return FileText(str(path), data, "", role, subject, script)
-
-
-def _stat_mark(path: Path) -> tuple[object, ...]:
-    try:
-        status = path.stat()
-    except OSError as error:
-        return str(path), error.errno, -1, -1
-    return str(path), status.st_dev, status.st_ino, status.st_mtime_ns, status.st_size, status.st_mode
--- /dev/null
+++ b/lockspoke/inventory/removal_guard.py
@@ -0,0 +1,136 @@
+"""Holds back the removal of many hosts at once, until it has settled or an operator accepts it.
+
+Only hosts that the files no longer name count: a removal that a row asks for is never held back.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+
+from .decisions import Action, Decision, KnownReplica, ReconcilePolicy, Target
+
+
+@dataclass(frozen=True, slots=True)
+class PendingRemoval:
+    """A mass removal that is held back."""
+
+    fingerprint: str  # of the snapshot that asks for it
+    since_ms: int  # Unix time
+    hosts: int
+
+
+@dataclass(frozen=True, slots=True)
+class Removal:
+    """A host that was removed because the files no longer named it."""
+
+    at_ms: int  # Unix time
+    host: str
+
+
+@dataclass(frozen=True, slots=True)
+class GuardResult:
+    """The guard's decision about one snapshot.
+
+    `held_hosts` are the hosts that must stay; `wake_ms` is the time at which the removal will have settled.
+    """
+
+    decision: Decision | None = None
+    held_hosts: list[str] = field(default_factory=list)
+    wake_ms: int | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class _Extent:
+    """How many hosts disappear, together with those that did so a short time ago."""
+
+    count: int
+    total: int
+    empties_list: bool
+
+    def is_allowed(self, policy: ReconcilePolicy) -> bool:
+        allowed = max(policy.removed_least, policy.removed_share * self.total)
+        return self.count <= allowed and not self.empties_list
+
+
+class RemovalGuard:
+    """Decides about removals of many hosts."""
+
+    def __init__(self) -> None:
+        self.pending: PendingRemoval | None = None
+        self._accepted_fingerprint = ""
+        self._removals: deque[Removal] = deque()
+
+    def accept(self, fingerprint: str) -> None:
+        """Allow the removals of the snapshot with this fingerprint."""
+        self._accepted_fingerprint = fingerprint
+
+    def count_removal(self, host: str, now_ms: int) -> None:
+        """Count a host that was removed because the files no longer named it."""
+        self._removals.append(Removal(now_ms, host))
+
+    def forget_removal(self, host: str) -> None:
+        """Stop counting a host that is back."""
+        self._removals = deque(removal for removal in self._removals if removal.host != host)
+
+    def expire(self, now_ms: int, policy: ReconcilePolicy) -> None:
+        """Forget removals that are older than the window."""
+        oldest_ms = now_ms - policy.window_ms
+        while self._removals and self._removals[0].at_ms <= oldest_ms:
+            self._removals.popleft()
+
+    def review(
+        self,
+        targets: Mapping[str, Target],
+        known: Mapping[str, KnownReplica],
+        fingerprint: str,
+        now_ms: int,
+        policy: ReconcilePolicy,
+        any_unchanged: bool,
+    ) -> GuardResult:
+        """Review the targets of one snapshot; `any_unchanged`: a known host has no target, as it stays."""
+        absent = [name for name, one in targets.items() if one.action is Action.REMOVE and not one.explicit]
+        extent = self._extent(targets, known, len(absent), any_unchanged)
+        if not absent or extent.is_allowed(policy):
+            self.pending = None
+            return GuardResult()
+        pending = self.pending
+        is_new = pending is None or pending.fingerprint != fingerprint
+        if pending is None or is_new:
+            pending = self.pending = PendingRemoval(fingerprint, now_ms, len(absent))
+        settled_ms = None
+        if policy.settle_ms and not extent.empties_list:
+            settled_ms = pending.since_ms + policy.settle_ms
+        if self._accepted_fingerprint and self._accepted_fingerprint == fingerprint:
+            return self._allow(f"{len(absent)} removals, accepted by an operator")
+        if settled_ms is not None and now_ms >= settled_ms:
+            return self._allow(f"{len(absent)} removals, unchanged for {policy.settle_ms / 1000:g} s")
+        decision = Decision(Action.GUARD, "", _hold_reason(extent, fingerprint, policy)) if is_new else None
+        return GuardResult(decision, absent, settled_ms)
+
+    def _extent(
+        self,
+        targets: Mapping[str, Target],
+        known: Mapping[str, KnownReplica],
+        absent: int,
+        any_unchanged: bool,
+    ) -> _Extent:
+        # A host that is back, or comes back with this snapshot, is no longer missing.
+        present = {name for name, target in targets.items() if target.record is not None}
+        recent = sum(one.host not in present and one.host not in known for one in self._removals)
+        empties_list = absent > 0 and not present and not any_unchanged
+        return _Extent(absent + recent, len(known) + recent, empties_list)
+
+    def _allow(self, reason: str) -> GuardResult:
+        self.pending, self._accepted_fingerprint = None, ""
+        self._removals.clear()
+        return GuardResult(Decision(Action.ACCEPT, "", reason))
+
+
+def _hold_reason(extent: _Extent, fingerprint: str, policy: ReconcilePolicy) -> str:
+    affected = "all" if extent.empties_list else f"{extent.count} of {extent.total}"
+    return (
+        f"{affected} hosts would vanish within {policy.window_ms / 1000:g} s; held until the files have"
+        f" them again or {fingerprint} is accepted"
+    )
--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
+from .decisions import ReconcilePolicy
 from .patterns import PatternError, parse_pattern
-from .reconciler import ReconcilePolicy
 from .schema import FIELDS, Rules
 from .snapshot import ReadOptions
 
--- a/lockspoke/inventory/snapshot.py
+++ b/lockspoke/inventory/snapshot.py
@@ -10,7 +10,8 @@
 from .model import Row, Snapshot, Source
 from .patterns import Pattern
 from .problems import NOTHING_SELECTED, Place, Problem, ProblemCollector
-from .schema import FIELDS, CheckedRow, Rules, check_row, more_restrictive, reject_duplicate_addresses
+from .row_checker import CheckedRow, check_row, reject_duplicate_addresses
+from .schema import FIELDS, Rules, more_restrictive
 from .source_reader import FileText, read_source, read_variables
 
 
--- /dev/null
+++ b/lockspoke/inventory/snapshot_loader.py
@@ -0,0 +1,87 @@
+"""Reads the files of an inventory: on the event loop, in the parser process, or in a thread without it."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Mapping, Sequence
+from concurrent.futures import Executor
+from pathlib import Path
+
+import structlog
+
+from .files import read_files
+from .host_lookup import HostLookup
+from .model import ReplicaRecord, Snapshot
+from .parser_process import ParserProcess, ParserProcessError
+from .settings import InventorySettings
+from .snapshot import ParseCache, ReadOptions, take_snapshot
+from .source_reader import FileText
+
+log = structlog.get_logger()
+
+
+class SnapshotLoader:
+    """Loads snapshots, with host names resolved where the settings allow them."""
+
+    def __init__(self, executor: Executor) -> None:
+        self.lookup = HostLookup()
+        self._executor = executor
+        self._cache = ParseCache()
+        self._parser = ParserProcess()
+
+    def load_first(self, settings: InventorySettings, zones: tuple[str, ...]) -> Snapshot:
+        """Load a snapshot before the event loop runs."""
+        # The cache isn't kept: that of a large inventory belongs into the parser process.
+        options = settings.read_options(zones)
+        snapshot = take_snapshot(read_files(_paths(settings)), options).snapshot
+        if not settings.lookups:
+            return snapshot
+        return self.lookup.resolve_blocking(snapshot, settings.lookup_every)
+
+    def start_parser(self) -> None:
+        """Start the parser process before it is needed."""
+        self._parser.start_early()
+
+    async def load(
+        self,
+        settings: InventorySettings,
+        zones: tuple[str, ...],
+        is_large: bool,
+        previous: Mapping[str, ReplicaRecord],
+    ) -> Snapshot:
+        """Load a snapshot; `is_large` keeps the work off the event loop.
+
+        Records that equal one of `previous` are shared with it.
+        """
+        if is_large:
+            snapshot = await self._load_large(settings, zones, previous)
+        else:
+            options = settings.read_options(zones)
+            snapshot = take_snapshot(read_files(_paths(settings)), options, self._cache).snapshot
+        if not settings.lookups:
+            return snapshot
+        return await self.lookup.resolve(snapshot, settings.lookup_every)
+
+    async def _load_large(
+        self, settings: InventorySettings, zones: tuple[str, ...], previous: Mapping[str, ReplicaRecord]
+    ) -> Snapshot:
+        try:
+            return await self._parser.read(settings, zones, previous)
+        except ParserProcessError as error:
+            log.error("inventory_helper_failed", reason=str(error))
+        # A thread slows requests down, but without it no change would be seen.
+        loop = asyncio.get_running_loop()
+        files = await loop.run_in_executor(self._executor, read_files, _paths(settings))
+        return await loop.run_in_executor(self._executor, _parse, files, settings.read_options(zones))
+
+    def close(self) -> None:
+        """End the parser process."""
+        self._parser.close()
+
+
+def _paths(settings: InventorySettings) -> list[Path]:
+    return [Path(path) for path in settings.paths]
+
+
+def _parse(files: Sequence[FileText], options: ReadOptions) -> Snapshot:
+    return take_snapshot(list(files), options).snapshot
--- a/lockspoke/inventory/store.py
+++ b/lockspoke/inventory/store.py
@@ -1,7 +1,8 @@
-"""The last good list in a file: versioned, checksummed, whole or not there.
+"""The files that a gateway keeps in the folder of the setting `keep`.
 
-A restart amid a half-edited inventory starts from it. What is written is what the replica set was told, not
-what the files said.
+The cached list holds the replicas as the replica set had them last, not as the files described them. It has
+a version and a checksum and is replaced atomically. A restart while the inventory is being edited begins
+with it. The status document is written for operators; the accept file is written by them.
 """
 
 from __future__ import annotations
@@ -10,25 +11,35 @@
 import json
 import os
 from collections.abc import Iterable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
+from .decisions import KnownReplica
 from .model import ReplicaRecord
-from .reconciler import KnownReplica
 
 CACHED_LIST_NAME = "inventory.last"
 STATUS_NAME = "inventory.status.json"
 ACCEPT_NAME = "inventory.accept"
 _HEADER = b"lockspoke-inventory 1 "
 MAX_BYTES = 64 * 1024 * 1024
+MAX_FINGERPRINT_CHARS = 64
 
 
 class CachedListError(ValueError):
-    """A kept list that can't be used; the text says why."""
+    """A cached list that can't be used; the text says why."""
+
+
+@dataclass(frozen=True, slots=True)
+class CachedList:
+    """The replicas of a cached list, and the fingerprint of the files that they came from."""
+
+    replicas: list[KnownReplica]
+    fingerprint: str
 
 
 def encode(known: Iterable[KnownReplica], fingerprint: str) -> bytes:
-    """A kept list as bytes: a line with the version and a BLAKE2b digest, then JSON."""
+    """A cached list as bytes: a line with the version and a BLAKE2b digest, then JSON."""
     hosts = [
         one.record.as_json() | {"files": list(one.files), "boot_ms": one.boot_ms, "held": one.hold_reason}
         for one in known
@@ -38,8 +49,8 @@
     return _HEADER + digest + b"\n" + body
 
 
-def decode(data: bytes) -> tuple[list[KnownReplica], str]:
-    """A kept list and the fingerprint of the files it was made from. Raises KeptError."""
+def decode(data: bytes) -> CachedList:
+    """Read a cached list. Raises CachedListError."""
     header, newline, body = data.partition(b"\n")
     if not header.startswith(b"lockspoke-inventory "):
         raise CachedListError("it is no kept inventory")
@@ -47,8 +58,8 @@
         raise CachedListError(f"its version is not known: {header[:40].decode(errors='replace')!r}")
     if not newline or header[len(_HEADER) :] != hashlib.blake2b(body, digest_size=16).hexdigest().encode():
         raise CachedListError("its checksum does not hold")
-    fields = json.loads(body)
-    return [_decode_replica(host) for host in fields["hosts"]], fields["fingerprint"]
+    document = json.loads(body)
+    return CachedList([_decode_replica(host) for host in document["hosts"]], document["fingerprint"])
 
 
 def _decode_replica(fields: dict[str, Any]) -> KnownReplica:
@@ -59,7 +70,7 @@
 
 
 def write_atomically(folder: Path, data: bytes, name: str = CACHED_LIST_NAME) -> None:
-    """Put a file in place whole: written beside, synced, renamed, the folder synced. Raises OSError."""
+    """Replace a file atomically and durably, by a synced temporary file beside it. Raises OSError."""
     temporary = folder / f".{name}.{os.getpid()}"
     try:
         with temporary.open("wb") as file:
@@ -76,8 +87,8 @@
         os.close(handle)
 
 
-def load(folder: Path) -> tuple[list[KnownReplica], str] | None:
-    """The kept list of a folder; None where there is none. Raises KeptError and OSError."""
+def load(folder: Path) -> CachedList | None:
+    """The cached list of a folder; None where there is none. Raises CachedListError and OSError."""
     try:
         with (folder / CACHED_LIST_NAME).open("rb") as file:
             data = file.read(MAX_BYTES + 1)
@@ -86,3 +97,14 @@
     if len(data) > MAX_BYTES:
         raise CachedListError("it is too large")
     return decode(data)
+
+
+def take_accepted_fingerprint(folder: Path) -> str:
+    """Read and remove the accept file of a folder; empty where there is none."""
+    path = folder / ACCEPT_NAME
+    try:
+        text = path.read_text()[:MAX_FINGERPRINT_CHARS].strip()
+        path.unlink()
+    except OSError:
+        return ""
+    return text
--- /dev/null
+++ b/lockspoke/inventory/unterminated_sources.py
@@ -0,0 +1,35 @@
+"""Tracks the files that have lost the newline at their end: their writers have probably not finished."""
+
+from __future__ import annotations
+
+from .decisions import ReconcilePolicy
+from .model import Snapshot
+
+
+class UnterminatedSources:
+    """The sources without a final newline, and those that have been seen with one."""
+
+    def __init__(self) -> None:
+        self._since_ms: dict[str, int] = {}
+        self._seen_terminated: set[str] = set()
+
+    def update(self, snapshot: Snapshot, now_ms: int, policy: ReconcilePolicy) -> None:
+        """Take up the state of a new snapshot."""
+        for file in snapshot.unterminated_sources:
+            self._since_ms.setdefault(file, now_ms)
+        for file in list(self._since_ms):
+            if file not in snapshot.unterminated_sources:
+                del self._since_ms[file]
+        for files in set(snapshot.files.values()):
+            self._seen_terminated.update(file for file in files if file not in snapshot.unterminated_sources)
+        # A file that stays without a newline is one that its writer leaves so.
+        settled = [file for file, since in self._since_ms.items() if now_ms >= since + policy.unfinished_ms]
+        self._seen_terminated.difference_update(settled)
+
+    def suspended_until(self, file: str, now_ms: int, policy: ReconcilePolicy) -> int | None:
+        """Until when absence from a file removes no host, in Unix milliseconds; None if it does now."""
+        since = self._since_ms.get(file)
+        if since is None or file not in self._seen_terminated:
+            return None
+        end = since + policy.unfinished_ms
+        return end if now_ms < end else None
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -244,10 +244,10 @@
         return f"refused: {error}"
     assert kept is not None
     return {
-        "fingerprint": kept[1],
+        "fingerprint": kept.fingerprint,
         "hosts": [
             one.record.as_json() | {"files": one.files, "boot_ms": one.boot_ms, "held": one.hold_reason}
-            for one in kept[0]
+            for one in kept.replicas
         ],
     }
 
--- a/tests/inventory/test_reconcile.py
+++ b/tests/inventory/test_reconciler.py
@@ -9,8 +9,9 @@
 
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import ListedReplica
+from lockspoke.inventory.decisions import Action, ReconcilePolicy, ReconcileResult
 from lockspoke.inventory.model import ReplicaRecord, Snapshot
-from lockspoke.inventory.reconciler import Action, ReconcilePolicy, Reconciler, ReconcileResult
+from lockspoke.inventory.reconciler import Reconciler
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import ReadOptions, take_snapshot
 from lockspoke.inventory.source_reader import FileText
