--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -24,7 +24,8 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.inventory.snapshot import ReadOptions, take_snapshot
+from lockspoke.inventory.parse_cache import ReadOptions
+from lockspoke.inventory.snapshot import take_snapshot
 from lockspoke.inventory.source_reader import FileText
 from lockspoke.inventory.writing import FORMATS, write_inventory
 from tests.inventory.test_source import Load, Timed, edge, place, rows
@@ -67,7 +68,7 @@
                 wall = time.time()
                 when = place(path, "".join(x for x in text.splitlines(True) if not x.startswith(f"w{out},")))
                 await asyncio.sleep(GRACE + 0.1)
-                found = [one for one in program.logs[mark:] if one.get("act") == "remove"]
+                found = [one for one in program.logs[mark:] if one.get("action") == "remove"]
                 assert [one["host"] for one in found] == [f"w{out}"], found
                 told = datetime.fromisoformat(found[0]["timestamp"]).timestamp()
                 decided.append(told - wall)
@@ -75,7 +76,7 @@
                 strays += sum(one > when + GRACE for one in fleet[out].times)
                 place(path, text)
                 # Taken in again before the next one goes: two renames at once would be one change.
-                await until(lambda mark=mark: any(x.get("act") == "add" for x in program.logs[mark:]))  # type: ignore[misc]
+                await until(lambda mark=mark: any(x.get("action") == "add" for x in program.logs[mark:]))  # type: ignore[misc]
             await load.end()
             wrong = sum(status != 200 or not whole for status, _, whole in load.statuses)
             return {
@@ -106,7 +107,8 @@
 from lockspoke.inventory.files import read_files
 from lockspoke.inventory.reconciler import Reconciler
 from lockspoke.inventory.schema import Rules
-from lockspoke.inventory.snapshot import ParseCache, ReadOptions, take_snapshot
+from lockspoke.inventory.parse_cache import ParseCache, ReadOptions
+from lockspoke.inventory.snapshot import take_snapshot
 
 gc.disable()  # as the helper does, which reads what is large
 
--- a/lockspoke/cli/gateway_inventory.py
+++ b/lockspoke/cli/gateway_inventory.py
@@ -12,9 +12,9 @@
 from lockspoke.inventory import reports, store
 from lockspoke.inventory.files import file_signature, watched_folders
 from lockspoke.inventory.model import ReplicaRecord
+from lockspoke.inventory.parse_cache import ParseCache
 from lockspoke.inventory.problems import Problem
 from lockspoke.inventory.reconciler import Reconciler
-from lockspoke.inventory.snapshot import ParseCache
 from lockspoke.inventory.store import ACCEPT_NAME, STATUS_NAME
 
 from .inventory import inventory
--- a/lockspoke/inventory/model.py
+++ b/lockspoke/inventory/model.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from .problems import Place, Problem
 
@@ -25,6 +25,14 @@
         return "" if self.raw is None else self.raw if isinstance(self.raw, str) else str(self.raw)
 
 
+class ValueConflict(NamedTuple):
+    """A variable that is given twice, with two values."""
+
+    key: str
+    first: Value
+    second: Value
+
+
 @dataclass(slots=True)
 class Host:
     """A host in one source, before groups and schema have been applied."""
@@ -32,14 +40,14 @@
     name: str
     place: Place
     variables: dict[str, Value] = field(default_factory=dict)
-    conflicts: list[tuple[str, Value, Value]] = field(default_factory=list)  # given twice, with two values
+    conflicts: list[ValueConflict] = field(default_factory=list)
 
     def add_variables(self, given: dict[str, Value]) -> None:
         """Further variables, from another place where the host stands; the later goes before the earlier."""
         for key, value in given.items():
             before = self.variables.get(key)
             if before is not None and before.raw != value.raw:
-                self.conflicts.append((key, before, value))
+                self.conflicts.append(ValueConflict(key, before, value))
             self.variables[key] = value
 
 
--- /dev/null
+++ b/lockspoke/inventory/parse_cache.py
@@ -0,0 +1,110 @@
+"""Caches what unchanged files and rows were parsed to: most of a large inventory does not change."""
+
+from __future__ import annotations
+
+import hashlib
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from .model import Row, Source
+from .patterns import Pattern
+from .problems import Problem, ProblemCollector
+from .row_checker import CheckedRow, check_row
+from .schema import FIELDS, Rules
+from .source_reader import FileText, read_source
+
+DIGEST_BYTES = 16
+
+
+@dataclass(frozen=True, slots=True)
+class ReadOptions:
+    """How sources are read.
+
+    `file_format` is that of files whose names don't tell theirs, `select` the part of the hosts that counts.
+    """
+
+    rules: Rules = field(default_factory=Rules)
+    file_format: str = ""
+    select: Pattern | None = None
+    later_wins: bool = False  # where two sources differ the later one counts, as in Ansible
+
+
+class _SourceKey(NamedTuple):
+    """Identifies a file by its path and a digest of its content."""
+
+    path: str
+    digest: bytes
+
+
+class _ParsedSource(NamedTuple):
+    """A source, None for a file that is skipped, and the problems found in reading it."""
+
+    source: Source | None
+    problems: list[Problem]
+
+
+_RowKey = tuple[object, ...]
+
+
+class ParseCache:
+    """The results of the last snapshot.
+
+    Rows with a problem are not cached: a problem names a line, and lines move.
+    """
+
+    def __init__(self) -> None:
+        self._sources: dict[_SourceKey, _ParsedSource] = {}
+        self._rows: dict[_RowKey, CheckedRow] = {}
+        self._used_sources: set[_SourceKey] = set()
+        self._used_rows: set[_RowKey] = set()
+        self._options: ReadOptions | None = None
+
+    def begin(self, options: ReadOptions) -> None:
+        """Begin a snapshot; results from other options are dropped."""
+        if options != self._options:
+            self._sources.clear()
+            self._rows.clear()
+        self._options = options
+        self._used_sources, self._used_rows = set(), set()
+
+    def end(self) -> None:
+        """Drop what the snapshot did not use."""
+        self._sources = {key: self._sources[key] for key in self._used_sources if key in self._sources}
+        self._rows = {key: self._rows[key] for key in self._used_rows if key in self._rows}
+
+    def read(
+        self, file: FileText, options: ReadOptions, names: dict[str, str], problems: ProblemCollector
+    ) -> Source | None:
+        """Read a file of hosts, unless it has not changed; None for a file that is skipped."""
+        content = file.data or file.error.encode()
+        key = _SourceKey(file.path, hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest())
+        parsed = self._sources.get(key)
+        if parsed is None:
+            found = ProblemCollector()
+            source = read_source(file, options.file_format, names, FIELDS, found)
+            parsed = self._sources[key] = _ParsedSource(source, list(found.found))
+        self._used_sources.add(key)
+        for problem in parsed.problems:
+            problems.found.setdefault(problem)
+        return parsed.source
+
+    def check(self, row: Row, rules: Rules) -> CheckedRow:
+        """Check a row against the schema, unless it has not changed."""
+        key = (
+            row.name,
+            *((name, _hashable(value.raw), value.encrypted) for name, value in row.values.items()),
+        )
+        if row.problems:
+            return check_row(row, rules)
+        cached = self._rows.get(key)
+        if cached is None:
+            checked = check_row(row, rules)
+            if checked.record is None or checked.problems:
+                return checked
+            cached = self._rows[key] = checked
+        self._used_rows.add(key)
+        return CheckedRow(row, cached.record, [], cached.state, cached.address)
+
+
+def _hashable(raw: object) -> object:
+    return raw if raw is None or isinstance(raw, str) else repr(raw)
--- a/lockspoke/inventory/parser_process.py
+++ b/lockspoke/inventory/parser_process.py
@@ -17,9 +17,10 @@
 
 from .files import read_files
 from .model import ReplicaRecord, Snapshot
+from .parse_cache import ParseCache
 from .problems import CODES, Place, Problem
 from .settings import InventorySettings
-from .snapshot import ParseCache, take_snapshot
+from .snapshot import take_snapshot
 
 ROWS_PER_PART = 250  # rows in one message
 MAX_PROBLEMS = 2_000  # that are passed on; their number always is
--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -7,9 +7,9 @@
 import msgspec
 
 from .decisions import ReconcilePolicy
+from .parse_cache import ReadOptions
 from .patterns import PatternError, parse_pattern
 from .schema import FIELDS, Rules
-from .snapshot import ReadOptions
 
 Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=7 * 86400.0)]
--- a/lockspoke/inventory/snapshot.py
+++ b/lockspoke/inventory/snapshot.py
@@ -1,4 +1,4 @@
-"""From the texts of all files to one snapshot: read, merged, selected and checked, without I/O."""
+"""Makes a snapshot from the contents of all files: read, merged, selected and checked, without I/O."""
 
 from __future__ import annotations
 
@@ -6,102 +6,39 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .merging import HostVariables, Merger
+from .merging import HostVariables, MergeRules, merge_sources
 from .model import Row, Snapshot, Source
+from .parse_cache import ParseCache, ReadOptions
 from .patterns import Pattern
-from .problems import NOTHING_SELECTED, Place, Problem, ProblemCollector
-from .row_checker import CheckedRow, check_row, reject_duplicate_addresses
-from .schema import FIELDS, Rules, more_restrictive
-from .source_reader import FileText, read_source, read_variables
+from .problems import NOTHING_SELECTED, Place, ProblemCollector
+from .row_checker import CheckedRow, reject_duplicate_addresses
+from .schema import more_restrictive
+from .source_reader import FileText, read_variables
 
-
-@dataclass(frozen=True, slots=True)
-class ReadOptions:
-    """How sources are read: the schema's rules, a form for files whose name doesn't tell it, a selection."""
-
-    rules: Rules = field(default_factory=Rules)
-    file_format: str = ""
-    select: Pattern | None = None
-    later_wins: bool = False  # of two sources that differ, the later holds, as in Ansible
-
-
-class ParseCache:
-    """What files and rows came to the last time: most of a large inventory is as it was.
-
-    Only rows without a fault are kept, for a fault names a line and lines move.
-    """
-
-    def __init__(self) -> None:
-        self.sources: dict[tuple[str, bytes], tuple[Source | None, list[Problem]]] = {}
-        self.records: dict[tuple[object, ...], CheckedRow] = {}
-        self.used_keys: tuple[set[tuple[str, bytes]], set[tuple[object, ...]]] = (set(), set())
-        self.options: ReadOptions | None = None
-
-    def begin(self, reading: ReadOptions) -> None:
-        """A new snapshot; by other settings, nothing holds any more."""
-        if reading != self.options:
-            self.sources.clear()
-            self.records.clear()
-        self.options = reading
-        self.used_keys = (set(), set())
-
-    def end(self) -> None:
-        """Forget what this snapshot did not need."""
-        self.sources = {key: self.sources[key] for key in self.used_keys[0] if key in self.sources}
-        self.records = {key: self.records[key] for key in self.used_keys[1] if key in self.records}
-
-    def read(
-        self, file: FileText, reading: ReadOptions, names: dict[str, str], problems: ProblemCollector
-    ) -> Source | None:
-        """A file of hosts, read anew only where it has changed."""
-        key = (file.path, hashlib.blake2b(file.data or file.error.encode(), digest_size=16).digest())
-        entry = self.sources.get(key)
-        if entry is None:
-            file_problems = ProblemCollector()
-            entry = (
-                read_source(file, reading.file_format, names, FIELDS, file_problems),
-                list(file_problems.found),
-            )
-            self.sources[key] = entry
-        self.used_keys[0].add(key)
-        for problem in entry[1]:
-            problems.found.setdefault(problem)
-        return entry[0]
-
-    def check(self, row: Row, rules: Rules) -> CheckedRow:
-        """A row after the schema's check."""
-        key = (
-            row.name,
-            *((name, _hashable(value.raw), value.encrypted) for name, value in row.values.items()),
-        )
-        if row.problems:
-            return check_row(row, rules)
-        entry = self.records.get(key)
-        if entry is None:
-            checked = check_row(row, rules)
-            if checked.record is None or checked.problems:
-                return checked
-            entry = self.records[key] = checked
-        self.used_keys[1].add(key)
-        return CheckedRow(row, entry.record, [], entry.state, entry.address)
-
-
-def _hashable(raw: object) -> object:
-    return raw if raw is None or isinstance(raw, str) else repr(raw)
+FINGERPRINT_BYTES = 8
 
 
 @dataclass(slots=True)
 class SnapshotReport:
-    """A snapshot with what led to it: the rows, for tools that show them."""
+    """A snapshot, with the rows and sources that it was made from."""
 
     snapshot: Snapshot
     checked_rows: list[CheckedRow]
     sources: list[Source]
 
 
+@dataclass(slots=True)
+class _Input:
+    """All files, read."""
+
+    sources: list[Source] = field(default_factory=list)
+    group_vars: dict[str, HostVariables] = field(default_factory=dict)
+    host_vars: dict[str, HostVariables] = field(default_factory=dict)
+
+
 def fingerprint(files: Iterable[FileText]) -> str:
-    """A short digest of what all files hold and what they are called: the same for the same inventory."""
-    digest = hashlib.blake2b(digest_size=8)
+    """A short digest of the names and contents of all files: equal inventories have equal ones."""
+    digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for file in files:
         data = file.data if file.data is not None else file.error.encode()
         for part in (file.path.encode(), file.role.encode(), file.subject.encode(), data):
@@ -112,48 +49,64 @@
 def take_snapshot(
     files: list[FileText], options: ReadOptions, cache: ParseCache | None = None
 ) -> SnapshotReport:
-    """Read, merge, select and check. Never raises for what a file holds: the report has all that is wrong.
+    """Read, merge, select and check. Never raises for the content of a file: the report has all problems.
 
-    `memory` carries over what an unchanged file or row came to the last time.
+    `cache` saves the work for files and rows that have not changed since it was used last.
     """
     problems, rules = ProblemCollector(), options.rules
-    names = {key.lower(): value for key, value in rules.names.items()}
-    sources: list[Source] = []
-    variables: dict[str, dict[str, HostVariables]] = {"group_vars": {}, "host_vars": {}}
     cache = cache or ParseCache()
     cache.begin(options)
+    read = _read_files(files, options, cache, problems)
+    merge_rules = MergeRules(rules.canonical_names, rules.implied_values, options.later_wins)
+    rows = merge_sources(read.sources, read.group_vars, read.host_vars, merge_rules, problems)
+    rows = _select_rows(rows, options.select, read.sources, problems)
+    reader_errors = _errors_by_host(problems)
+    checked = [cache.check(row, rules) for row in rows]
+    cache.end()
+    _reject_misread_rows(checked, reader_errors)
+    reject_duplicate_addresses(checked)
+    for one in checked:
+        for problem in one.problems:
+            problems.found.setdefault(problem)
+    snapshot = _build_snapshot(files, read.sources, checked, reader_errors, problems)
+    return SnapshotReport(snapshot, checked, read.sources)
+
+
+def _read_files(
+    files: list[FileText], options: ReadOptions, cache: ParseCache, problems: ProblemCollector
+) -> _Input:
+    names = {key.lower(): value for key, value in options.rules.names.items()}
+    read = _Input()
     for file in files:
         if file.role == "source":
             source = cache.read(file, options, names, problems)
             if source is not None:
-                sources.append(source)
+                read.sources.append(source)
             continue
         values, malformed_at = read_variables(file, problems)
-        subject_variables = variables[file.role].setdefault(
-            file.subject, HostVariables(place=Place(file.path))
-        )
-        subject_variables.values.update(values)
-        subject_variables.malformed_at = subject_variables.malformed_at or malformed_at
-    merger = Merger(rules.canonical_names, rules.implied_values, options.later_wins, problems)
-    rows = merger.rows(sources, variables["group_vars"], variables["host_vars"])
-    rows = _select_rows(rows, options.select, sources, problems)
-    # A problem that a reader found in a row of its own makes the host's record worth nothing.
-    by_host: dict[str, str] = {}
+        by_subject = read.group_vars if file.role == "group_vars" else read.host_vars
+        variables = by_subject.setdefault(file.subject, HostVariables(place=Place(file.path)))
+        variables.values.update(values)
+        variables.malformed_at = variables.malformed_at or malformed_at
+    return read
+
+
+def _errors_by_host(problems: ProblemCollector) -> dict[str, str]:
+    """By the name of a host, the first error that was found in reading or merging it."""
+    errors: dict[str, str] = {}
     for problem in problems.found:
         if problem.is_error and problem.host:
-            by_host.setdefault(problem.host, f"{problem.code.id} {problem.message}")
-    checked = [cache.check(row, rules) for row in rows]
-    cache.end()
+            errors.setdefault(problem.host, f"{problem.code.id} {problem.message}")
+    return errors
+
+
+def _reject_misread_rows(checked: list[CheckedRow], reader_errors: dict[str, str]) -> None:
+    """Take their records from rows that a reader has found an error in, or that have no name."""
     for one in checked:
-        if one.row.name in by_host or not one.row.name:
-            # What its reader has told already is not told again by what is missing now.
+        if one.row.name in reader_errors or not one.row.name:
             one.record = None
+            # What is missing now follows from the reader's error, which is reported already.
             one.problems = [problem for problem in one.problems if problem.place != one.row.place]
-    reject_duplicate_addresses(checked)
-    for one in checked:
-        for problem in one.problems:
-            problems.found.setdefault(problem)
-    return SnapshotReport(_build_snapshot(files, sources, checked, by_host, problems), checked, sources)
 
 
 def _select_rows(
--- a/tests/inventory/test_problems.py
+++ b/tests/inventory/test_problems.py
@@ -8,11 +8,12 @@
 
 from lockspoke.inventory import problems as catalogue
 from lockspoke.inventory.files import read_files
+from lockspoke.inventory.parse_cache import ReadOptions
 from lockspoke.inventory.patterns import parse_pattern
 from lockspoke.inventory.problems import CODES, Severity
 from lockspoke.inventory.reports import as_json, as_sarif, as_text, summary
 from lockspoke.inventory.schema import Rules
-from lockspoke.inventory.snapshot import ReadOptions, take_snapshot
+from lockspoke.inventory.snapshot import take_snapshot
 
 KINDS = {"gen-a": 0.7, "gen-b": 1.0, "gen-c": 1.3}
 RULES = Rules(zones=("lis-1", "lis-2"), kinds=KINDS, require=("zone",), port=5000)
--- a/tests/inventory/test_reconciler.py
+++ b/tests/inventory/test_reconciler.py
@@ -11,9 +11,10 @@
 from lockspoke.core.replica_set import ListedReplica
 from lockspoke.inventory.decisions import Action, ReconcilePolicy, ReconcileResult
 from lockspoke.inventory.model import ReplicaRecord, Snapshot
+from lockspoke.inventory.parse_cache import ReadOptions
 from lockspoke.inventory.reconciler import Reconciler
 from lockspoke.inventory.schema import Rules
-from lockspoke.inventory.snapshot import ReadOptions, take_snapshot
+from lockspoke.inventory.snapshot import take_snapshot
 from lockspoke.inventory.source_reader import FileText
 from tests.wire.http.test_http1 import fixed
 
