--- a/lockspoke/inventory/decision_log.py
+++ b/lockspoke/inventory/decision_log.py
@@ -48,13 +48,13 @@
         if new or resolved or result.decisions:
             log.info(
                 "inventory_read",
-                workers=replica_count,
+                replicas=replica_count,
                 problems=len(snapshot.problems),
                 new_problems=len(new),
-                mended=resolved,
+                resolved=resolved,
                 decisions=len(result.decisions),
                 fingerprint=snapshot.fingerprint,
-                took_ms=duration_ms,
+                duration_ms=duration_ms,
             )
 
     def recent(self, count: int) -> list[dict[str, Any]]:
@@ -62,9 +62,10 @@
         return self._recent[-count:]
 
     def _log_decision(self, decision: Decision) -> None:
-        fields = {"act": decision.action.value, "host": decision.host, "reason": decision.reason}
-        log.log(_LEVELS.get(decision.action, logging.INFO), "inventory_decision", **fields)
-        self._recent.append({"at_ms": self._clock_ms()} | fields)
+        action, host, reason = decision.action.value, decision.host, decision.reason
+        level = _LEVELS.get(decision.action, logging.INFO)
+        log.log(level, "inventory_decision", action=action, host=host, reason=reason)
+        self._recent.append({"at_ms": self._clock_ms(), "act": action, "host": host, "reason": reason})
 
 
 def _log_problem(problem: Problem) -> None:
--- a/lockspoke/inventory/snapshot_loader.py
+++ b/lockspoke/inventory/snapshot_loader.py
@@ -12,9 +12,10 @@
 from .files import read_files
 from .host_lookup import HostLookup
 from .model import ReplicaRecord, Snapshot
+from .parse_cache import ParseCache, ReadOptions
 from .parser_process import ParserProcess, ParserProcessError
 from .settings import InventorySettings
-from .snapshot import ParseCache, ReadOptions, take_snapshot
+from .snapshot import take_snapshot
 from .source_reader import FileText
 
 log = structlog.get_logger()
@@ -68,7 +69,7 @@
         try:
             return await self._parser.read(settings, zones, previous)
         except ParserProcessError as error:
-            log.error("inventory_helper_failed", reason=str(error))
+            log.error("inventory_parser_process_failed", reason=str(error))
         # A thread slows requests down, but without it no change would be seen.
         loop = asyncio.get_running_loop()
         files = await loop.run_in_executor(self._executor, read_files, _paths(settings))
--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -110,11 +110,11 @@
         try:
             cached = store.load(Path(self.settings.keep))
         except (store.CachedListError, OSError) as error:
-            log.warning("inventory_kept_unusable", folder=self.settings.keep, reason=str(error))
+            log.warning("inventory_cache_unusable", folder=self.settings.keep, reason=str(error))
             return []
         if cached is None:
             return []
-        log.info("inventory_kept_used", workers=len(cached.replicas), fingerprint=cached.fingerprint)
+        log.info("inventory_cache_loaded", replicas=len(cached.replicas), fingerprint=cached.fingerprint)
         return cached.replicas
 
     # The interface of an endpoint list source
@@ -185,7 +185,7 @@
                 await self._refresh()
             except Exception:
                 # The task must go on, or removals would no longer be seen.
-                log.exception("inventory_look_failed")
+                log.exception("inventory_refresh_failed")
                 await asyncio.sleep(self.settings.poll)
 
     async def _refresh(self) -> None:
@@ -251,7 +251,7 @@
         for start in range(0, len(entries), BATCH_SIZE):  # removals and drains come first
             batch = entries[start : start + BATCH_SIZE]
             self.core.endpoint_list_changed(ReplicaListUpdate(self._rev, False, batch))
-        log.info("registry_changed", rev=self._rev, whole=False, entries=len(entries))
+        log.info("endpoint_list_changed", rev=self._rev, complete=False, entries=len(entries))
 
     # The folder of the setting `keep`
 
@@ -269,7 +269,7 @@
         loop = asyncio.get_running_loop()
         fingerprint = await loop.run_in_executor(self._executor, store.take_accepted_fingerprint, folder)
         if fingerprint:
-            log.info("inventory_accept", fingerprint=fingerprint)
+            log.info("inventory_removal_accepted", fingerprint=fingerprint)
             self.reconciler.accept(fingerprint)
             self._reload_requested = True
 
@@ -288,7 +288,7 @@
             store.write_atomically(folder, data)
             store.write_atomically(folder, json.dumps(self.status(), indent=1).encode(), store.STATUS_NAME)
         except OSError as error:
-            log.error("inventory_not_kept", folder=self.settings.keep, reason=str(error))
+            log.error("inventory_cache_write_failed", folder=self.settings.keep, reason=str(error))
 
 
 def _error_lines(snapshot: Snapshot) -> str:
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -294,7 +294,7 @@
                 await until(lambda: program.log("inventory_problem", line=3) is not None)
                 assert (await client.ask(call_bytes(2)))[0] == 200 and len(one.seen) == 2
                 inventory.write_text(f"name,endpoint\nw2,127.0.0.1:{two.port}\n")
-                await until(lambda: program.log("registry_changed") is not None)
+                await until(lambda: program.log("endpoint_list_changed") is not None)
                 assert (await client.ask(call_bytes(3)))[0] == 200 and len(two.seen) == 1
 
     asyncio.run(play())
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -10,7 +10,7 @@
 import json
 import re
 import zlib
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from typing import Any
 from unittest import mock
@@ -179,6 +179,17 @@
 
 # Kept inventory
 
+# Events and fields of the log as the recorded files name them, by their names now.
+RECORDED_EVENTS = {
+    "inventory_cache_loaded": "inventory_kept_used",
+    "inventory_cache_unusable": "inventory_kept_unusable",
+}
+RECORDED_FIELDS = {
+    "inventory_cache_loaded": {"replicas": "workers"},
+    "inventory_decision": {"action": "act"},
+    "inventory_read": {"replicas": "workers", "resolved": "mended", "duration_ms": "took_ms"},
+}
+
 _VARYING = (("took_ms", rb"[0-9.]+"), ("pid", rb"[0-9]+"))  # members of the status that no run repeats
 
 
@@ -196,10 +207,22 @@
         source.initial_list()
         source.close()
     status = source.status()
-    log = [{key: 0 if key == "took_ms" else value for key, value in line.items()} for line in logs]
+    log = [
+        {key: 0 if key == "took_ms" else value for key, value in _recorded_line(line).items()}
+        for line in logs
+    ]
     return {"status": status | {"took_ms": 0, "pid": 0}, "log": log}
 
 
+def _recorded_line(line: Mapping[str, Any]) -> dict[str, Any]:
+    """A line of the log with the names that it had at the recording, its fields in the same order."""
+    event = line["event"]
+    fields = RECORDED_FIELDS.get(event, {})
+    assert not fields.values() & line.keys(), "a field has its recorded name still"
+    renamed = {fields.get(key, key): value for key, value in line.items()}
+    return renamed | {"event": RECORDED_EVENTS.get(event, event)}
+
+
 def _kept_files(folder: Path) -> Tree:
     tree = read_tree(folder / KEPT)
     for name, data in tree.items():
--- a/tests/inventory/test_source.py
+++ b/tests/inventory/test_source.py
@@ -68,7 +68,7 @@
 
 def decided(program: Program, act: str, host: str, times: int = 1) -> Callable[[], bool]:
     def look() -> bool:
-        found = [one for one in program.logs if (one.get("act"), one.get("host")) == (act, host)]
+        found = [one for one in program.logs if (one.get("action"), one.get("host")) == (act, host)]
         return len(found) >= times
 
     return look
@@ -211,7 +211,7 @@
         place(path, rows(*fleet[:2]))
         await until(decided(program, "guard", ""))
         await load.end()
-        assert not [one for one in program.logs if one.get("act") == "remove"]
+        assert not [one for one in program.logs if one.get("action") == "remove"]
         assert set(load.statuses) == {(200, WHOLE, True)}
 
 
@@ -272,7 +272,7 @@
         (keep / "inventory.status.json").unlink(missing_ok=True)  # the first program's word, not the second's
         place(path, 'name,host,port\n"w0,127')
         async with Program(options=options) as program, Client(program.port) as client:
-            assert program.log("inventory_kept_used", workers=2) is not None
+            assert program.log("inventory_cache_loaded", replicas=2) is not None
             assert program.log("inventory_problem", code="INV104", line=2) is not None
             assert (await client.ask(call_bytes(1)))[0] == 200
             await until(lambda: (keep / "inventory.status.json").exists())
@@ -283,7 +283,7 @@
         (keep / "inventory.last").write_bytes(kept[:-1] + b"?")
         place(path, rows(one, two))
         async with Program(options=options) as program, Client(program.port) as client:
-            assert "checksum" in program.log("inventory_kept_unusable")["reason"]  # type: ignore[index]
+            assert "checksum" in program.log("inventory_cache_unusable")["reason"]  # type: ignore[index]
             assert (await client.ask(call_bytes(1)))[0] == 200
 
 
@@ -406,7 +406,7 @@
         async with Program(options=options) as program, Client(program.port) as client:
             assert (await client.ask(call_bytes(1)))[0] == 200 and len(one.seen) == 1
             await until(decided(program, "keep_out", "w1"))
-            await until(lambda: program.log("inventory_not_kept") is not None)
+            await until(lambda: program.log("inventory_cache_write_failed") is not None)
             assert (await client.ask(call_bytes(2)))[0] == 200  # serving goes on
 
 
@@ -427,4 +427,4 @@
             # A removal is taken at once, beside all that is wrong.
             place(path, rows(one) + "\n".join([*hosts[:77], *hosts[78:]]) + "\n")
             await until(decided(program, "remove", "h77"))
-            assert not [x for x in program.logs if x.get("act") == "remove" and x["host"] != "h77"]
+            assert not [x for x in program.logs if x.get("action") == "remove" and x["host"] != "h77"]
