--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -26,7 +26,7 @@
 
 from lockspoke.inventory.parse_cache import ReadOptions
 from lockspoke.inventory.snapshot import take_snapshot
-from lockspoke.inventory.source_reader import FileText
+from lockspoke.inventory.source_file import FileText
 from lockspoke.inventory.writing import FORMATS, write_inventory
 from tests.inventory.test_source import Load, Timed, edge, place, rows
 from tests.standins import Client, Program, until
--- a/lockspoke/cli/inventory_io.py
+++ b/lockspoke/cli/inventory_io.py
@@ -14,11 +14,11 @@
 
 from lockspoke.inventory.decisions import Action, Decision
 from lockspoke.inventory.files import read_files
+from lockspoke.inventory.format_detection import FORMATS
 from lockspoke.inventory.model import ReplicaRecord
 from lockspoke.inventory.parse_cache import ParseCache
 from lockspoke.inventory.settings import InventorySettings
 from lockspoke.inventory.snapshot import SnapshotReport, take_snapshot
-from lockspoke.inventory.source_reader import FORMATS
 from lockspoke.lifecycle.config import ConfigError
 from lockspoke.lifecycle.edge_file import read_edge
 
--- a/lockspoke/inventory/ansible_reader.py
+++ b/lockspoke/inventory/ansible_reader.py
@@ -1,239 +1,187 @@
-"""Ansible's YAML inventories, the JSON that `ansible-inventory --list` prints, and files of variables."""
+"""Reads Ansible's YAML inventories, and the JSON that `ansible-inventory --list` prints."""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Iterator
-from typing import Any
+from dataclasses import dataclass
 
-from .documents import Mapping, Node, Scalar, Sequence
-from .limits import MAX_HOSTS, MAX_NODES, LimitError
-from .model import Group, Host, Source, Value
-from .problems import BAD_RANGE, GROUP_KEY, GROUP_LOOP, REPEATED_KEY, WRONG_TYPE, Place, ProblemCollector
+from .document_tree import Mapping, Node, Scalar, Sequence
+from .limits import MAX_HOSTS, LimitError
+from .model import Group, Host, Source
+from .problems import BAD_RANGE, GROUP_KEY, GROUP_LOOP, WRONG_TYPE, ProblemCollector
 from .ranges import RangeError, expand_range
-
-_MERGE_KEY = "<<"
-
-
-class TreeWalker:
-    """Walks a document within a bound on the nodes visited: aliases make a small file a large one."""
-
-    def __init__(self, problems: ProblemCollector) -> None:
-        self.problems = problems
-        self.remaining_nodes = MAX_NODES
-        self.complete = True  # no host can stand in a part that was passed over
-
-    def count_node(self, node: Node) -> None:
-        """Count one node."""
-        self.remaining_nodes -= 1
-        if self.remaining_nodes < 0:
-            raise LimitError(f"more than {MAX_NODES} nodes, aliases counted each time, at {node.place}")
-
-    def pairs(self, node: Node, what: str, host: str = "") -> Iterator[tuple[Scalar, Node]]:
-        """Keys and values of a mapping, merge keys followed; nothing for a null, a problem for the rest."""
-        self.count_node(node)
-        if isinstance(node, Scalar) and node.text is None:
-            return
-        if not isinstance(node, Mapping):
-            self.problems.add(
-                WRONG_TYPE, node.place, f"{what} is no mapping", "write key: value lines below it", host=host
-            )
-            self.complete = self.complete and bool(host)
-            return
-        seen: dict[str, Place] = {}
-        merged: list[Node] = []
-        for key, value in node.items:
-            self.count_node(value)
-            if not isinstance(key, Scalar) or key.text is None:
-                self.problems.add(
-                    WRONG_TYPE,
-                    key.place,
-                    f"{what} has a key that is no plain name",
-                    "write one name",
-                    host=host,
-                )
-                self.complete = self.complete and bool(host)
-                continue
-            if key.text == _MERGE_KEY:
-                merged.extend(value.items if isinstance(value, Sequence) else [value])
-                continue
-            if key.text in seen:
-                message = f"{key.text!r} stands twice in {what}"
-                named = key.text if what.startswith("hosts") else host
-                self.problems.add(REPEATED_KEY, key.place, message, "keep one of them", seen[key.text], named)
-                continue
-            seen[key.text] = key.place
-            yield key, value
-        for other in merged:
-            # What stands here goes before what is merged in; of two merged ones, the earlier.
-            for key, value in self.pairs(other, what, host):
-                if key.text is not None and key.text not in seen:
-                    seen[key.text] = key.place
-                    yield key, value
-
-    def plain_value(self, node: Node, depth: int = 0) -> Any:
-        """A node as plain values: text, lists and mappings of them."""
-        self.count_node(node)
-        if isinstance(node, Scalar):
-            return node.text
-        if depth > 8:
-            return None
-        if isinstance(node, Sequence):
-            return [self.plain_value(item, depth + 1) for item in node.items]
-        return {
-            key.text: self.plain_value(item, depth + 1)
-            for key, item in node.items
-            if isinstance(key, Scalar) and key.text is not None
-        }
-
-    def variables(self, node: Node, what: str, host: str = "") -> dict[str, Value]:
-        """The variables of a group, a host or a file."""
-        found: dict[str, Value] = {}
-        for key, value in self.pairs(node, what, host):
-            if key.text is not None:
-                vault = isinstance(value, Scalar) and value.encrypted
-                found[key.text] = Value(self.plain_value(value), value.place, vault)
-        return found
+from .tree_walker import TreeWalker, read_group_variables
 
 
 def read_groups(root: Node | None, source: Source, problems: ProblemCollector) -> None:
-    """Read a YAML inventory from its tree: groups with hosts, children and vars."""
+    """Read a YAML inventory from its tree: groups with hosts, children and vars. Raises LimitError."""
     if root is None:
         return
-    walk, names = TreeWalker(problems), dict[str, Host]()
     if not isinstance(root, Mapping):
-        problems.add(
-            WRONG_TYPE, root.place, "the top of the file is no mapping", "begin it with all: and groups below"
-        )
+        suggestion = "begin it with all: and groups below"
+        problems.add(WRONG_TYPE, root.place, "the top of the file is no mapping", suggestion)
         source.complete = False
         return
-    try:
-        # A stack of its own: children nest as deep as the document does.
-        waiting: deque[tuple[Scalar, Node, tuple[str, ...]]] = deque()
-        waiting.extend((key, value, ()) for key, value in walk.pairs(root, "the top of the file"))
-        while waiting:
-            name, node, ancestors = waiting.popleft()
-            waiting += _read_group(source, names, walk, name, node, ancestors)
-            if len(names) > MAX_HOSTS:
-                raise LimitError(f"more than {MAX_HOSTS} hosts at {name.place}")
-    finally:
-        source.hosts = list(names.values())
-        source.complete = source.complete and walk.complete
-
-
-def _read_group(
-    source: Source,
-    names: dict[str, Host],
-    walk: TreeWalker,
-    key: Scalar,
-    node: Node,
-    ancestors: tuple[str, ...],
-) -> list[tuple[Scalar, Node, tuple[str, ...]]]:
-    text = key.text or ""
-    group = source.get_or_add_group(text, key.place)
-    if text in ancestors:
-        message = f"group {text!r} is its own ancestor, by {' > '.join([*ancestors, text])}"
-        walk.problems.add(GROUP_LOOP, key.place, message, "take one of the steps out")
-        return []
-    below: list[tuple[Scalar, Node, tuple[str, ...]]] = []
-    for part, value in walk.pairs(node, f"group {text!r}"):
-        if part.text == "vars":
-            read_group_variables(group, value, walk)
-        elif part.text == "hosts":
-            for host, given in walk.pairs(value, f"hosts of {text!r}"):
-                own = walk.variables(given, f"host {host.text!r}", host.text or "")
-                try:
-                    expanded = expand_range(host.text or "")
-                except RangeError as error:
-                    walk.problems.add(BAD_RANGE, host.place, str(error), host=host.text or "")
-                    expanded = [host.text or ""]
-                for name in expanded:
-                    names.setdefault(name, Host(name, host.place)).add_variables(own)
-                    group.hosts.setdefault(name, host.place)
-        elif part.text == "children":
-            for child, inner in walk.pairs(value, f"children of {text!r}"):
-                group.children.setdefault(child.text or "", child.place)
-                below.append((child, inner, (*ancestors, text)))
-        else:
-            suggestion = "write hosts, children or vars; a host's name goes below hosts"
-            walk.problems.add(GROUP_KEY, part.place, f"group {text!r} has a key {part.text!r}", suggestion)
-            # A host may have been meant: nothing is removed for its absence.
-            source.complete = False
-    return below
+    _GroupsReader(source, problems).read(root)
 
 
 def read_listing(root: Node | None, source: Source, problems: ProblemCollector) -> None:
-    """Read what `ansible-inventory --list` prints: groups with lists, and `_meta.hostvars`."""
+    """Read the output of `ansible-inventory --list`. Raises LimitError."""
+    if root is None:
+        return
     if not isinstance(root, Mapping):
-        if root is not None:
-            problems.add(
-                WRONG_TYPE,
-                root.place,
-                "the top of the file is no object",
-                "write what ansible-inventory --list prints",
-            )
-            source.complete = False
+        suggestion = "write what ansible-inventory --list prints"
+        problems.add(WRONG_TYPE, root.place, "the top of the file is no object", suggestion)
+        source.complete = False
         return
-    walk, names = TreeWalker(problems), dict[str, Host]()
-
-    def host(name: str, place: Place) -> Host:
-        return names.setdefault(name, Host(name, place))
-
-    for key, node in walk.pairs(root, "the top of the file"):
-        text = key.text or ""
-        if text == "_meta":
-            for part, value in walk.pairs(node, "_meta"):
-                if part.text == "hostvars":
-                    for name, given in walk.pairs(value, "hosts of _meta"):
-                        found = host(name.text or "", name.place)
-                        found.add_variables(walk.variables(given, f"host {name.text!r}", name.text or ""))
-            continue
-        group = source.get_or_add_group(text, key.place)
-        if isinstance(node, Sequence):  # the short form: a list of hosts
-            for item in _read_names(node, f"group {text!r}", walk, source):
-                host(item.text or "", item.place)
-                group.hosts.setdefault(item.text or "", item.place)
-            continue
-        for part, value in walk.pairs(node, f"group {text!r}"):
+    _ListingReader(source, problems).read(root)
+
+
+@dataclass(frozen=True, slots=True)
+class _PendingGroup:
+    """A group that is still to be read, and the groups around it."""
+
+    key: Scalar
+    node: Node
+    ancestors: tuple[str, ...] = ()
+
+
+class _GroupsReader:
+    """Reads groups with nested children; without recursion, as they nest as deep as the document."""
+
+    def __init__(self, source: Source, problems: ProblemCollector) -> None:
+        self.source = source
+        self.problems = problems
+        self.walker = TreeWalker(problems)
+        self.hosts: dict[str, Host] = {}
+
+    def read(self, root: Mapping) -> None:
+        try:
+            pending = deque(
+                _PendingGroup(key, node) for key, node in self.walker.pairs(root, "the top of the file")
+            )
+            while pending:
+                group = pending.popleft()
+                pending += self._read_group(group)
+                if len(self.hosts) > MAX_HOSTS:
+                    raise LimitError(f"more than {MAX_HOSTS} hosts at {group.key.place}")
+        finally:
+            self.source.hosts = list(self.hosts.values())
+            self.source.complete = self.source.complete and self.walker.complete
+
+    def _read_group(self, pending: _PendingGroup) -> list[_PendingGroup]:
+        """Read one group; returns its children."""
+        key, name = pending.key, pending.key.text or ""
+        group = self.source.get_or_add_group(name, key.place)
+        path = (*pending.ancestors, name)
+        if name in pending.ancestors:
+            message = f"group {name!r} is its own ancestor, by {' > '.join(path)}"
+            self.problems.add(GROUP_LOOP, key.place, message, "take one of the steps out")
+            return []
+        children: list[_PendingGroup] = []
+        for part, value in self.walker.pairs(pending.node, f"group {name!r}"):
+            if part.text == "vars":
+                read_group_variables(group, value, self.walker)
+            elif part.text == "hosts":
+                self._read_hosts(group, value)
+            elif part.text == "children":
+                for child, node in self.walker.pairs(value, f"children of {name!r}"):
+                    group.children.setdefault(child.text or "", child.place)
+                    children.append(_PendingGroup(child, node, path))
+            else:
+                suggestion = "write hosts, children or vars; a host's name goes below hosts"
+                _report_unknown_key(self.source, group, part, suggestion, self.problems)
+        return children
+
+    def _read_hosts(self, group: Group, node: Node) -> None:
+        for key, variables_node in self.walker.pairs(node, f"hosts of {group.name!r}"):
+            pattern = key.text or ""
+            variables = self.walker.variables(variables_node, f"host {pattern!r}", pattern)
+            try:
+                names = expand_range(pattern)
+            except RangeError as error:
+                self.problems.add(BAD_RANGE, key.place, str(error), host=pattern)
+                names = [pattern]
+            for name in names:
+                self.hosts.setdefault(name, Host(name, key.place)).add_variables(variables)
+                group.hosts.setdefault(name, key.place)
+
+
+class _ListingReader:
+    """Reads groups with lists of hosts, and the variables of the hosts in `_meta.hostvars`."""
+
+    def __init__(self, source: Source, problems: ProblemCollector) -> None:
+        self.source = source
+        self.problems = problems
+        self.walker = TreeWalker(problems)
+        self.hosts: dict[str, Host] = {}
+
+    def read(self, root: Mapping) -> None:
+        for key, node in self.walker.pairs(root, "the top of the file"):
+            if key.text == "_meta":
+                self._read_meta(node)
+                continue
+            group = self.source.get_or_add_group(key.text or "", key.place)
+            if isinstance(node, Sequence):  # the short form: only a list of hosts
+                self._read_hosts(group, node, f"group {group.name!r}")
+            else:
+                self._read_group(group, node)
+        self.source.hosts = list(self.hosts.values())
+        self.source.complete = self.source.complete and self.walker.complete
+
+    def _read_meta(self, node: Node) -> None:
+        for part, value in self.walker.pairs(node, "_meta"):
+            if part.text == "hostvars":
+                for key, variables in self.walker.pairs(value, "hosts of _meta"):
+                    name = key.text or ""
+                    host = self._host(key)
+                    host.add_variables(self.walker.variables(variables, f"host {name!r}", name))
+
+    def _read_group(self, group: Group, node: Node) -> None:
+        for part, value in self.walker.pairs(node, f"group {group.name!r}"):
             if part.text == "hosts":
-                for item in _read_names(value, f"hosts of {text!r}", walk, source):
-                    host(item.text or "", item.place)
-                    group.hosts.setdefault(item.text or "", item.place)
+                self._read_hosts(group, value, f"hosts of {group.name!r}")
             elif part.text == "children":
-                for item in _read_names(value, f"children of {text!r}", walk, source):
-                    group.children.setdefault(item.text or "", item.place)
+                for child in self._names(value, f"children of {group.name!r}"):
+                    group.children.setdefault(child.text or "", child.place)
             elif part.text == "vars":
-                read_group_variables(group, value, walk)
+                read_group_variables(group, value, self.walker)
             else:
                 suggestion = "write hosts, children or vars"
-                problems.add(GROUP_KEY, part.place, f"group {text!r} has a key {part.text!r}", suggestion)
-                source.complete = False
-    source.hosts = list(names.values())
-    source.complete = source.complete and walk.complete
+                _report_unknown_key(self.source, group, part, suggestion, self.problems)
+
+    def _read_hosts(self, group: Group, node: Node, what: str) -> None:
+        for item in self._names(node, what):
+            self._host(item)
+            group.hosts.setdefault(item.text or "", item.place)
 
+    def _host(self, key: Scalar) -> Host:
+        name = key.text or ""
+        return self.hosts.setdefault(name, Host(name, key.place))
 
-def read_group_variables(group: Group, node: Node, walk: TreeWalker) -> None:
-    """Variables of a group; where they can't all be read, its hosts are not taken as they seem to be."""
-    before = len(walk.problems.found)
-    group.variables.update(walk.variables(node, f"vars of {group.name!r}"))
-    if len(walk.problems.found) > before:
-        group.malformed_at = node.place
+    def _names(self, node: Node, what: str) -> Iterator[Scalar]:
+        """The names in a list; a null counts as an empty list."""
+        self.walker.count_node(node)
+        if isinstance(node, Scalar) and node.text is None:
+            return
+        if not isinstance(node, Sequence):
+            self.problems.add(WRONG_TYPE, node.place, f"{what} is no list", 'write ["name", ...]')
+            self.source.complete = False
+            return
+        for item in node.items:
+            self.walker.count_node(item)
+            if isinstance(item, Scalar) and item.text:
+                yield item
+            else:
+                message = f"{what} holds something that is no name"
+                self.problems.add(WRONG_TYPE, item.place, message, "write names in quotes")
+                self.source.complete = False
 
 
-def _read_names(node: Node, what: str, walk: TreeWalker, source: Source) -> Iterator[Scalar]:
-    walk.count_node(node)
-    if isinstance(node, Scalar) and node.text is None:
-        return
-    if not isinstance(node, Sequence):
-        walk.problems.add(WRONG_TYPE, node.place, f"{what} is no list", 'write ["name", ...]')
-        source.complete = False
-        return
-    for item in node.items:
-        walk.count_node(item)
-        if isinstance(item, Scalar) and item.text:
-            yield item
-        else:
-            walk.problems.add(
-                WRONG_TYPE, item.place, f"{what} holds something that is no name", "write names in quotes"
-            )
-            source.complete = False
+def _report_unknown_key(
+    source: Source, group: Group, key: Scalar, suggestion: str, problems: ProblemCollector
+) -> None:
+    """Report a key that a group can't have; it may be a host, so the source is incomplete."""
+    problems.add(GROUP_KEY, key.place, f"group {group.name!r} has a key {key.text!r}", suggestion)
+    source.complete = False
--- a/lockspoke/inventory/file_watcher.py
+++ b/lockspoke/inventory/file_watcher.py
@@ -114,7 +114,9 @@
                     return
             except (OSError, RuntimeError) as error:
                 if not self._failing:
-                    log.warning("inventory_file_watch_failing", reason=str(error), poll_interval=self.settings.poll)
+                    log.warning(
+                        "inventory_file_watch_failing", reason=str(error), poll_interval=self.settings.poll
+                    )
                 self._failing = True
                 await asyncio.sleep(NOTIFICATION_RETRY)
 
--- a/lockspoke/inventory/files.py
+++ b/lockspoke/inventory/files.py
@@ -10,7 +10,7 @@
 
 from .file_signature import FileSignature, mark_files
 from .limits import MAX_FILE_BYTES, MAX_FILES
-from .source_reader import FileText
+from .source_file import FileText
 
 # What Ansible passes over in a folder of sources, and what editors leave beside a file they write.
 _IGNORED_NAMES = re.compile(
--- a/lockspoke/inventory/ini_reader.py
+++ b/lockspoke/inventory/ini_reader.py
@@ -4,6 +4,8 @@
 
 import ast
 import re
+from enum import Enum
+from typing import NamedTuple
 
 from .limits import MAX_HOSTS, MAX_LINE_CHARS
 from .model import Host, Source, Value
@@ -14,6 +16,7 @@
     TOO_DEEP,
     TOO_LARGE,
     WRONG_TYPE,
+    Code,
     Place,
     ProblemCollector,
 )
@@ -28,154 +31,200 @@
     """A quote without its partner."""
 
 
-def split_words(line: str) -> list[tuple[int, str]]:
-    """Words of a host line with their columns, as a POSIX shell splits them; `#` begins a comment.
+class _Word(NamedTuple):
+    """A word of a line with its column, from 1 on."""
 
-    Raises _UnclosedError (a ValueError) for a quote that is not closed.
-    """
-    found: list[tuple[int, str]] = []
-    word: list[str] = []
-    start, quote, index = -1, "", 0
-    while index < len(line):
-        char = line[index]
-        if quote:
-            if char == quote:
-                quote = ""
-            elif char == "\\" and quote == '"' and line[index + 1 : index + 2] in ('"', "\\"):
-                index += 1
-                word.append(line[index])
+    column: int
+    text: str
+
+
+class _SectionKind(Enum):
+    """What the lines of a section hold."""
+
+    HOSTS = "hosts"
+    VARIABLES = "vars"
+    CHILDREN = "children"
+    UNKNOWN = ""
+
+
+class _WordSplitter:
+    """Splits a line into words as a POSIX shell does; `#` begins a comment."""
+
+    def __init__(self, line: str) -> None:
+        self.line = line
+        self.words: list[_Word] = []
+        self._chars: list[str] = []
+        self._start: int | None = None  # of the word that is being read
+        self._quote = ""  # the quote that is open
+        self._index = 0
+
+    def split(self) -> list[_Word]:
+        while self._index < len(self.line):
+            char = self.line[self._index]
+            if self._quote:
+                self._read_quoted(char)
+            elif char in " \t\r":
+                self._end_word()
+            elif char == "#":
+                break
             else:
-                word.append(char)
-        elif char in " \t\r":
-            if start >= 0:
-                found.append((start + 1, "".join(word)))
-                word, start = [], -1
-        elif char == "#":
-            break
+                self._read_plain(char)
+            self._index += 1
+        if self._quote:
+            raise _UnclosedQuoteError(f"a {self._quote} is opened and never closed")
+        self._end_word()
+        return self.words
+
+    def _read_quoted(self, char: str) -> None:
+        following = self.line[self._index + 1 : self._index + 2]
+        if char == self._quote:
+            self._quote = ""
+        elif char == "\\" and self._quote == '"' and following in ('"', "\\"):
+            self._read_escaped()
         else:
-            if start < 0:
-                start = index
-            if char in "\"'":
-                quote = char
-            elif char == "\\" and index + 1 < len(line):
-                index += 1
-                word.append(line[index])
-            else:
-                word.append(char)
-        index += 1
-    if quote:
-        raise _UnclosedQuoteError(f"a {quote} is opened and never closed")
-    if start >= 0:
-        found.append((start + 1, "".join(word)))
-    return found
+            self._chars.append(char)
+
+    def _read_plain(self, char: str) -> None:
+        if self._start is None:
+            self._start = self._index
+        if char in "\"'":
+            self._quote = char
+        elif char == "\\" and self._index + 1 < len(self.line):
+            self._read_escaped()
+        else:
+            self._chars.append(char)
+
+    def _read_escaped(self) -> None:
+        self._index += 1
+        self._chars.append(self.line[self._index])
+
+    def _end_word(self) -> None:
+        if self._start is not None:
+            self.words.append(_Word(self._start + 1, "".join(self._chars)))
+            self._chars, self._start = [], None
 
 
 def read_ini(text: str, file: str, problems: ProblemCollector) -> Source:
-    """Read an INI text. A line that can't be read is reported and the next ones are read on."""
-    source = Source(file, "ini", ends_with_newline=not text or text.endswith("\n"))
-    names: dict[str, Host] = {}
-    section, kind = "ungrouped", "hosts"
-    source.get_or_add_group(section, Place(file, 1))
-    for number, raw in enumerate(text.split("\n"), 1):
-        line = raw.strip()
-        place = Place(file, number, len(raw) - len(raw.lstrip()) + 1)
-        if len(raw) > MAX_LINE_CHARS:
-            problems.add(
-                TOO_LARGE, place, f"a line of {len(raw)} characters", f"keep lines under {MAX_LINE_CHARS}"
-            )
-            source.complete = False
-            return source
-        if not line or line[0] in "#;":
-            continue
-        if line.startswith("[") and "=" not in line.split("]")[0]:
-            match = _SECTION.match(line)
-            if match is None:
-                problems.add(
-                    SYNTAX_ERROR,
-                    place,
-                    f"{line!r} is no section",
-                    "write [group], [group:vars] or [group:children]",
-                )
-                source.complete = False  # whose hosts follow is not known
-                kind = "skip"
-                continue
-            section, kind = match[1], match[2] or "hosts"
-            if kind not in ("hosts", "vars", "children"):
-                suggestion = "write [group], [group:vars] or [group:children]"
-                problems.add(SYNTAX_ERROR, place, f"a section of the sort {kind!r} is not known", suggestion)
-                source.complete, kind = False, "skip"
-            elif kind != "vars" or section not in source.groups:
-                source.get_or_add_group(section, place)
-            continue
-        if kind == "hosts":
-            _read_host_line(source, names, section, raw, number, problems)
-        elif kind == "children":
-            child = line.split("#")[0].strip()
-            if re.search(r"\s", child):
-                problems.add(WRONG_TYPE, place, f"{child!r} is no group's name", "write one name a line")
-            else:
-                source.get_or_add_group(section, place).children.setdefault(child, place)
-        elif kind == "vars":
-            _read_variable(source, section, raw, number, problems)
-        if len(names) > MAX_HOSTS:
-            problems.add(TOO_DEEP, place, f"more than {MAX_HOSTS} hosts", "split the inventory")
-            source.complete = False
-            return source
-    source.hosts = list(names.values())
-    return source
-
-
-def _read_host_line(
-    source: Source, names: dict[str, Host], section: str, raw: str, number: int, problems: ProblemCollector
-) -> None:
-    try:
-        (column, pattern), *rest = split_words(raw)
-    except ValueError as error:
-        # Its name stands before the quote, mostly: a host whose line is spoilt has not been taken out.
-        pattern, column, rest = raw.split()[0], len(raw) - len(raw.lstrip()) + 1, []
-        suggestion = "close it, or put a quote within quotes"
-        problems.add(SYNTAX_ERROR, Place(source.file, number, column), str(error), suggestion, host=pattern)
-    place = Place(source.file, number, column)
-    variables: dict[str, Value] = {}
-    if match := _PORT.match(pattern):
-        pattern = match["host"]
-        variables["ansible_port"] = Value(match["port"], place)
-    for index, word in rest:
-        key, equals, value = word.partition("=")
-        word_place = Place(source.file, number, index)
-        if not equals or not key:
-            problems.add(
-                BAD_ASSIGNMENT,
-                word_place,
-                f"{word!r} is no key=value",
-                "write key=value, with quotes round spaces",
-                host=pattern,
-            )
-            continue
-        variables[key] = Value(parse_literal(value), word_place)
-    try:
-        hosts = expand_range(pattern)
-    except RangeError as error:
-        problems.add(BAD_RANGE, place, str(error), host=pattern)
-        hosts = [pattern]
-    group = source.get_or_add_group(section, place)
-    for name in hosts:
-        host = names.setdefault(name, Host(name, place))
-        host.add_variables(variables)
-        group.hosts.setdefault(name, place)
-
-
-def _read_variable(source: Source, section: str, raw: str, number: int, problems: ProblemCollector) -> None:
-    key, equals, value = raw.partition("=")
-    column = len(raw) - len(raw.lstrip()) + 1
-    place = Place(source.file, number, column)
-    if not equals or not key.strip():
-        problems.add(BAD_ASSIGNMENT, place, f"{raw.strip()!r} is no key=value", "write key=value")
-        return
-    index = Place(source.file, number, len(key) + 2 + len(value) - len(value.lstrip()))
-    source.get_or_add_group(section, place).variables[key.strip()] = Value(
-        parse_literal(value.strip()), index
-    )
+    """Read an INI text. A line that can't be read is reported, and reading goes on with the next one."""
+    return _IniReader(text, file, problems).read()
+
+
+class _IniReader:
+    def __init__(self, text: str, file: str, problems: ProblemCollector) -> None:
+        self.lines = text.split("\n")
+        self.problems = problems
+        self.source = Source(file, "ini", ends_with_newline=not text or text.endswith("\n"))
+        self.hosts: dict[str, Host] = {}
+        self.section = "ungrouped"
+        self.kind = _SectionKind.HOSTS
+
+    def read(self) -> Source:
+        source = self.source
+        source.get_or_add_group(self.section, Place(source.file, 1))
+        for number, line in enumerate(self.lines, 1):
+            place = Place(source.file, number, len(line) - len(line.lstrip()) + 1)
+            if len(line) > MAX_LINE_CHARS:
+                message = f"a line of {len(line)} characters"
+                return self._give_up(TOO_LARGE, place, message, f"keep lines under {MAX_LINE_CHARS}")
+            self._read_line(line, place)
+            if len(self.hosts) > MAX_HOSTS:
+                return self._give_up(TOO_DEEP, place, f"more than {MAX_HOSTS} hosts", "split the inventory")
+        source.hosts = list(self.hosts.values())
+        return source
+
+    def _give_up(self, code: Code, place: Place, message: str, suggestion: str) -> Source:
+        self.problems.add(code, place, message, suggestion)
+        self.source.complete = False
+        return self.source
+
+    def _read_line(self, line: str, place: Place) -> None:
+        text = line.strip()
+        if not text or text[0] in "#;":
+            return
+        if text.startswith("[") and "=" not in text.split("]", maxsplit=1)[0]:
+            self._read_section(text, place)
+        elif self.kind is _SectionKind.HOSTS:
+            self._read_host(line, place)
+        elif self.kind is _SectionKind.CHILDREN:
+            self._read_child(text, place)
+        elif self.kind is _SectionKind.VARIABLES:
+            self._read_variable(line, place)
+
+    def _read_section(self, text: str, place: Place) -> None:
+        suggestion = "write [group], [group:vars] or [group:children]"
+        match = _SECTION.match(text)
+        if match is None:
+            self._skip_section(place, f"{text!r} is no section", suggestion)
+            return
+        self.section, kind = match[1], match[2] or "hosts"
+        if kind not in ("hosts", "vars", "children"):
+            self._skip_section(place, f"a section of the sort {kind!r} is not known", suggestion)
+            return
+        self.kind = _SectionKind(kind)
+        if self.kind is not _SectionKind.VARIABLES or self.section not in self.source.groups:
+            self.source.get_or_add_group(self.section, place)
+
+    def _skip_section(self, place: Place, message: str, suggestion: str) -> None:
+        """Skip the lines of a section; hosts may be among them, so the source is incomplete."""
+        self.problems.add(SYNTAX_ERROR, place, message, suggestion)
+        self.source.complete = False
+        self.kind = _SectionKind.UNKNOWN
+
+    def _read_child(self, text: str, place: Place) -> None:
+        child = text.split("#", maxsplit=1)[0].strip()
+        if re.search(r"\s", child):
+            self.problems.add(WRONG_TYPE, place, f"{child!r} is no group's name", "write one name a line")
+        else:
+            self.source.get_or_add_group(self.section, place).children.setdefault(child, place)
+
+    def _read_host(self, line: str, line_place: Place) -> None:
+        (column, pattern), *assignments = self._split_host_line(line, line_place)
+        place = line_place._replace(column=column)
+        variables: dict[str, Value] = {}
+        if match := _PORT.match(pattern):
+            pattern = match["host"]
+            variables["ansible_port"] = Value(match["port"], place)
+        for word in assignments:
+            self._read_assignment(word, pattern, place, variables)
+        try:
+            names = expand_range(pattern)
+        except RangeError as error:
+            self.problems.add(BAD_RANGE, place, str(error), host=pattern)
+            names = [pattern]
+        group = self.source.get_or_add_group(self.section, place)
+        for name in names:
+            self.hosts.setdefault(name, Host(name, place)).add_variables(variables)
+            group.hosts.setdefault(name, place)
+
+    def _split_host_line(self, line: str, place: Place) -> list[_Word]:
+        try:
+            return _WordSplitter(line).split()
+        except _UnclosedQuoteError as error:
+            # The name usually comes before the quote; with it the host isn't taken for a removed one.
+            name = line.split(maxsplit=1)[0]
+            suggestion = "close it, or put a quote within quotes"
+            self.problems.add(SYNTAX_ERROR, place, str(error), suggestion, host=name)
+            return [_Word(place.column, name)]
+
+    def _read_assignment(self, word: _Word, host: str, place: Place, variables: dict[str, Value]) -> None:
+        key, equals, value = word.text.partition("=")
+        word_place = place._replace(column=word.column)
+        if equals and key:
+            variables[key] = Value(parse_literal(value), word_place)
+            return
+        message = f"{word.text!r} is no key=value"
+        suggestion = "write key=value, with quotes round spaces"
+        self.problems.add(BAD_ASSIGNMENT, word_place, message, suggestion, host=host)
+
+    def _read_variable(self, line: str, place: Place) -> None:
+        key, equals, value = line.partition("=")
+        if not equals or not key.strip():
+            message = f"{line.strip()!r} is no key=value"
+            self.problems.add(BAD_ASSIGNMENT, place, message, "write key=value")
+            return
+        value_place = place._replace(column=len(key) + 2 + len(value) - len(value.lstrip()))
+        group = self.source.get_or_add_group(self.section, place)
+        group.variables[key.strip()] = Value(parse_literal(value.strip()), value_place)
 
 
 def parse_literal(text: str) -> object:
--- a/lockspoke/inventory/merging.py
+++ b/lockspoke/inventory/merging.py
@@ -37,6 +37,11 @@
     malformed_at: Place | None = None  # where one of the files can't be read
     place: Place = field(default_factory=lambda: Place(""))
 
+    def merge(self, other: HostVariables) -> None:
+        """Add the variables of another file; they override those of the files before it."""
+        self.values.update(other.values)
+        self.malformed_at = self.malformed_at or other.malformed_at
+
 
 VariablesByName = Mapping[str, HostVariables]
 
--- a/lockspoke/inventory/parse_cache.py
+++ b/lockspoke/inventory/parse_cache.py
@@ -11,7 +11,8 @@
 from .problems import Problem, ProblemCollector
 from .row_checker import CheckedRow, check_row
 from .schema import FIELDS, Rules
-from .source_reader import FileText, read_source
+from .source_file import FileText
+from .source_reader import read_source
 
 DIGEST_BYTES = 16
 
--- a/lockspoke/inventory/snapshot.py
+++ b/lockspoke/inventory/snapshot.py
@@ -13,7 +13,8 @@
 from .problems import NOTHING_SELECTED, Place, ProblemCollector
 from .row_checker import CheckedRow, reject_duplicate_addresses
 from .schema import more_restrictive
-from .source_reader import FileText, read_variables
+from .source_file import FileText
+from .source_reader import read_variables
 
 FINGERPRINT_BYTES = 8
 
@@ -83,11 +84,9 @@
             if source is not None:
                 read.sources.append(source)
             continue
-        values, malformed_at = read_variables(file, problems)
         by_subject = read.group_vars if file.role == "group_vars" else read.host_vars
         variables = by_subject.setdefault(file.subject, HostVariables(place=Place(file.path)))
-        variables.values.update(values)
-        variables.malformed_at = variables.malformed_at or malformed_at
+        variables.merge(read_variables(file, problems))
     return read
 
 
--- a/lockspoke/inventory/snapshot_loader.py
+++ b/lockspoke/inventory/snapshot_loader.py
@@ -16,7 +16,7 @@
 from .parser_process import ParserProcess, ParserProcessError
 from .settings import InventorySettings
 from .snapshot import take_snapshot
-from .source_reader import FileText
+from .source_file import FileText
 
 log = structlog.get_logger()
 
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -12,13 +12,14 @@
 from hypothesis import strategies as st
 
 from lockspoke.inventory.files import read_files
+from lockspoke.inventory.format_detection import detect_format
 from lockspoke.inventory.model import ReplicaRecord
 from lockspoke.inventory.parse_cache import ParseCache, ReadOptions
 from lockspoke.inventory.patterns import PatternError, parse_pattern
 from lockspoke.inventory.ranges import RangeError, expand_range
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import SnapshotReport, take_snapshot
-from lockspoke.inventory.source_reader import FileText, detect_format
+from lockspoke.inventory.source_file import FileText
 from lockspoke.inventory.writing import FORMATS, write_inventory
 from tests.wire.http.test_http1 import fixed
 
--- a/tests/inventory/test_reconciler.py
+++ b/tests/inventory/test_reconciler.py
@@ -15,7 +15,7 @@
 from lockspoke.inventory.reconciler import Reconciler
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import take_snapshot
-from lockspoke.inventory.source_reader import FileText
+from lockspoke.inventory.source_file import FileText
 from tests.wire.http.test_http1 import fixed
 
 READING = ReadOptions(Rules(zones=("lis-1",), kinds={"gen-a": 0.7, "gen-b": 1.0}, port=5000))
