--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -21,7 +21,7 @@
 from lockspoke.lifecycle.edge_file import read_edge
 from lockspoke.lifecycle.logging_setup import start_logging
 
-from .inventory_io import console
+from .output import console
 
 PULSE = 0.1  # seconds between two looks of a witness
 
--- a/lockspoke/cli/gateway_inventory.py
+++ b/lockspoke/cli/inventory_gateway.py
@@ -1,15 +1,17 @@
-"""Commands of `lockspoke inventory` beside a running gateway: status, accept, watch."""
+"""`lockspoke inventory status`, `accept` and `watch`: commands beside a running gateway."""
 
 from __future__ import annotations
 
 import json
 import time
+from collections.abc import Sequence
 from pathlib import Path
 from typing import Any
 
 import click
 
 from lockspoke.inventory import reports, store
+from lockspoke.inventory.decisions import Decision
 from lockspoke.inventory.files import file_signature, watched_folders
 from lockspoke.inventory.model import ReplicaRecord
 from lockspoke.inventory.parse_cache import ParseCache
@@ -17,19 +19,12 @@
 from lockspoke.inventory.reconciler import Reconciler
 from lockspoke.inventory.store import ACCEPT_NAME, STATUS_NAME
 
-from .inventory import inventory
-from .inventory_io import (
-    console,
-    inventory_reader,
-    paths_argument,
-    print_decisions,
-    print_replicas,
-    problem_style,
-    reading_options,
-    source_texts,
-)
+from .inventory_options import InventoryReader, inventory_reader, paths_argument, reading_options
+from .output import console, print_decisions, print_replicas, problem_style, source_texts
 
-POLL_MS = 500  # milliseconds between two looks at the files where no notice comes
+POLL_MS = 500  # between two polls of the files
+NOTIFICATION_STEP_MS = 10
+NOTIFICATION_DEBOUNCE_MS = 50
 
 
 def _status_folder(edge: Path | None, keep: Path | None) -> Path:
@@ -37,13 +32,13 @@
         return keep
     if edge is None:
         raise click.UsageError("name --edge or --keep")
-    settings = inventory_reader(edge, (), (), None, None, None, None).settings
+    settings = inventory_reader(edge).settings
     if not settings.keep:
         raise click.UsageError(f"{edge}: inventory.keep names no folder, so the gateway leaves no status")
     return Path(settings.keep)
 
 
-@inventory.command()
+@click.command()
 @click.option("--edge", type=click.Path(path_type=Path), help="the gateway's edge file")
 @click.option("--keep", type=click.Path(path_type=Path), help="the folder that inventory.keep names there")
 @click.option("--json", "as_json", is_flag=True, help="as JSON")
@@ -84,7 +79,7 @@
     return 1 if held or status_document["guard"] or status_document["kept_out"] else 0
 
 
-@inventory.command()
+@click.command()
 @click.argument("fingerprint")
 @click.option("--edge", type=click.Path(path_type=Path), help="the gateway's edge file")
 @click.option("--keep", type=click.Path(path_type=Path), help="the folder that inventory.keep names there")
@@ -103,7 +98,7 @@
     click.echo(f"left for the gateway in {folder}")
 
 
-@inventory.command()
+@click.command()
 @paths_argument
 @reading_options
 @click.option("--json", "as_json", is_flag=True, help="a JSON object a line")
@@ -115,46 +110,22 @@
     Example:
       lockspoke inventory watch inventory/ --kind gen-a --kind gen-b
     """
-    from watchfiles import watch as watch_files
+    # Imported here, as it takes long and no other command needs it.
+    from watchfiles import watch as watch_files  # noqa: PLC0415 - see above
 
     reader = inventory_reader(paths=paths, **options)
     paths = paths or reader.paths
-    reconciler, memory, reported = (
-        Reconciler(reader.settings.reconcile_policy()),
-        ParseCache(),
-        set[Problem](),
-    )
-
-    def read_once() -> None:
-        snapshot = reader.read(paths, memory).snapshot
-        decisions = reconciler.step(snapshot, time.time_ns() // 1_000_000).decisions
-        new = [one for one in snapshot.problems if one not in reported]
-        reported.clear()
-        reported.update(snapshot.problems)
-        if as_json:
-            rows = [{"act": one.action.value, "host": one.host, "reason": one.reason} for one in decisions]
-            line = {
-                "workers": len(reconciler.known),
-                "problems": list(map(reports.problem_json, new)),
-                "decisions": rows,
-            }
-            click.echo(json.dumps(line))
-            return
-        if new:
-            click.echo(reports.as_text(new, source_texts(paths), problem_style(console())))
-        print_decisions(decisions)
-        click.echo(f"{time.strftime('%H:%M:%S')} {reports.summary(len(reconciler.known), snapshot.problems)}")
-
+    preview = _Preview(reader, paths, as_json)
     last_signature = file_signature(paths)
-    read_once()
-    count = 1
-    if count == rounds:
+    preview.read()
+    reads = 1
+    if reads == rounds:
         return 0
-    # The notice begins only when it is first waited for, so what was written until then is seen by a look.
+    # Notifications begin only when the first one is waited for: polling finds what changed before.
     for _ in watch_files(
         *watched_folders(paths),
-        step=10,
-        debounce=50,
+        step=NOTIFICATION_STEP_MS,
+        debounce=NOTIFICATION_DEBOUNCE_MS,
         recursive=False,
         rust_timeout=POLL_MS,
         yield_on_timeout=True,
@@ -162,8 +133,45 @@
         signature = file_signature(paths)
         if signature == last_signature:
             continue
-        last_signature, count = signature, count + 1
-        read_once()
-        if count == rounds:
+        last_signature, reads = signature, reads + 1
+        preview.read()
+        if reads == rounds:
             break
     return 0
+
+
+class _Preview:
+    """Reads sources again and again, and prints what a gateway would decide."""
+
+    def __init__(self, reader: InventoryReader, paths: tuple[Path, ...], as_json: bool) -> None:
+        self.reader = reader
+        self.paths = paths
+        self.as_json = as_json
+        self.reconciler = Reconciler(reader.settings.reconcile_policy())
+        self.cache = ParseCache()
+        self.reported: set[Problem] = set()
+
+    def read(self) -> None:
+        """Read the sources and print what is new."""
+        snapshot = self.reader.read(self.paths, self.cache).snapshot
+        decisions = self.reconciler.step(snapshot, time.time_ns() // 1_000_000).decisions
+        new = [problem for problem in snapshot.problems if problem not in self.reported]
+        self.reported = set(snapshot.problems)
+        if self.as_json:
+            self._print_json(new, decisions)
+            return
+        if new:
+            click.echo(reports.as_text(new, source_texts(self.paths), problem_style(console())))
+        print_decisions(decisions)
+        summary = reports.summary(len(self.reconciler.known), snapshot.problems)
+        click.echo(f"{time.strftime('%H:%M:%S')} {summary}")
+
+    def _print_json(self, problems: Sequence[Problem], decisions: Sequence[Decision]) -> None:
+        line = {
+            "workers": len(self.reconciler.known),
+            "problems": list(map(reports.problem_json, problems)),
+            "decisions": [
+                {"act": one.action.value, "host": one.host, "reason": one.reason} for one in decisions
+            ],
+        }
+        click.echo(json.dumps(line))
--- a/lockspoke/cli/main.py
+++ b/lockspoke/cli/main.py
@@ -1,17 +1,24 @@
-"""The command `lockspoke` with its groups; the gateway itself is what runs without one."""
+"""The command `lockspoke` with its groups of commands. Without a command, the gateway itself runs."""
 
 from __future__ import annotations
 
 import sys
 
 import click
-from click.shell_completion import get_completion_class
+from click.shell_completion import BashComplete, FishComplete, ShellComplete, ZshComplete
 
-from . import gateway_inventory  # noqa: F401 - adds its commands to the group
 from .address import address
 from .config import config
 from .inventory import inventory
 
+ABORTED = 130  # the exit code after Ctrl-C, as shells have it
+
+_COMPLETE_CLASSES: dict[str, type[ShellComplete]] = {
+    "bash": BashComplete,
+    "zsh": ZshComplete,
+    "fish": FishComplete,
+}
+
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 def cli() -> None:
@@ -22,7 +29,7 @@
 
 
 @cli.command()
-@click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
+@click.argument("shell", type=click.Choice(list(_COMPLETE_CLASSES)))
 def completion(shell: str) -> None:
     """Print what makes a shell complete these commands.
 
@@ -30,9 +37,8 @@
     Example:
       lockspoke completion bash >> ~/.bashrc
     """
-    found = get_completion_class(shell)
-    assert found is not None
-    click.echo(found(cli, {}, "lockspoke", "_LOCKSPOKE_COMPLETE").source())
+    complete = _COMPLETE_CLASSES[shell](cli, {}, "lockspoke", "_LOCKSPOKE_COMPLETE")
+    click.echo(complete.source())
 
 
 cli.add_command(address)
@@ -41,15 +47,15 @@
 
 
 def run(arguments: list[str]) -> int:
-    """Run a command; gives the exit code."""
+    """Run a command and return its exit code."""
     try:
         done = cli.main(arguments, prog_name="lockspoke", standalone_mode=False)
     except click.ClickException as error:
         error.show()
         return error.exit_code
     except click.exceptions.Abort:
-        return 130
-    except BrokenPipeError:  # the reader of a pipe has seen enough
+        return ABORTED
+    except BrokenPipeError:  # the reader of the pipe has ended
         sys.stderr.close()
         return 0
     return done if isinstance(done, int) else 0
