--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -1,9 +1,9 @@
-"""What the inventory costs and how soon it acts: `python -m bench.inventory [--removals 500] [--json FILE]`.
+"""Cost and latency of the inventory: `python -m bench.inventory [--removals 500] [--json FILE]`.
 
-Three measurements on loopback, none of them part of CI: removals under load, with the time from the rename
-to the decision and to the last request that came, and requests that came later than the rule allows; reading
-and reconciling at several sizes, with memory; and the longest time for which a gateway with a large list
-answers nothing while one row of it changes.
+Three measurements on loopback, none of them in CI: removals under load, with the times from the rename to the
+decision and to the last request, and the number of requests that came too late; reading and reconciling at
+several sizes, with memory; and the longest time without a response from a gateway with a large list while one
+row of it changes.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 async def removals(count: int, clients: int = 8, fleet_size: int = 22) -> dict[str, Any]:
-    """Take a host out by rename, again and again under load; look at what still comes to it."""
+    """Remove a host by a rename, again and again under load, and count the requests that still reach it."""
     draw = random.Random(7)
     decided: list[float] = []
     last: list[float] = []
@@ -75,15 +75,15 @@
                 last.append(max(0.0, fleet[out].times[-1] - when))
                 strays += sum(one > when + GRACE for one in fleet[out].times)
                 place(path, text)
-                # Taken in again before the next one goes: two renames at once would be one change.
+                # Wait until it is added again: two renames at once would be one change.
                 await until(lambda mark=mark: any(x.get("action") == "add" for x in program.logs[mark:]))  # type: ignore[misc]
             await load.end()
             wrong = sum(status != 200 or not whole for status, _, whole in load.statuses)
             return {
                 "removals": count,
-                "workers": fleet_size,
-                "calls": len(load.statuses),
-                "calls_not_served": wrong,
+                "replicas": fleet_size,
+                "requests": len(load.statuses),
+                "requests_not_served": wrong,
                 "stray_requests_after_250_ms": strays,
                 "rename_to_decision": quantiles(decided),
                 "rename_to_last_request": quantiles(last),
@@ -91,7 +91,7 @@
 
 
 def big_rows(count: int, changed: int = -1) -> str:
-    """A CSV of so many hosts at loopback addresses."""
+    """A CSV file with so many hosts at loopback addresses."""
     lines = ["name,host,port,zone,kind,state"]
     for at in range(count):
         state = "draining" if at == changed else "up"
@@ -110,10 +110,10 @@
 from lockspoke.inventory.parse_cache import ParseCache, ReadOptions
 from lockspoke.inventory.snapshot import take_snapshot
 
-gc.disable()  # as the helper does, which reads what is large
+gc.disable()  # as in the parser process
 
 def peak():
-    # Not ru_maxrss: what the parent had before it started this process counts there.
+    # Not ru_maxrss: it includes the memory of the parent at the time of the fork.
     lines = Path("/proc/self/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmHWM")) / 1024
 
@@ -139,7 +139,7 @@
 
 
 def reading(size: int, form: str = "csv", runs: int = 5) -> dict[str, Any]:
-    """Read and reconcile a list of a size, and again with one row changed; each run in a new process."""
+    """Read and reconcile a list, and again with one row changed; each run in a new process."""
     with tempfile.TemporaryDirectory() as name:
         paths = [Path(name, f"a.{form}"), Path(name, f"b.{form}")]
         for path, changed in zip(paths, (-1, size // 2), strict=True):
@@ -157,13 +157,15 @@
 
 
 async def pauses(size: int, changes: int = 10) -> dict[str, Any]:
-    """The longest time without an answer to `GET /up`, at rest and while one row of many changes."""
+    """The longest time without a response to `GET /up`, at rest and while one row of many changes."""
     with tempfile.TemporaryDirectory() as name:
         path = Path(name, "workers.csv")
         place(path, big_rows(size))
         options = edge(Path(name), **{"kinds.gen-a": 0.7})
         async with Program(options=options) as program, Client(program.port) as client:
-            rest, busy, settled = [], [], []
+            rest: list[float] = []
+            busy: list[float] = []
+            settled: list[float] = []
 
             async def ping(into: list[float], end: Any) -> None:
                 while not end():
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -225,12 +225,14 @@
 
 def _kept_files(folder: Path) -> Tree:
     tree = read_tree(folder / KEPT)
-    for name, data in tree.items():
-        if name.endswith(".json"):
-            for member, pattern in _VARYING:
-                data = re.sub(rb'"%b": %b' % (member.encode(), pattern), b'"%b": 0' % member.encode(), data)
-            tree[name] = data
-    return tree
+    return {name: _normalised(data) if name.endswith(".json") else data for name, data in tree.items()}
+
+
+def _normalised(data: bytes) -> bytes:
+    """A status document with 0 for the members that differ between runs."""
+    for member, pattern in _VARYING:
+        data = re.sub(rb'"%b": %b' % (member.encode(), pattern), b'"%b": 0' % member.encode(), data)
+    return data
 
 
 def write_kept_inventory(folder: Path) -> Tree:
--- a/tests/inventory/test_cli.py
+++ b/tests/inventory/test_cli.py
@@ -30,7 +30,9 @@
 
 def process(*words: object, **env: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-B", "-m", "lockspoke", *map(str, words)]
-    return subprocess.run(command, cwd=ROOT, env=os.environ | env, capture_output=True, text=True, timeout=60)
+    return subprocess.run(
+        command, cwd=ROOT, env=os.environ | env, check=False, capture_output=True, text=True, timeout=60
+    )
 
 
 @pytest.fixture
@@ -40,7 +42,7 @@
     return path
 
 
-def test_check_prints_json_and_tells_by_its_exit_code(good: Path, tmp_path: Path) -> None:
+def test_check_prints_json_and_reports_by_its_exit_code(good: Path, tmp_path: Path) -> None:
     done = process("inventory", "check", good, "--json")
     raw = json.loads(done.stdout)
     assert (done.returncode, raw["problems"]) == (0, []) and raw["workers"][1]["kind"] == "gen-b"
@@ -66,7 +68,7 @@
     assert code(lockspoke("inventory", "check", warned, "--strict")) == 1
 
 
-def test_show_and_its_parts(good: Path) -> None:
+def test_show_with_each_of_its_options(good: Path) -> None:
     assert "gen-b" in lockspoke("inventory", "show", good).output
     assert (
         json.loads(lockspoke("inventory", "show", good, "--json", "--select", "w2").output)[0]["name"] == "w2"
@@ -101,12 +103,12 @@
     assert code(done) == 1 and not (tmp_path / "never.csv").exists()
 
 
-def test_watch_prints_what_it_would_decide(good: Path) -> None:
+def test_watch_prints_decisions(good: Path) -> None:
     (line,) = lockspoke("inventory", "watch", good, "--json", "--rounds", 1).output.splitlines()
     assert json.loads(line) == {"workers": 2, "problems": [], "decisions": []}
 
 
-def test_watch_goes_on_with_each_change_until_its_rounds_are_over(good: Path) -> None:
+def test_watch_prints_each_change_until_its_rounds_are_over(good: Path) -> None:
     command = [sys.executable, "-B", "-m", "lockspoke", "inventory", "watch", str(good), "--json"]
     with subprocess.Popen(
         [*command, "--rounds", "3"], cwd=ROOT, stdout=subprocess.PIPE, text=True, env=os.environ
@@ -128,7 +130,7 @@
     assert lines[2]["problems"] and lines[2]["problems"][0]["file"] == str(good)
 
 
-def test_config_check_names_file_line_key_and_the_nearest_known(tmp_path: Path) -> None:
+def test_config_check_names_file_line_key_and_the_closest_known_key(tmp_path: Path) -> None:
     edge = tmp_path / "edge.toml"
     edge.write_text(
         '[inventory]\npaths = ["a.csv"]\nselekt = "x"\npoll = "often"\n\n[inventory.guard]\nremoved_share'
@@ -159,16 +161,16 @@
     assert process("config", "check").returncode == 2
 
 
-def test_help_has_examples_and_shells_complete() -> None:
+def test_help_has_examples_and_shell_completion_is_printed() -> None:
     for command in ("check", "show", "diff", "plan", "convert", "status", "watch"):
         assert "lockspoke inventory" in lockspoke("inventory", command, "--help").output.split("Example")[1]
     assert "_LOCKSPOKE_COMPLETE" in lockspoke("completion", "bash").output
 
 
-def test_the_gateway_alone_loads_none_of_it() -> None:
+def test_the_gateway_alone_imports_no_optional_dependency() -> None:
     probe = "import sys, lockspoke.lifecycle.program; print(sorted({m.split('.')[0] for m in sys.modules}))"
     loaded = subprocess.run(
-        [sys.executable, "-c", probe], cwd=ROOT, capture_output=True, text=True, timeout=60
+        [sys.executable, "-c", probe], cwd=ROOT, check=True, capture_output=True, text=True, timeout=60
     ).stdout
     for heavy in ("yaml", "click", "msgspec", "lark", "watchfiles", "anyio", "multipart"):
         assert f"'{heavy}'" not in loaded
--- a/tests/inventory/test_problems.py
+++ b/tests/inventory/test_problems.py
@@ -101,7 +101,7 @@
 }
 
 
-def test_every_code_is_brought_about_and_names_its_line(tmp_path: Path) -> None:
+def test_every_code_is_reported_with_its_line(tmp_path: Path) -> None:
     (tmp_path / "a.csv").write_text(planted())
     report = take_snapshot(read_files([tmp_path / "a.csv"]), ReadOptions(RULES))
     told = {(one.code.id, one.place.line) for one in report.snapshot.problems}
@@ -134,7 +134,7 @@
     assert seen == CODES.keys()
 
 
-def test_reports_show_the_line_the_clash_and_the_mend(tmp_path: Path) -> None:
+def test_reports_show_the_line_the_conflict_and_the_suggestion(tmp_path: Path) -> None:
     path = tmp_path / "a.csv"
     path.write_text(planted())
     snapshot = take_snapshot(read_files([path]), ReadOptions(RULES)).snapshot
@@ -158,7 +158,7 @@
     assert any("relatedLocations" in result for result in run["results"])
 
 
-def test_codes_keep_their_meaning() -> None:
+def test_codes_keep_their_names() -> None:
     """A code once given stays: this list is only ever added to."""
     assert catalogue.CODES["INV403"].name == "two-kinds" and catalogue.CODES["INV104"].name == "syntax"
     assert len({code.name for code in CODES.values()}) == len(CODES) == 43
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -63,7 +63,7 @@
     "name",
     ["w[3:1]", "w[c:a]", "w[1:]", "w[1:2:0]", "w[1", "w]", "w[01:100]", "w[1:a]", "w[x]", "w[0:999999]"],
 )
-def test_a_range_that_cannot_be_expanded_says_so(name: str) -> None:
+def test_an_invalid_range_is_reported(name: str) -> None:
     with pytest.raises(RangeError):
         expand_range(name)
     report = read(f"name,host\n{name},10.0.0.1\n", "a.csv")
@@ -110,7 +110,7 @@
 }
 
 
-def test_variables_go_by_ansibles_documented_precedence(tmp_path: Path) -> None:
+def test_variables_follow_ansibles_documented_precedence(tmp_path: Path) -> None:
     report = take_snapshot(read_files([folder(tmp_path, ANSIBLE)]), ReadOptions(RULES))
     assert not report.snapshot.problems
     workers = report.snapshot.replicas
@@ -148,7 +148,7 @@
 """
 
 
-def test_ini_is_read_line_by_line_and_each_fault_told() -> None:
+def test_ini_is_read_line_by_line_and_each_fault_reported() -> None:
     report = read(INI, "hosts")
     workers = report.snapshot.replicas
     assert workers["w1"].port == 5001 and dict(workers["w1"].labels) == {"rack": "r1", "row": "2"}
@@ -158,7 +158,7 @@
     assert set(report.snapshot.incomplete_sources) == {"hosts"}  # whose hosts [odd:things] names is not known
 
 
-def test_a_listing_as_ansible_inventory_prints_it() -> None:
+def test_the_output_of_ansible_inventory_list_is_read() -> None:
     raw = {
         "_meta": {"hostvars": {"w1": {"host": "10.0.0.1", "cell": 3, "labels": {"a": "\u00e9\ud83d\ude00"}}}},
         "all": {"children": ["ungrouped", "gen_c"]},
@@ -179,7 +179,7 @@
         assert ("INV104", line) in codes(read(text, "l.json")), text
 
 
-def test_forms_are_told_by_name_or_text() -> None:
+def test_formats_are_detected_by_name_or_text() -> None:
     forms = {"a.yml": "yaml", "a.tsv": "csv", "hosts": "ini"}
     assert {name: detect_format(name, "w1 host=1\n") for name in forms} == forms
     texts = {
@@ -215,7 +215,7 @@
     assert parse_pattern(pattern).select(hosts, groups) == chosen.split()
 
 
-def test_a_bad_pattern_is_told_and_a_selection_narrows_a_snapshot() -> None:
+def test_an_invalid_pattern_is_rejected_and_a_selection_narrows_a_snapshot() -> None:
     for bad in ("[", "~[", "~(", "w" * 5000, "a:&&b"):
         with pytest.raises(PatternError):
             parse_pattern(bad)
@@ -224,7 +224,7 @@
     assert ("INV501", 0) in codes(read(text, "a.csv", select=parse_pattern("east")))
 
 
-def test_hostile_files_cost_little_and_are_told() -> None:
+def test_hostile_files_cost_little_and_are_reported() -> None:
     bomb = "a: &a [x,x,x,x,x,x,x,x,x]\n"
     for before, name in zip("abcdefgh", "bcdefghi", strict=True):
         bomb += f"{name}: &{name} [{','.join(f'*{before}' for _ in range(9))}]\n"
@@ -264,7 +264,7 @@
     ).map(lambda parts: "".join(parts).encode()),
     st.sampled_from(["a.csv", "a.yaml", "a.json", "a.ini", "hosts"]),
 )
-def test_garbage_gives_problems_and_nothing_else(data: bytes, name: str) -> None:
+def test_garbage_gives_problems_and_no_exception(data: bytes, name: str) -> None:
     report = read(data, name)
     for problem in report.snapshot.problems:
         assert (
@@ -303,13 +303,13 @@
 
 @fixed
 @given(WORKERS, st.sampled_from(FORMATS))
-def test_what_is_written_reads_back_the_same(workers: list[ReplicaRecord], form: str) -> None:
+def test_written_inventories_read_back_equal(workers: list[ReplicaRecord], form: str) -> None:
     report = read(write_inventory(workers, form), f"a.{form}", Rules())
     assert not [one for one in report.snapshot.problems if one.is_error]
     assert list(report.snapshot.replicas.values()) == workers
 
 
-def test_what_is_remembered_from_read_to_read_changes_nothing() -> None:
+def test_the_parse_cache_changes_no_result() -> None:
     memory, reading = ParseCache(), ReadOptions(RULES)
     rows = [f"w{n},10.0.0.{n}\n" for n in range(1, 9)]
     for changed in ("w3,10.0.0.99\n", "w3,10.0.0.4\n", "w3,nowhere\n", rows[2]):
--- a/tests/inventory/test_source.py
+++ b/tests/inventory/test_source.py
@@ -1,4 +1,4 @@
-"""The program fed by files, on sockets: removals, drains, half-written files, restarts, a dying helper."""
+"""The program with an inventory: removals, drains, half-written files, restarts, a killed parser process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import os
 import signal
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Coroutine
 from contextlib import AsyncExitStack
 from pathlib import Path
 from typing import Any
@@ -18,11 +18,11 @@
 from tests.standins import EVENTS, HEAD, TAIL, Client, FakeWorker, Program, call_bytes, chunk, until
 
 WHOLE = b"".join([*EVENTS, TAIL])
-GRACE = 0.25  # seconds after which nothing new may come to a worker that has been taken out
+GRACE = 0.25  # seconds after which a removed replica may get no new request
 
 
 def edge(folder: Path, **values: Any) -> tuple[str, str]:
-    """The options of a program whose inventory is `workers.csv` in a folder."""
+    """The options of a program whose inventory is `workers.csv` in this folder."""
     values = {
         "paths": [str(folder / "workers.csv")],
         "guard.new_is_cold": False,
@@ -43,7 +43,7 @@
 
 
 def place(path: Path, text: str) -> float:
-    """Put a file in place whole; gives when."""
+    """Replace a file atomically; returns when."""
     beside = path.with_name(".new")
     beside.write_text(text)
     beside.replace(path)
@@ -51,7 +51,7 @@
 
 
 class Timed(FakeWorker):
-    """Notes when each request came."""
+    """Records when each request arrived."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -75,7 +75,7 @@
 
 
 class Load:
-    """Clients that ask one call after another, each on its own connection."""
+    """Clients that send one request after another, each on its own connection."""
 
     def __init__(self, port: int, clients: int) -> None:
         self.statuses: list[tuple[int, bytes, bool]] = []
@@ -98,17 +98,17 @@
         await asyncio.gather(*self.tasks)
 
 
-def with_folder(test: Callable[[Path], Awaitable[None]]) -> Callable[[Path], None]:
+def with_folder(test: Callable[[Path], Coroutine[Any, Any, None]]) -> Callable[[Path], None]:
     def wrapped(tmp_path: Path) -> None:
-        asyncio.run(test(tmp_path))  # type: ignore[arg-type]
+        asyncio.run(test(tmp_path))
 
-    wrapped.__name__ = test.__name__  # type: ignore[attr-defined]
+    wrapped.__name__ = test.__name__
     return wrapped
 
 
 @with_folder
-async def test_under_load_nothing_new_comes_to_a_worker_taken_out(folder: Path) -> None:
-    """The measurement over 500 removals is bench/inventory.py; this is the same in small."""
+async def test_under_load_a_removed_replica_gets_no_new_request(folder: Path) -> None:
+    """bench/inventory.py measures 500 removals; this is a short form of it."""
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
         fleet = await workers(stack, 5)
@@ -121,11 +121,11 @@
             when = place(path, text)
             await until(decided(program, "remove", f"w{out}", cycle // len(fleet) + 1))
             seen = len(load.statuses)
-            await until(
-                lambda when=when, seen=seen: (
-                    time.monotonic() > when + GRACE + 0.1 and len(load.statuses) > seen + 20
-                )
-            )  # type: ignore[misc]
+
+            def has_served_since(when: float = when, seen: int = seen) -> bool:
+                return time.monotonic() > when + GRACE + 0.1 and len(load.statuses) > seen + 20
+
+            await until(has_served_since)
             assert max(fleet[out].times, default=0.0) <= when + GRACE
             place(path, rows(*fleet))
             await until(decided(program, "add", f"w{out}", cycle // len(fleet) + 1))
@@ -134,7 +134,7 @@
 
 
 @with_folder
-async def test_a_host_removed_while_draining_ends_its_streams_whole(folder: Path) -> None:
+async def test_a_replica_removed_while_draining_completes_its_streams(folder: Path) -> None:
     path, go = folder / "workers.csv", asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
@@ -166,7 +166,7 @@
 
 
 @with_folder
-async def test_removed_and_put_back_at_once_serves_on(folder: Path) -> None:
+async def test_a_replica_removed_and_added_again_at_once_goes_on_serving(folder: Path) -> None:
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
         fleet = await workers(stack, 2)
@@ -186,7 +186,7 @@
 
 
 @with_folder
-async def test_a_file_cut_short_by_its_writer_and_filled_up_again_removes_nobody(folder: Path) -> None:
+async def test_a_file_truncated_and_written_again_removes_no_replica(folder: Path) -> None:
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
         fleet = await workers(stack, 4)
@@ -216,7 +216,7 @@
 
 
 @with_folder
-async def test_a_half_edited_file_keeps_the_last_good_kind_and_a_swap_is_followed(folder: Path) -> None:
+async def test_a_half_edited_file_keeps_the_last_valid_kind_and_a_swap_is_applied(folder: Path) -> None:
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
         one, two = await workers(stack, 2)
@@ -261,21 +261,21 @@
 
 
 @with_folder
-async def test_a_restart_amid_a_half_edited_file_starts_from_the_kept_list(folder: Path) -> None:
+async def test_a_restart_during_an_edit_begins_with_the_cached_list(folder: Path) -> None:
     path, keep = folder / "workers.csv", folder / "keep"
     async with Timed() as one, Timed() as two:
         place(path, rows(one, two))
         options = edge(folder, keep=str(keep))
         async with Program(options=options) as program:
-            await until(lambda: (keep / "inventory.last").exists())
+            await until((keep / "inventory.last").exists)
             assert await program.terminate() == 0
-        (keep / "inventory.status.json").unlink(missing_ok=True)  # the first program's word, not the second's
+        (keep / "inventory.status.json").unlink(missing_ok=True)  # that of the first program
         place(path, 'name,host,port\n"w0,127')
         async with Program(options=options) as program, Client(program.port) as client:
             assert program.log("inventory_cache_loaded", replicas=2) is not None
             assert program.log("inventory_problem", code="INV104", line=2) is not None
             assert (await client.ask(call_bytes(1)))[0] == 200
-            await until(lambda: (keep / "inventory.status.json").exists())
+            await until((keep / "inventory.status.json").exists)
             assert lockspoke(["inventory", "status", "--keep", str(keep)]) == 1  # both are held
             program.process.kill()
             await program.process.wait()
@@ -287,7 +287,7 @@
             assert (await client.ask(call_bytes(1)))[0] == 200
 
 
-def test_with_neither_a_good_file_nor_a_kept_list_it_says_why_and_ends(tmp_path: Path) -> None:
+def test_without_a_valid_file_or_a_cached_list_it_exits_with_the_reason(tmp_path: Path) -> None:
     (tmp_path / "workers.csv").write_text("name,host,port\nw0,nowhere,1\n")
 
     async def play() -> None:
@@ -320,7 +320,7 @@
 
 
 @with_folder
-async def test_sighup_takes_up_the_edge_file_all_or_none(folder: Path) -> None:
+async def test_sighup_reloads_the_edge_file_completely_or_not_at_all(folder: Path) -> None:
     path = folder / "workers.csv"
     async with Timed() as one, Timed() as two:
         place(path, rows(one, two))
@@ -339,7 +339,7 @@
 
 @with_folder
 async def test_links_swapped_folders_and_polling(folder: Path) -> None:
-    """What configuration tools and mounted volumes do, with notice and without."""
+    """Replacements by configuration tools and mounted volumes, with notifications and with polling."""
     async with Timed() as one, Timed() as two:
         for number, watch in enumerate(("notice", "poll")):
             base = folder / watch
@@ -356,7 +356,7 @@
 
 
 @with_folder
-async def test_large_lists_are_read_by_a_helper_that_may_die(folder: Path) -> None:
+async def test_large_lists_survive_the_death_of_the_parser_process(folder: Path) -> None:
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
         fleet = await workers(stack, 3)
@@ -394,7 +394,7 @@
 
 
 @with_folder
-async def test_names_are_looked_up_where_that_is_allowed_and_a_folder_that_cannot_be_written_is_told(
+async def test_allowed_names_are_resolved_and_an_unwritable_folder_is_reported(
     folder: Path,
 ) -> None:
     path, keep = folder / "workers.csv", folder / "keep"
@@ -411,7 +411,7 @@
 
 
 @with_folder
-async def test_one_percent_of_ten_thousand_rows_is_bad_and_the_rest_is_taken(folder: Path) -> None:
+async def test_invalid_rows_among_ten_thousand_do_not_affect_the_others(folder: Path) -> None:
     path = folder / "workers.csv"
     async with Timed() as one:
         hosts = [
