--- a/lockspoke/cli/inventory_compare.py
+++ b/lockspoke/cli/inventory_compare.py
@@ -113,7 +113,7 @@
         invalid_hosts=snapshot.invalid_hosts,
         requested_states=snapshot.requested_states,
         incomplete_sources={name(file): why for file, why in snapshot.incomplete_sources.items()},
-        unnamed_addresses=snapshot.unnamed_addresses,
+        invalid_row_addresses=snapshot.invalid_row_addresses,
         unterminated_sources=frozenset(map(name, snapshot.unterminated_sources)),
         problems=snapshot.problems,
         fingerprint=snapshot.fingerprint,
--- a/lockspoke/inventory/csv_reader.py
+++ b/lockspoke/inventory/csv_reader.py
@@ -1,11 +1,12 @@
-"""CSV with a header: any of `,` `;` tab, a byte order mark, quoted newlines, comments, host ranges."""
+"""Reads CSV files with a header, separated by `,`, `;` or tabs, with quotes, comments and host ranges."""
 
 from __future__ import annotations
 
 import csv
 import re
 from collections import Counter
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator, Mapping, Sequence
+from typing import NamedTuple
 
 from .limits import MAX_HOSTS, MAX_LINE_CHARS, MAX_VALUE_CHARS
 from .model import Host, Source, Value
@@ -23,16 +24,17 @@
     ProblemCollector,
 )
 from .ranges import RangeError, expand_range
+from .schema import LABEL_PREFIXES
 
 SEPARATORS = ",;\t"
 
 
 class _UnreadableError(Exception):
-    """The text can't be read on from here."""
+    """The rest of the text can't be read."""
 
 
 def detect_separator(text: str) -> str:
-    """The separator of a CSV text: of the known ones, the one that its first line with any has most of."""
+    """The separator of a CSV text: the most frequent one in its header."""
     for line in text.split("\n", 200)[:200]:
         if line.strip() and not line.startswith("#"):
             counts = Counter(char for char in _without_quoted_text(line) if char in SEPARATORS)
@@ -47,96 +49,190 @@
 def read_csv(
     text: str, file: str, names: Mapping[str, str], known: frozenset[str], problems: ProblemCollector
 ) -> Source:
-    """Read a CSV text into rows.
+    """Read a CSV text into hosts.
 
-    `names` maps a header's words, in small letters, to the schema's; `known` are the schema's own. A row
-    whose cells can't be told apart is reported and its name kept, if it has one, so that its host is not
-    taken for removed.
+    `names` maps the names of columns, in lower case, to those of the schema; `known` are the schema's names.
+    A row with too few or too many cells is reported, but its name is used, so that its host isn't removed.
     """
-    source = Source(file, "csv", ends_with_newline=not text or text.endswith("\n"))
-    header: list[str] | None = None
-    separator = detect_separator(text)
-    try:
-        for line, cells, columns in _records(text, separator, file, problems):
-            if not any(cell.strip() for cell in cells) or (cells[0].startswith("#") and columns[0] == 1):
+    return _CsvReader(text, file, names, known, problems).read()
+
+
+class _Record(NamedTuple):
+    """The cells of one record, the line on which it begins, and the column of each cell."""
+
+    line: int
+    cells: list[str]
+    columns: list[int]
+
+    @property
+    def is_skipped(self) -> bool:
+        """Whether it is empty or a comment."""
+        return not any(cell.strip() for cell in self.cells) or (
+            self.cells[0].startswith("#") and self.columns[0] == 1
+        )
+
+    def column(self, index: int) -> int:
+        """The column of a cell; 0 if it isn't known."""
+        return self.columns[index] if index < len(self.columns) else 0
+
+
+class _CsvReader:
+    def __init__(
+        self,
+        text: str,
+        file: str,
+        names: Mapping[str, str],
+        known: frozenset[str],
+        problems: ProblemCollector,
+    ) -> None:
+        self.text = text
+        self.names = names
+        self.known = known
+        self.problems = problems
+        self.source = Source(file, "csv", ends_with_newline=not text or text.endswith("\n"))
+        self.separator = detect_separator(text)
+
+    def read(self) -> Source:
+        source = self.source
+        try:
+            has_header = self._read_records()
+        except _UnreadableError:
+            source.complete = False
+            return source
+        if not has_header:
+            suggestion = "begin it with a line such as name,host,port"
+            self.problems.add(NO_NAME_COLUMN, Place(source.file), "the file has no header", suggestion)
+            source.complete = False
+        return source
+
+    def _read_records(self) -> bool:
+        """Read all records; returns whether there is a header. Raises _UnreadableError."""
+        header: list[str] | None = None
+        for record in self._records():
+            if record.is_skipped:
                 continue
             if header is None:
-                header = _read_header(cells, columns, line, file, names, known, problems)
-                if header is None:
-                    source.complete = False
-                    return source
+                header = self._read_header(record)
                 continue
-            _read_row(source, header, cells, columns, line, problems)
-            if len(source.hosts) > MAX_HOSTS:
-                problems.add(
-                    TOO_DEEP, Place(file, line), f"more than {MAX_HOSTS} hosts", "split the inventory"
-                )
-                source.complete = False
-                return source
-    except _UnreadableError:
-        source.complete = False
-    if header is None and source.complete:
-        problems.add(
-            NO_NAME_COLUMN,
-            Place(file),
-            "the file has no header",
-            "begin it with a line such as name,host,port",
-        )
-        source.complete = False
-    return source
-
-
-def _records(
-    text: str, separator: str, file: str, problems: ProblemCollector
-) -> Iterator[tuple[int, list[str], list[int]]]:
-    """Records with the line on which each begins and the column of each cell."""
-    lines = text.split("\n")
-    longest = max(map(len, lines))
-    if longest > MAX_LINE_CHARS:
-        line = next(index for index, one in enumerate(lines, 1) if len(one) == longest)
-        problems.add(
-            TOO_LARGE,
-            Place(file, line),
-            f"a line of {longest} characters",
-            f"keep lines under {MAX_LINE_CHARS}",
-        )
-        raise _UnreadableError
-    csv.field_size_limit(MAX_VALUE_CHARS)
-    reader = csv.reader((line + "\n" for line in lines), delimiter=separator, strict=True)
-    first_line = 1
-    while True:
+            self._read_row(record, header)
+            if len(self.source.hosts) > MAX_HOSTS:
+                place = Place(self.source.file, record.line)
+                self.problems.add(TOO_DEEP, place, f"more than {MAX_HOSTS} hosts", "split the inventory")
+                raise _UnreadableError
+        return header is not None
+
+    def _records(self) -> Iterator[_Record]:
+        lines = self.text.split("\n")
+        self._check_line_lengths(lines)
+        csv.field_size_limit(MAX_VALUE_CHARS)
+        reader = csv.reader((line + "\n" for line in lines), delimiter=self.separator, strict=True)
+        first_line = 1
+        while True:
+            try:
+                cells = next(reader)
+            except StopIteration:
+                return
+            except csv.Error as error:
+                self._report_syntax_error(error, first_line)
+                raise _UnreadableError from None
+            if cells:
+                is_one_line = reader.line_num == first_line
+                columns = _cell_columns(lines[first_line - 1], self.separator)
+                yield _Record(first_line, cells, columns if is_one_line else [1] * len(cells))
+            first_line = reader.line_num + 1
+
+    def _check_line_lengths(self, lines: Sequence[str]) -> None:
+        longest = max(map(len, lines))
+        if longest > MAX_LINE_CHARS:
+            number = next(number for number, line in enumerate(lines, 1) if len(line) == longest)
+            message = f"a line of {longest} characters"
+            suggestion = f"keep lines under {MAX_LINE_CHARS}"
+            self.problems.add(TOO_LARGE, Place(self.source.file, number), message, suggestion)
+            raise _UnreadableError
+
+    def _report_syntax_error(self, error: csv.Error, line: int) -> None:
+        code, message, suggestion = SYNTAX_ERROR, str(error), 'put cells with quotes in them in "..."'
+        if "unexpected end" in message:
+            message = "a quote is opened in this row and never closed"
+            suggestion = 'close it with "; a quote within quotes is written ""'
+        elif "field larger" in message:
+            code, suggestion = TOO_LARGE, "shorten it"
+            message = f"a cell of more than {MAX_VALUE_CHARS} characters"
+        self.problems.add(code, Place(self.source.file, line), message, suggestion)
+
+    def _read_header(self, record: _Record) -> list[str]:
+        """The schema's name of each column, empty for one that is not used. Raises _UnreadableError."""
+        header: list[str] = []
+        places: dict[str, Place] = {}
+        is_usable = True
+        for index, cell in enumerate(record.cells):
+            place = Place(self.source.file, record.line, record.column(index))
+            name = self._column_name(cell, place)
+            if name in places:
+                message = f"columns for {name!r} stand twice"
+                self.problems.add(REPEATED_COLUMN, place, message, "keep one of them", places[name])
+                is_usable = False
+            if name:
+                places.setdefault(name, place)
+            header.append(name)
+        if "name" not in places:
+            place = Place(self.source.file, record.line)
+            suggestion = "add one, or map yours to name"
+            self.problems.add(NO_NAME_COLUMN, place, "no column is called name", suggestion)
+            is_usable = False
+        if not is_usable:
+            raise _UnreadableError
+        return header
+
+    def _column_name(self, cell: str, place: Place) -> str:
+        title = cell.strip().lower()
+        name = self.names.get(title, title.replace(" ", "_"))
+        if name in self.known or name.startswith(LABEL_PREFIXES):
+            return name
+        suggestion = f"known are {', '.join(sorted(self.known))}; map others under [inventory.names]"
+        self.problems.add(UNKNOWN_COLUMN, place, f"column {cell.strip()!r} is not used", suggestion)
+        return ""
+
+    def _read_row(self, record: _Record, header: Sequence[str]) -> None:
+        file = self.source.file
+        values = {
+            name: Value(cell.strip(), Place(file, record.line, record.column(index)))
+            for index, (name, cell) in enumerate(zip(header, record.cells, strict=False))
+            if name
+        }
+        name = values.pop("name", Value("", Place(file, record.line, 1)))
+        hosts = self._expand(name)
+        if len(record.cells) != len(header):
+            message = f"{len(record.cells)} cells, the header has {len(header)}"
+            suggestion = "add or take out separators, or quote a cell that holds one"
+            for host in hosts:
+                self.problems.add(CELL_COUNT, name.place, message, suggestion, host=host)
+            # The cells can't be assigned to columns, except for the name.
+            values = {}
+        elif not name.text:
+            self.problems.add(NO_NAME, name.place, "the row has no name", "give it one")
+        groups = values.pop("groups", None)
+        for host in hosts:
+            self.source.hosts.append(Host(host, name.place, dict(values)))
+            if groups is not None:
+                self._add_to_groups(host, groups)
+
+    def _expand(self, name: Value) -> list[str]:
         try:
-            cells = next(reader)
-        except StopIteration:
-            return
-        except csv.Error as error:
-            what = str(error)
-            if "unexpected end" in what:
-                place, what = Place(file, first_line), "a quote is opened in this row and never closed"
-                problems.add(
-                    SYNTAX_ERROR, place, what, 'close it with "; a quote within quotes is written ""'
-                )
-            elif "field larger" in what:
-                problems.add(
-                    TOO_LARGE,
-                    Place(file, first_line),
-                    f"a cell of more than {MAX_VALUE_CHARS} characters",
-                    "shorten it",
-                )
-            else:
-                problems.add(
-                    SYNTAX_ERROR, Place(file, first_line), what, 'put cells with quotes in them in "..."'
-                )
-            raise _UnreadableError from None
-        if cells:
-            last = reader.line_num == first_line
-            raw = lines[first_line - 1]
-            yield first_line, cells, _cell_columns(raw, separator) if last else [1] * len(cells)
-        first_line = reader.line_num + 1
+            return expand_range(name.text)
+        except RangeError as error:
+            self.problems.add(BAD_RANGE, name.place, str(error), host=name.text)
+            return [name.text]
+
+    def _add_to_groups(self, host: str, groups: Value) -> None:
+        if groups.text:
+            for name in re.split(r"[\s,;|]+", groups.text):
+                group = self.source.get_or_add_group(name, groups.place)
+                group.hosts.setdefault(host, groups.place)
 
 
 def _cell_columns(line: str, separator: str) -> list[int]:
-    """Where the cells of a line begin, from 1 on."""
+    """The columns at which the cells of a line begin, from 1 on."""
     if '"' not in line:
         columns, index = [1], line.find(separator)
         while index >= 0:
@@ -150,78 +246,3 @@
         elif char == separator and not quoted:
             columns.append(index + 2)
     return columns
-
-
-def _read_header(
-    cells: list[str],
-    columns: list[int],
-    line: int,
-    file: str,
-    names: Mapping[str, str],
-    known: frozenset[str],
-    problems: ProblemCollector,
-) -> list[str] | None:
-    """The schema's name of each column; an empty one is not used. None where rows can't be read by it."""
-    header: list[str] = []
-    first: dict[str, Place] = {}
-    good = True
-    for index, cell in enumerate(cells):
-        place = Place(file, line, columns[index] if index < len(columns) else 0)
-        word = cell.strip().lower()
-        name = names.get(word, word.replace(" ", "_"))
-        if not (name in known or name.startswith(("label.", "label_"))):
-            suggestion = f"known are {', '.join(sorted(known))}; map others under [inventory.names]"
-            problems.add(UNKNOWN_COLUMN, place, f"column {cell.strip()!r} is not used", suggestion)
-            name = ""
-        elif name in first:
-            message = f"columns for {name!r} stand twice"
-            problems.add(REPEATED_COLUMN, place, message, "keep one of them", first[name])
-            good = False
-        if name:
-            first.setdefault(name, place)
-        header.append(name)
-    if "name" not in first:
-        problems.add(
-            NO_NAME_COLUMN, Place(file, line), "no column is called name", "add one, or map yours to name"
-        )
-        good = False
-    return header if good else None
-
-
-def _read_row(
-    source: Source,
-    header: list[str],
-    cells: list[str],
-    columns: list[int],
-    line: int,
-    problems: ProblemCollector,
-) -> None:
-    place = Place(source.file, line, 1)
-    values = {
-        name: Value(cell.strip(), Place(source.file, line, columns[index] if index < len(columns) else 0))
-        for index, (name, cell) in enumerate(zip(header, cells, strict=False))
-        if name
-    }
-    name = values.pop("name", None)
-    if name is not None:
-        place = name.place
-    text = name.text if name is not None else ""
-    try:
-        hosts = expand_range(text)
-    except RangeError as error:
-        problems.add(BAD_RANGE, place, str(error), host=text)
-        hosts = [text]
-    if len(cells) != len(header):
-        message = f"{len(cells)} cells, the header has {len(header)}"
-        suggestion = "add or take out separators, or quote a cell that holds one"
-        for host in hosts:
-            problems.add(CELL_COUNT, place, message, suggestion, host=host)
-        # Cells may stand under wrong names: nothing but the name is believed.
-        values = {}
-    elif not text:
-        problems.add(NO_NAME, place, "the row has no name", "give it one")
-    groups = values.pop("groups", None)
-    for host in hosts:
-        source.hosts.append(Host(host, place, dict(values)))
-        for group in re.split(r"[\s,;|]+", groups.text) if groups is not None and groups.text else ():
-            source.get_or_add_group(group, groups.place).hosts.setdefault(host, place)  # type: ignore[union-attr]
--- a/lockspoke/inventory/files.py
+++ b/lockspoke/inventory/files.py
@@ -1,4 +1,4 @@
-"""Sources on the disk: which files belong to an inventory, what they hold, and a cheap look for changes."""
+"""The files of an inventory on disk: which they are, their contents and their signature."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .limits import MAX_FILE_BYTES, MAX_FILES
 from .source_file import FileText
 
-# What Ansible passes over in a folder of sources, and what editors leave beside a file they write.
+# What Ansible ignores in a folder of sources, and temporary files of editors.
 _IGNORED_NAMES = re.compile(
     r"^\.|~$|^#.*#$|\.(pyc|pyo|swp|swx|bak|rpm|md|txt|rst|orig|cfg|retry|tmp|part)$|^__pycache__$"
 )
@@ -23,8 +23,8 @@
 def read_files(paths: Sequence[Path]) -> list[FileText]:
     """Read all files of an inventory, in the order in which they are merged.
 
-    A folder stands for the sources in it, in the order of their names. `group_vars/` and `host_vars/` beside
-    a source count. What can't be read is in the result with its error; nothing is raised.
+    A folder means the sources in it, sorted by name. The folders `group_vars` and `host_vars` beside a source
+    are read too. A file that can't be read is in the result with its error; nothing is raised.
     """
     found: list[FileText] = []
     beside: dict[Path, None] = {}
@@ -61,7 +61,7 @@
 
 
 def watched_folders(paths: Sequence[Path]) -> list[Path]:
-    """The folders in which a change can matter: of the sources, of their links' targets, of variables."""
+    """The folders to watch: those of the sources, of the targets of links, and of variables."""
     found: dict[Path, None] = {}
     for path in paths:
         base = path if path.is_dir() else path.parent
@@ -88,7 +88,7 @@
             return
         names = sorted(os.listdir(path))
     except OSError:
-        yield path  # reading it tells what is wrong
+        yield path  # reading it will report the error
         return
     for name in names:
         if _IGNORED_NAMES.search(name) or name in _VARIABLE_FOLDERS:
@@ -101,7 +101,7 @@
 
 
 def _variable_files(folder: Path) -> Iterator[tuple[str, Path]]:
-    """Files of variables with their subjects: NAME, NAME.yml, or a folder NAME with files in it."""
+    """The files of variables with their subjects: NAME, NAME.yml, or a folder NAME with files in it."""
     try:
         names = sorted(os.listdir(folder))
     except OSError:
@@ -124,12 +124,12 @@
         if ending in _VARIABLE_SUFFIXES[1:]:
             yield stem, inner
         else:
-            yield name, inner  # a host's name has dots of its own
+            yield name, inner  # the name of a host may have dots
 
 
 def _read_file(path: Path, role: str, subject: str = "") -> FileText:
     try:
-        # A pipe or a device would hold up the reader for good: regular files only.
+        # Only regular files are read, as a pipe or a device could block forever.
         handle = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
         with open(handle, "rb") as file:
             status = os.fstat(file.fileno())
--- a/lockspoke/inventory/model.py
+++ b/lockspoke/inventory/model.py
@@ -1,4 +1,4 @@
-"""The common model that every reader fills: values with their places, rows, groups, and worker records."""
+"""The model of an inventory: values with their places, hosts, groups, rows, replica records and snapshots."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """A value as a source writes it: text, or a mapping or list of plain ones, and where it stands.
+    """A value as it is written in a source: a text, a mapping or a list of texts; None for a null.
 
-    `vault` marks one that only a vault key opens; None is a null.
+    `encrypted` marks a value that only a vault key opens.
     """
 
     raw: Any
@@ -21,7 +21,7 @@
 
     @property
     def text(self) -> str:
-        """The value as text; a null is empty."""
+        """The value as text; empty for a null."""
         return "" if self.raw is None else self.raw if isinstance(self.raw, str) else str(self.raw)
 
 
@@ -43,7 +43,7 @@
     conflicts: list[ValueConflict] = field(default_factory=list)
 
     def add_variables(self, given: dict[str, Value]) -> None:
-        """Further variables, from another place where the host stands; the later goes before the earlier."""
+        """Add variables from another place that names the host; they override those before."""
         for key, value in given.items():
             before = self.variables.get(key)
             if before is not None and before.raw != value.raw:
@@ -60,32 +60,32 @@
     hosts: dict[str, Place] = field(default_factory=dict)
     children: dict[str, Place] = field(default_factory=dict)
     variables: dict[str, Value] = field(default_factory=dict)
-    malformed_at: Place | None = None  # where its variables can't be read: nothing is known of its hosts
+    malformed_at: Place | None = None  # where its variables can't be read
 
 
 @dataclass(slots=True)
 class Source:
-    """What one file says, in whichever form; a reader fills it as far as it can read.
+    """The content of one file, as far as it can be read.
 
-    The form is csv, ini, yaml or json. In CSV a name stands once; in the others a host may stand in several
-    places, whose variables are put together.
+    `format` is csv, ini, yaml or json. In all of them but CSV a host may be named in several places, whose
+    variables are merged.
     """
 
     file: str
     format: str
-    complete: bool = True  # read to its end: a host that is not in it has been taken out
-    ends_with_newline: bool = True  # ends with a newline, as whole text files do
+    complete: bool = True  # read to its end: a host that is not in it has been removed
+    ends_with_newline: bool = True  # as complete text files do
     hosts: list[Host] = field(default_factory=list)
     groups: dict[str, Group] = field(default_factory=dict)
 
     def get_or_add_group(self, name: str, place: Place) -> Group:
-        """A group by its name, made where it is new."""
+        """The group with this name, created if it is new."""
         return self.groups.setdefault(name, Group(name, place))
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A host with everything that is said of it put together: one for each name, or for each CSV line."""
+    """A host with its merged values: one row for each name, or for each line of a CSV file."""
 
     name: str
     place: Place
@@ -97,10 +97,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaRecord:
-    """A worker as the schema has accepted it.
+    """A replica with a valid row.
 
-    `weight` is relative to a worker of the yardstick's speed; `cell` is a whole number from 0 on; `state`
-    is up, draining or removed. Equal records ask for the same treatment, wherever they stand.
+    `weight` is relative to a replica of the reference speed, `cell` counts from 0, and `state` is up,
+    draining or removed. Equal records mean the same, wherever they were read.
     """
 
     name: str
@@ -115,11 +115,11 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The host and port that it listens on."""
         return self.host, self.port
 
     def as_json(self) -> dict[str, Any]:
-        """A plain object, as `check --json` prints it."""
+        """The record as a plain object. Its keys are those of the stored list and of `check --json`."""
         names = ("name", "host", "port", "zone", "kind", "cell", "weight", "state")
         return {name: getattr(self, name) for name in names} | {"labels": dict(self.labels)}
 
@@ -128,18 +128,18 @@
 class Snapshot:
     """All sources at one moment, as far as they could be read.
 
-    `workers` are those whose rows are right, by name. `bad` names hosts that are there but not right, with
-    the reason; `drains` those among them whose row nevertheless says plainly that they drain or are removed.
-    `doubtful` are sources that were not read to their end, and `loose` the addresses of rows whose name
-    could not be made out: an absence that either may explain is no removal.
+    `replicas` are the hosts with valid rows. `invalid_hosts` have rows that are not valid, with the reason;
+    `requested_states` holds the states of those among them that are draining or removed according to their
+    rows. `incomplete_sources` were not read to their end, with the reason; `invalid_row_addresses` are the
+    addresses in rows that are not valid. Either may explain why a host is missing, so it is not removed then.
     """
 
     replicas: dict[str, ReplicaRecord]
-    files: dict[str, tuple[str, ...]] = field(default_factory=dict)  # of each worker, where it stands
+    files: dict[str, tuple[str, ...]] = field(default_factory=dict)  # by host, the files that name it
     invalid_hosts: dict[str, str] = field(default_factory=dict)
     requested_states: dict[str, str] = field(default_factory=dict)
     incomplete_sources: dict[str, str] = field(default_factory=dict)
-    unnamed_addresses: frozenset[tuple[str, int]] = frozenset()
-    unterminated_sources: frozenset[str] = frozenset()  # sources whose last line has no newline
+    invalid_row_addresses: frozenset[tuple[str, int]] = frozenset()
+    unterminated_sources: frozenset[str] = frozenset()  # sources without a final newline
     problems: tuple[Problem, ...] = ()
     fingerprint: str = ""
--- a/lockspoke/inventory/patterns.py
+++ b/lockspoke/inventory/patterns.py
@@ -1,8 +1,7 @@
-"""Ansible's language of host patterns: `lis-1:&gen_c:!w3`, wildcards, `~regex`, `group[0:3]`.
+"""Ansible's host patterns: `lis-1:&gen_c:!w3`, wildcards, `~regex`, `group[0:3]`.
 
-A pattern selects the part of an inventory that a gateway serves. The grammar stands below; lark parses it.
-Terms are put together as Ansible does: first all plain ones, then the intersections, then the exclusions,
-whatever their order; with no plain term, all hosts are taken to begin with.
+A pattern selects the hosts that a gateway serves. As in Ansible, plain terms are combined first, then the
+intersections, then the exclusions, whatever their order; without a plain term, all hosts are the base.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 
 
 class PatternError(ValueError):
-    """A text that is no pattern; `column` (from 1) tells where it breaks."""
+    """A text that is no pattern; `column` counts from 1."""
 
     def __init__(self, text: str, column: int) -> None:
         super().__init__(text)
@@ -40,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """One part of a pattern: `sign` is empty, & or !; `cut` picks from what it matches, in order."""
+    """One term of a pattern: `sign` is empty, & or !; `subscript` selects from the matching hosts."""
 
     sign: str
     text: str
@@ -49,7 +48,7 @@
 
 
 class _TermBuilder(Transformer[Token, Any]):
-    """From the parse tree to terms."""
+    """Builds terms from the parse tree."""
 
     def term(self, parts: list[Any]) -> Term:
         sign = ""
@@ -67,7 +66,7 @@
 
 
 def _parse_subscript(text: str) -> slice | int:
-    """A subscript; both ends of a span count, as in Ansible."""
+    """The index or slice of a subscript; as in Ansible, the end of a slice is included."""
     first, colon, last = text[1:-1].partition(":") if ":" in text else text[1:-1].rpartition("-")
     if not colon or not (first or ":" in text):
         return int(text[1:-1])
@@ -81,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """A pattern that has been read."""
+    """A parsed pattern."""
 
     text: str
     terms: tuple[Term, ...]
@@ -120,7 +119,7 @@
 
 
 def parse_pattern(text: str) -> Pattern:
-    """Read a pattern. Raises PatternError."""
+    """Parse a pattern. Raises PatternError."""
     if len(text) > 4096:
         raise PatternError("the pattern is longer than 4096 characters", 4097)
     try:
--- a/lockspoke/inventory/problems.py
+++ b/lockspoke/inventory/problems.py
@@ -1,4 +1,4 @@
-"""What can be wrong with an inventory: a catalogue of stable codes, and problems that name their place."""
+"""The problems of inventories: the catalogue of their codes, and problems with their places."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 
 class Place(NamedTuple):
-    """Where something stands: a file and, from 1 on, the line and column there (0: the file as a whole)."""
+    """A place in a file: line and column count from 1; both are 0 for the file as a whole."""
 
     file: str
     line: int = 0
     column: int = 0
 
     def __str__(self) -> str:
-        """As compilers write it: file:line:column."""
+        """The place as compilers print it: file:line:column."""
         return ":".join([self.file, *(str(part) for part in (self.line, self.column) if part)])
 
 
 class Severity(Enum):
-    """How far a problem reaches."""
+    """How severe a problem is."""
 
-    ERROR = "error"  # what it concerns is not taken: a host is held back, or a file is not believed
-    WARNING = "warning"  # taken, but probably not what was meant
+    ERROR = "error"  # the host or file concerned is not used
+    WARNING = "warning"  # it is used, but probably not as intended
 
 
 @dataclass(frozen=True, slots=True)
 class Code:
-    """One kind of problem; `ident` never changes its meaning."""
+    """One kind of problem; an `id` never changes its meaning."""
 
     id: str
     name: str
     severity: Severity
-    description: str  # what it means and what becomes of the rows concerned
+    description: str  # what it means and what happens to the rows concerned
 
 
 def _error(ident: str, name: str, says: str) -> Code:
@@ -99,34 +99,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong: where, what, what it clashes with, and what to write instead."""
+    """One problem: its place, a message, what to write instead, and the place that it conflicts with."""
 
     code: Code
     place: Place
     message: str
     suggestion: str = ""
     related_place: Place | None = None
-    host: str = ""  # the worker concerned, where it has a name
+    host: str = ""  # the host concerned, if it has a name
 
     @property
     def severity(self) -> Severity:
-        """As its code says."""
+        """The severity of its code."""
         return self.code.severity
 
     @property
     def is_error(self) -> bool:
-        """Whether something is not taken because of it."""
+        """Whether something is not used because of it."""
         return self.code.severity is Severity.ERROR
 
     def __str__(self) -> str:
-        """What is wrong, what it clashes with, and the mend."""
+        """The message, the related place and the suggestion."""
         related_place = f" (see {self.related_place})" if self.related_place is not None else ""
         suggestion = f"; {self.suggestion}" if self.suggestion else ""
         return f"{self.message}{related_place}{suggestion}"
 
 
 class ProblemCollector:
-    """Collects problems in the order in which they are found, each once."""
+    """Collects problems, each once, in the order in which they are found."""
 
     def __init__(self) -> None:
         self.found: dict[Problem, None] = {}
@@ -140,10 +140,10 @@
         related_place: Place | None = None,
         host: str = "",
     ) -> None:
-        """Note one."""
+        """Add a problem, unless it has been added before."""
         self.found.setdefault(Problem(code, place, message, suggestion, related_place, host))
 
     def sorted(self) -> list[Problem]:
-        """By file, line and column; what holds for all hosts of one range is told once."""
-        told = {(one.place, one.code.id, one.message): one for one in reversed(self.found)}
-        return [told[key] for key in sorted(told)]
+        """All problems by file, line and column; one that all hosts of a range share appears once."""
+        unique = {(one.place, one.code.id, one.message): one for one in reversed(self.found)}
+        return [unique[key] for key in sorted(unique)]
--- a/lockspoke/inventory/ranges.py
+++ b/lockspoke/inventory/ranges.py
@@ -1,4 +1,4 @@
-"""Host ranges as Ansible writes them: `w[01:20]`, `w[10:20:5]`, `w[a:c]`, several in one name."""
+"""Ansible's host ranges: `w[01:20]`, `w[10:20:5]`, `w[a:c]`, also several in one name."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .limits import MAX_HOSTS
 
 _PART = re.compile(r"\[([^\[\]]*)\]")
-_LETTERS = string.ascii_letters  # as Ansible counts: a to z, then A to Z
+_LETTERS = string.ascii_letters  # in the order of Ansible: a to z, then A to Z
 
 
 class RangeError(ValueError):
@@ -17,11 +17,10 @@
 
 
 def expand_range(name: str) -> list[str]:
-    """The hosts that a name stands for, in order; a name without a range stands for itself.
+    """The hosts that a name denotes, in order; a name without a range denotes itself.
 
-    Raises RangeError. Numeric ranges are inclusive, keep the width of a start with leading zeros and may
-    have a step; alphabetic ones run over single letters. As in Ansible's inventory plugins, brackets
-    without a colon are no range.
+    Numeric ranges include their end, keep the width of a start with leading zeros and may have a step;
+    alphabetic ones consist of single letters. Raises RangeError, also for brackets without a colon.
     """
     if "[" not in name and "]" not in name:
         return [name]
--- a/lockspoke/inventory/reconciler.py
+++ b/lockspoke/inventory/reconciler.py
@@ -155,7 +155,7 @@
             if until_ms is not None:
                 self._wake_at(until_ms)
                 return Target.hold(known.record, f"absent, but the last line of {file} is not finished")
-        if known.record.address in snapshot.unnamed_addresses:
+        if known.record.address in snapshot.invalid_row_addresses:
             return Target.hold(known.record, "absent, but a row that can't be read has its address")
         return Target(Action.REMOVE, None, "it is not in the files any more", explicit=False)
 
--- a/lockspoke/inventory/reports.py
+++ b/lockspoke/inventory/reports.py
@@ -1,4 +1,4 @@
-"""Problems for people and for tools: as text with the line they stand on, as JSON, and as SARIF 2.1.0."""
+"""Reports of problems: as text with the lines concerned, as JSON, and as SARIF 2.1.0."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
     texts: Mapping[str, str],
     style: Callable[[str, str], str] = lambda text, _: text,
 ) -> str:
-    """Problems as compilers print them; `texts` holds the files that can be shown, by path.
+    """Problems as compilers print them; `texts` holds the contents of files, by path.
 
-    `style` dresses a text for a terminal; its second argument is error, warning, place or mend.
+    `style` formats a text for a terminal; its second argument is error, warning, place or mend.
     """
     blocks = []
     for problem in problems:
@@ -55,7 +55,7 @@
 
 
 def summary(replica_count: int, problems: Iterable[Problem]) -> str:
-    """One line: how many workers, errors and warnings."""
+    """The numbers of replicas, errors and warnings, in one line."""
     levels = [problem.severity for problem in problems]
     errors, warnings = levels.count(Severity.ERROR), levels.count(Severity.WARNING)
     return (
@@ -68,7 +68,7 @@
 
 
 def problem_json(problem: Problem) -> dict[str, Any]:
-    """One problem as a plain object."""
+    """A problem as a plain object."""
     document: dict[str, Any] = {
         "file": problem.place.file,
         "line": problem.place.line,
@@ -86,7 +86,7 @@
 
 
 def as_json(replicas: Iterable[ReplicaRecord], problems: Iterable[Problem]) -> dict[str, Any]:
-    """What `check --json` prints."""
+    """The output of `check --json`, as a plain object."""
     return {
         "workers": [replica.as_json() for replica in replicas],
         "problems": [problem_json(problem) for problem in problems],
@@ -94,7 +94,7 @@
 
 
 def as_sarif(problems: Iterable[Problem], version: str) -> dict[str, Any]:
-    """A SARIF 2.1.0 log with one run, for code hosts and editors."""
+    """A SARIF 2.1.0 log with one run, as a plain object."""
     idents = list(CODES)
     rules = [
         {
--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -1,4 +1,4 @@
-"""The section `[inventory]` of the edge file, typed, and what it means to the modules here."""
+"""The section `[inventory]` of the edge file, and the policies and options that follow from it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class GuardSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The section `[inventory.guard]`: how far a change of the files may reach at once. Times in seconds."""
+    """The section `[inventory.guard]`: limits for changes of the files. Times are in seconds."""
 
     removed_share: Fraction = 0.3
     removed_least: NonNegativeInt = 3
@@ -38,11 +38,11 @@
 
     paths: list[str]  # files and folders, merged in this order
     form: Literal["", "csv", "yaml", "json", "ini"] = ""
-    select: str = ""  # a host pattern: the part that this gateway serves
-    merge: Literal["strict", "later"] = "strict"  # what holds where two sources differ
-    zones: list[str] = []  # none: those of the gateway's own settings
+    select: str = ""  # a host pattern: the hosts that this gateway serves
+    merge: Literal["strict", "later"] = "strict"  # whether two sources may differ; the later one counts
+    zones: list[str] = []  # empty: the zones of the gateway's own settings
     kinds: dict[str, Weight] = {}  # the weight of each kind
-    names: dict[str, str] = {}  # of columns and variables, the schema's names
+    names: dict[str, str] = {}  # by column or variable, the schema's name
     require: list[str] = []
     port: Port = 0
     lookups: bool = False
@@ -51,15 +51,15 @@
     watch: Literal["notice", "poll"] = "notice"
     poll: Annotated[float, msgspec.Meta(ge=0.01, le=3600.0)] = 1.0
     quiet: Annotated[float, msgspec.Meta(ge=0.0, le=10.0)] = (
-        0.1  # without a write, for a file written in place
+        0.1  # seconds without a write after which a file written in place counts as complete
     )
-    missing: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 1.0  # that a file may be away unremarked
-    inline_kb: NonNegativeInt = 8  # larger inventories are read in a process of their own
-    keep: str = ""  # a folder that lasts, for the last good list and the status
+    missing: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 1.0  # seconds for which a file may be missing
+    inline_kb: NonNegativeInt = 8  # larger inventories are parsed by the parser process
+    keep: str = ""  # a persistent folder for the cached list and the status; empty: none
     guard: GuardSettings = GuardSettings()
 
     def __post_init__(self) -> None:
-        """Check what types do not tell."""
+        """Check what the types don't. Raises ValueError."""
         if not self.paths or not all(self.paths):
             raise ValueError("paths is empty, want at least one file or folder")
         for ours in self.names.values():
@@ -75,7 +75,7 @@
                 raise ValueError(f"select is wrong: {error}") from None
 
     def read_options(self, zones: tuple[str, ...] = ()) -> ReadOptions:
-        """How sources are read; `zones` are the gateway's, for where none are named here."""
+        """How sources are read; `zones` are the gateway's, which count if none are set here."""
         rules = Rules(
             zones=tuple(self.zones) or zones,
             kinds=self.kinds,
@@ -89,7 +89,7 @@
         return ReadOptions(rules, self.form, select, self.merge == "later")
 
     def reconcile_policy(self) -> ReconcilePolicy:
-        """How careful the reconciler is."""
+        """The limits for the reconciler."""
         guard = self.guard
         return ReconcilePolicy(
             removed_share=guard.removed_share,
--- a/lockspoke/inventory/snapshot.py
+++ b/lockspoke/inventory/snapshot.py
@@ -139,13 +139,13 @@
     replicas = {one.row.name: one.record for one in checked if one.record is not None}
     invalid_hosts: dict[str, str] = {}
     requested_states: dict[str, str] = {}
-    unnamed_addresses: set[tuple[str, int]] = set()
+    invalid_row_addresses: set[tuple[str, int]] = set()
     for one in checked:
         if one.record is not None:
             continue
         name = one.row.name
         if one.address is not None:
-            unnamed_addresses.add(one.address)
+            invalid_row_addresses.add(one.address)
         if not name:
             continue
         invalid_hosts[name] = by_host.get(name) or one.reason or "its row is not right"
@@ -163,7 +163,7 @@
         invalid_hosts=invalid_hosts,
         requested_states=requested_states,
         incomplete_sources=incomplete_sources,
-        unnamed_addresses=frozenset(unnamed_addresses),
+        invalid_row_addresses=frozenset(invalid_row_addresses),
         unterminated_sources=frozenset(source.file for source in sources if not source.ends_with_newline),
         problems=tuple(problems.sorted()),
         fingerprint=fingerprint(files),
--- a/lockspoke/inventory/subsystem.py
+++ b/lockspoke/inventory/subsystem.py
@@ -1,4 +1,4 @@
-"""The inventory as a part of the program: the section `[inventory]` feeds the replica set."""
+"""The inventory as a subsystem: with the section `[inventory]` files are the source of the endpoint list."""
 
 from __future__ import annotations
 
@@ -20,55 +20,59 @@
 
 
 def create(settings: InventorySettings, around: SubsystemContext) -> Subsystem:
-    """The inventory."""
+    """Create the subsystem."""
     return InventorySubsystem(settings, around.gateway)
 
 
 class _Source(InventorySource):
-    """The source as the program's interface for one has it."""
+    """The source with the interface that the program has for one."""
 
     def initial_list(self) -> ReplicaListUpdate | None:
-        """The list to begin with."""
+        """The list to begin with. Raises ConfigError where the files give no replica."""
         try:
             return super().initial_list()
         except InventoryError as error:
             raise ConfigError(str(error)) from None
 
     def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
-        """Zones may have other names now."""
+        """Take up the zones of the new configuration."""
         self.zones_changed(config.zones, needs_complete_list)
 
 
 class InventorySubsystem:
-    """The inventory's place in the program."""
+    """Connects the inventory with the program."""
 
     name = "inventory"
-    descriptors = 16  # files, the notice, and the pipes of the helper
+    descriptors = 16  # files, change notifications and the pipes of the parser process
 
     def __init__(self, settings: InventorySettings, gateway: GatewayConfig) -> None:
         self.inventory = _Source(settings, gateway.zones)
         self.endpoint_list_source: EndpointListSource | None = self.inventory
 
     def attach(self, core: Core, clients: ClientFront) -> None:
-        """The source is the core's discovery and has been given it."""
+        """Nothing to do: the program connects the source and the core."""
 
     def start(self) -> None:
-        """The core begins to watch by itself where its list is not asked for; here it is always watched."""
+        """Watch the files, also where the core would not ask for that."""
         self.inventory.watch(True)
 
     def run_periodic_checks(self) -> None:
-        """Nothing stands for long here."""
-
-    def prepare_reload(self, settings: InventorySettings, gateway: GatewayConfig) -> Callable[[], None]:
-        """Everything may change while it runs."""
+        """Nothing to check."""
+
+    def prepare_reload(
+        self,
+        settings: InventorySettings,
+        gateway: GatewayConfig,  # noqa: ARG002 - part of the protocol; zones come by gateway_reconfigured
+    ) -> Callable[[], None]:
+        """Accept any change of the settings."""
         return lambda: self.inventory.reconfigure(settings)
 
     async def drain(self) -> None:
-        """Changes of the list go on to count while calls are open."""
+        """Nothing to wait for: changes of the list count until the last request has ended."""
 
     def stop(self) -> None:
-        """The program closes the source itself."""
+        """Nothing to do: the program closes the source."""
 
     def status(self) -> dict[str, Any]:
-        """As `lockspoke inventory status` shows it."""
+        """The status document of the inventory."""
         return self.inventory.status()
--- a/lockspoke/inventory/writing.py
+++ b/lockspoke/inventory/writing.py
@@ -1,4 +1,4 @@
-"""Workers written in each of the forms that the readers read: what is written reads back the same."""
+"""Writes replicas in each format that can be read; reading the text gives equal records."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def write_inventory(replicas: Iterable[ReplicaRecord], file_format: str) -> str:
-    """The text of an inventory with these workers; `form` is csv, yaml, json or ini."""
+    """The text of an inventory with these replicas; `file_format` is one of FORMATS."""
     return _WRITERS[file_format](list(replicas))
 
 
 def _values(replica: ReplicaRecord) -> dict[str, Any]:
-    """What has to be said of a worker: what is as it is without a word is left out."""
+    """The values of a replica without those that equal their defaults."""
     values: dict[str, Any] = {"host": replica.host, "port": replica.port}
     for name, default in _OPTIONAL.items():
         if (value := getattr(replica, name)) != default:
