--- a/lockspoke/cli/config.py
+++ b/lockspoke/cli/config.py
@@ -1,4 +1,4 @@
-"""`lockspoke config`: whether a gateway's own file and the edge file can be started with."""
+"""`lockspoke config`: checks the gateway's own file, the edge file and the batch file."""
 
 from __future__ import annotations
 
@@ -37,27 +37,31 @@
     if edge is None and batch is None and gateway is None:
         raise click.UsageError("name at least one of --edge, --batch and --gateway", context)
     faults: list[str] = []
-    around: GatewayConfig | None = None
-    if gateway is not None:
-        try:
-            around = read_config({"NODE_CONFIG": str(gateway), "NODE_LISTEN": "127.0.0.1:0"})
-            click.echo(
-                f"{gateway}: classes {', '.join(around.classes)}; zones {', '.join(around.zones) or 'none'}"
-            )
-        except (ConfigError, OSError) as error:
-            faults.append(f"{gateway}: {error}")
+    gateway_config = _check_gateway(gateway, faults) if gateway is not None else None
     for path, read in ((edge, read_edge), (batch, read_batch_file)):
         if path is None:
             continue
         try:
             sections = read(path)
             names = ", ".join(f"[{section.name}]" for section in sections) or "no section"
-            if around is not None:
+            if gateway_config is not None:
                 for section in sections:
-                    section.make(section.settings, SubsystemContext(around, {}, path.parent))
+                    section.make(section.settings, SubsystemContext(gateway_config, {}, path.parent))
             click.echo(f"{path}: {names}")
         except ConfigError as error:
             faults.append(str(error))
     for fault in faults:
         click.echo(fault, err=True)
     return 1 if faults else 0
+
+
+def _check_gateway(path: Path, faults: list[str]) -> GatewayConfig | None:
+    """Read the gateway's own file and print a summary; None, with a fault added, if it is not valid."""
+    try:
+        gateway_config = read_config({"NODE_CONFIG": str(path), "NODE_LISTEN": "127.0.0.1:0"})
+    except (ConfigError, OSError) as error:
+        faults.append(f"{path}: {error}")
+        return None
+    zones = ", ".join(gateway_config.zones) or "none"
+    click.echo(f"{path}: classes {', '.join(gateway_config.classes)}; zones {zones}")
+    return gateway_config
--- a/lockspoke/cli/inventory_compare.py
+++ b/lockspoke/cli/inventory_compare.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import json
-from dataclasses import replace
+from dataclasses import asdict, dataclass, replace
 from pathlib import Path
 from typing import Any
 
@@ -12,16 +12,54 @@
 
 from lockspoke.inventory import reports, store, writing
 from lockspoke.inventory.decisions import Action, Decision, ReconcilePolicy
-from lockspoke.inventory.model import Snapshot
+from lockspoke.inventory.model import ReplicaRecord, Snapshot
 from lockspoke.inventory.reconciler import Reconciler
 
 from .inventory_options import InventoryReader, inventory_reader, paths_argument, reading_options
 from .output import console, print_decisions, source_texts
 
+_SIGN_COLORS = {"+": "green", "-": "red", "~": "cyan"}
 
-def _read_two(old: Path, new: Path, options: dict[str, Any]) -> tuple[InventoryReader, Snapshot, Snapshot]:
+
+@dataclass(frozen=True, slots=True)
+class _Pair:
+    """Two inventories, read with the same options."""
+
+    reader: InventoryReader
+    old: Snapshot
+    new: Snapshot
+
+
+def _read_pair(old: Path, new: Path, options: dict[str, Any]) -> _Pair:
     reader = inventory_reader(paths=(old,), **options)
-    return reader, reader.read((old,)).snapshot, reader.read((new,)).snapshot
+    return _Pair(reader, reader.read((old,)).snapshot, reader.read((new,)).snapshot)
+
+
+@dataclass(frozen=True, slots=True)
+class _Difference:
+    """A host that differs: `sign` is + for a new one, - for a removed one and ~ for a changed one."""
+
+    host: str
+    sign: str
+    changed: dict[str, tuple[Any, Any]]  # by field, the old and the new value
+
+    @classmethod
+    def between(cls, host: str, old: ReplicaRecord | None, new: ReplicaRecord | None) -> _Difference:
+        before, after = old.as_json() if old else {}, new.as_json() if new else {}
+        changed = {
+            key: (before.get(key), after.get(key))
+            for key in before | after
+            if before.get(key) != after.get(key)
+        }
+        sign = "+" if old is None else "-" if new is None else "~"
+        return cls(host, sign, changed)
+
+    def __str__(self) -> str:
+        text = f"{self.sign} {self.host}"
+        if self.sign != "~" or not self.changed:
+            return text
+        changes = (f"{key} {before!r} -> {after!r}" for key, (before, after) in self.changed.items())
+        return f"{text}: {', '.join(changes)}"
 
 
 @click.command()
@@ -38,33 +76,22 @@
     Example:
       lockspoke inventory diff workers.csv workers.yaml
     """
-    _, old_snapshot, new_snapshot = _read_two(old, new, options)
-    rows: list[dict[str, Any]] = []
-    for name in sorted(old_snapshot.replicas.keys() | new_snapshot.replicas.keys()):
-        entry, other = old_snapshot.replicas.get(name), new_snapshot.replicas.get(name)
-        if entry == other:
-            continue
-        left, right = entry.as_json() if entry else {}, other.as_json() if other else {}
-        changed = {
-            key: [left.get(key), right.get(key)] for key in left | right if left.get(key) != right.get(key)
-        }
-        sign = "+" if entry is None else "-" if other is None else "~"
-        rows.append({"host": name, "sign": sign, "changed": changed})
+    pair = _read_pair(old, new, options)
+    before, after = pair.old.replicas, pair.new.replicas
+    hosts = sorted(before.keys() | after.keys())
+    differences = [
+        _Difference.between(host, before.get(host), after.get(host))
+        for host in hosts
+        if before.get(host) != after.get(host)
+    ]
     if as_json:
-        click.echo(json.dumps(rows, indent=2))
-        return 1 if rows else 0
-    out = console()
-    colors = {"+": "green", "-": "red", "~": "cyan"}
-    for row in rows:
-        parts = [
-            f"{key} {was!r} -> {now!r}" for key, (was, now) in row["changed"].items() if row["sign"] == "~"
-        ]
-        text = f"{row['sign']} {row['host']}" + (f": {', '.join(parts)}" if parts else "")
-        out.print(f"[{colors[row['sign']]}]{escape(text)}[/]", soft_wrap=True)
-    click.echo(
-        f"{len(rows)} of {len(old_snapshot.replicas.keys() | new_snapshot.replicas.keys())} workers differ"
-    )
-    return 1 if rows else 0
+        click.echo(json.dumps([asdict(one) for one in differences], indent=2))
+    else:
+        out = console()
+        for one in differences:
+            out.print(f"[{_SIGN_COLORS[one.sign]}]{escape(str(one))}[/]", soft_wrap=True)
+        click.echo(f"{len(differences)} of {len(hosts)} workers differ")
+    return 1 if differences else 0
 
 
 @click.command()
@@ -83,53 +110,47 @@
     Example:
       lockspoke inventory plan workers.csv workers.new.csv
     """
-    reader, old_snapshot, new_snapshot = _read_two(old, new, options)
-    decisions = plan_decisions(
-        reader.settings.reconcile_policy(), old_snapshot, _as_if_in_place_of(new_snapshot, new, old), accept
-    )
-    held = [entry for entry in decisions if entry.action in (Action.HOLD, Action.KEEP_OUT, Action.GUARD)]
+    pair = _read_pair(old, new, options)
+    policy = pair.reader.settings.reconcile_policy()
+    decisions = plan_decisions(policy, pair.old, _as_if_at(old, new, pair.new), accept)
+    held = [one for one in decisions if one.action in (Action.HOLD, Action.KEEP_OUT, Action.GUARD)]
     if as_json:
-        rows = [
-            {"act": entry.action.value, "host": entry.host, "reason": entry.reason} for entry in decisions
-        ]
-        click.echo(json.dumps(rows, indent=2))
+        click.echo(json.dumps([one.as_json() for one in decisions], indent=2))
     else:
         print_decisions(decisions)
         click.echo(f"{len(decisions)} decisions, {len(held)} of them hold something back")
     return 1 if held else 0
 
 
-def _as_if_in_place_of(snapshot: Snapshot, new: Path, old: Path) -> Snapshot:
-    """A snapshot as if its one source stood where the old one stands: NEW takes the place of OLD."""
+def _as_if_at(old: Path, new: Path, snapshot: Snapshot) -> Snapshot:
+    """The snapshot of `new` as if it had been read from `old`, which it is to replace."""
 
-    def name(file: str) -> str:
+    def moved(file: str) -> str:
         if file == str(new):
             return str(old)
         return str(old / Path(file).relative_to(new)) if file.startswith(f"{new}/") else file
 
-    return Snapshot(
-        replicas=snapshot.replicas,
-        files={host: tuple(map(name, files)) for host, files in snapshot.files.items()},
-        invalid_hosts=snapshot.invalid_hosts,
-        requested_states=snapshot.requested_states,
-        incomplete_sources={name(file): why for file, why in snapshot.incomplete_sources.items()},
-        invalid_row_addresses=snapshot.invalid_row_addresses,
-        unterminated_sources=frozenset(map(name, snapshot.unterminated_sources)),
-        problems=snapshot.problems,
-        fingerprint=snapshot.fingerprint,
+    return replace(
+        snapshot,
+        files={host: tuple(map(moved, files)) for host, files in snapshot.files.items()},
+        incomplete_sources={moved(file): reason for file, reason in snapshot.incomplete_sources.items()},
+        unterminated_sources=frozenset(map(moved, snapshot.unterminated_sources)),
     )
 
 
 def plan_decisions(
-    caution: ReconcilePolicy, old_snapshot: Snapshot, new_snapshot: Snapshot, accept: bool
+    policy: ReconcilePolicy, old: Snapshot, new: Snapshot, accept: bool
 ) -> tuple[Decision, ...]:
-    """The decisions that lead from one snapshot to the other, a while later."""
-    # What is compared is taken as done: nobody is writing it any more.
-    reconciler = Reconciler(replace(caution, unfinished_ms=0))
-    reconciler.step(old_snapshot, 0)
+    """The decisions that lead from one snapshot to another one a while later.
+
+    `accept` accepts a mass removal.
+    """
+    # Both files are complete, so a missing newline at the end means nothing.
+    reconciler = Reconciler(replace(policy, unfinished_ms=0))
+    reconciler.step(old, 0)
     if accept:
-        reconciler.accept(new_snapshot.fingerprint)
-    return reconciler.step(new_snapshot, 10 * max(caution.window_ms, caution.flap_half_life_ms)).decisions
+        reconciler.accept(new.fingerprint)
+    return reconciler.step(new, 10 * max(policy.window_ms, policy.flap_half_life_ms)).decisions
 
 
 @click.command()
--- a/lockspoke/cli/inventory_gateway.py
+++ b/lockspoke/cli/inventory_gateway.py
@@ -170,8 +170,6 @@
         line = {
             "workers": len(self.reconciler.known),
             "problems": list(map(reports.problem_json, problems)),
-            "decisions": [
-                {"act": one.action.value, "host": one.host, "reason": one.reason} for one in decisions
-            ],
+            "decisions": [one.as_json() for one in decisions],
         }
         click.echo(json.dumps(line))
--- a/lockspoke/inventory/decision_log.py
+++ b/lockspoke/inventory/decision_log.py
@@ -62,10 +62,14 @@
         return self._recent[-count:]
 
     def _log_decision(self, decision: Decision) -> None:
-        action, host, reason = decision.action.value, decision.host, decision.reason
-        level = _LEVELS.get(decision.action, logging.INFO)
-        log.log(level, "inventory_decision", action=action, host=host, reason=reason)
-        self._recent.append({"at_ms": self._clock_ms(), "act": action, "host": host, "reason": reason})
+        log.log(
+            _LEVELS.get(decision.action, logging.INFO),
+            "inventory_decision",
+            action=decision.action.value,
+            host=decision.host,
+            reason=decision.reason,
+        )
+        self._recent.append({"at_ms": self._clock_ms()} | decision.as_json())
 
 
 def _log_problem(problem: Problem) -> None:
--- a/lockspoke/inventory/decisions.py
+++ b/lockspoke/inventory/decisions.py
@@ -51,6 +51,10 @@
         subject = f" {self.host}" if self.host else ""
         return f"{self.action.value}{subject}: {self.reason}"
 
+    def as_json(self) -> dict[str, str]:
+        """A plain object, as in the status document and the output of the command line."""
+        return {"act": self.action.value, "host": self.host, "reason": self.reason}
+
 
 @dataclass(slots=True)
 class KnownReplica:
