--- a/lockspoke/inventory/csv_reader.py
+++ b/lockspoke/inventory/csv_reader.py
@@ -6,6 +6,7 @@
 import re
 from collections import Counter
 from collections.abc import Iterator, Mapping, Sequence
+from itertools import chain, repeat
 from typing import NamedTuple
 
 from .limits import MAX_HOSTS, MAX_LINE_CHARS, MAX_VALUE_CHARS
@@ -71,9 +72,10 @@
             self.cells[0].startswith("#") and self.columns[0] == 1
         )
 
-    def column(self, index: int) -> int:
-        """The column of a cell; 0 if it isn't known."""
-        return self.columns[index] if index < len(self.columns) else 0
+    @property
+    def padded_columns(self) -> Iterator[int]:
+        """The columns of the cells; 0, without end, for cells whose columns aren't known."""
+        return chain(self.columns, repeat(0))
 
 
 class _CsvReader:
@@ -165,8 +167,8 @@
         header: list[str] = []
         places: dict[str, Place] = {}
         is_usable = True
-        for index, cell in enumerate(record.cells):
-            place = Place(self.source.file, record.line, record.column(index))
+        for cell, column in zip(record.cells, record.padded_columns, strict=False):
+            place = Place(self.source.file, record.line, column)
             name = self._column_name(cell, place)
             if name in places:
                 message = f"columns for {name!r} stand twice"
@@ -196,8 +198,8 @@
     def _read_row(self, record: _Record, header: Sequence[str]) -> None:
         file = self.source.file
         values = {
-            name: Value(cell.strip(), Place(file, record.line, record.column(index)))
-            for index, (name, cell) in enumerate(zip(header, record.cells, strict=False))
+            name: Value(cell.strip(), Place(file, record.line, column))
+            for name, cell, column in zip(header, record.cells, record.padded_columns, strict=False)
             if name
         }
         name = values.pop("name", Value("", Place(file, record.line, 1)))
--- a/lockspoke/inventory/merging.py
+++ b/lockspoke/inventory/merging.py
@@ -103,6 +103,8 @@
 class _HostMerger:
     """Merges what is said of one host."""
 
+    __slots__ = ("graph", "group_vars", "groups", "name", "occurrences", "problems", "rules", "values")
+
     def __init__(
         self,
         name: str,
