--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -1,9 +1,9 @@
-"""What the inventory costs and how soon it acts: `python -m bench.inventory [--removals 500] [--json FILE]`.
+"""Cost and latency of the inventory: `python -m bench.inventory [--removals 500] [--json FILE]`.
 
-Three measurements on loopback, none of them part of CI: removals under load, with the time from the rename
-to the decision and to the last request that came, and requests that came later than the rule allows; reading
-and reconciling at several sizes, with memory; and the longest time for which a gateway with a large list
-answers nothing while one row of it changes.
+Three measurements on loopback, none of them in CI: removals under load, with the times from the rename to the
+decision and to the last request, and the number of requests that came too late; reading and reconciling at
+several sizes, with memory; and the longest time without a response from a gateway with a large list while one
+row of it changes.
 """
 
 from __future__ import annotations
@@ -24,9 +24,10 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.inventory.reading import FileText
-from lockspoke.inventory.snapshot import Reading, take
-from lockspoke.inventory.writing import FORMS, write
+from lockspoke.inventory.parse_cache import ReadOptions
+from lockspoke.inventory.snapshot import take_snapshot
+from lockspoke.inventory.source_file import FileText
+from lockspoke.inventory.writing import FORMATS, write_inventory
 from tests.inventory.test_source import Load, Timed, edge, place, rows
 from tests.standins import Client, Program, until
 
@@ -46,7 +47,7 @@
 
 
 async def removals(count: int, clients: int = 8, fleet_size: int = 22) -> dict[str, Any]:
-    """Take a host out by rename, again and again under load; look at what still comes to it."""
+    """Remove a host by a rename, again and again under load, and count the requests that still reach it."""
     draw = random.Random(7)
     decided: list[float] = []
     last: list[float] = []
@@ -67,22 +68,22 @@
                 wall = time.time()
                 when = place(path, "".join(x for x in text.splitlines(True) if not x.startswith(f"w{out},")))
                 await asyncio.sleep(GRACE + 0.1)
-                found = [one for one in program.logs[mark:] if one.get("act") == "remove"]
+                found = [one for one in program.logs[mark:] if one.get("action") == "remove"]
                 assert [one["host"] for one in found] == [f"w{out}"], found
                 told = datetime.fromisoformat(found[0]["timestamp"]).timestamp()
                 decided.append(told - wall)
                 last.append(max(0.0, fleet[out].times[-1] - when))
                 strays += sum(one > when + GRACE for one in fleet[out].times)
                 place(path, text)
-                # Taken in again before the next one goes: two renames at once would be one change.
-                await until(lambda mark=mark: any(x.get("act") == "add" for x in program.logs[mark:]))  # type: ignore[misc]
+                # Wait until it is added again: two renames at once would be one change.
+                await until(lambda mark=mark: any(x.get("action") == "add" for x in program.logs[mark:]))  # type: ignore[misc]
             await load.end()
             wrong = sum(status != 200 or not whole for status, _, whole in load.statuses)
             return {
                 "removals": count,
-                "workers": fleet_size,
-                "calls": len(load.statuses),
-                "calls_not_served": wrong,
+                "replicas": fleet_size,
+                "requests": len(load.statuses),
+                "requests_not_served": wrong,
                 "stray_requests_after_250_ms": strays,
                 "rename_to_decision": quantiles(decided),
                 "rename_to_last_request": quantiles(last),
@@ -90,7 +91,7 @@
 
 
 def big_rows(count: int, changed: int = -1) -> str:
-    """A CSV of so many hosts at loopback addresses."""
+    """A CSV file with so many hosts at loopback addresses."""
     lines = ["name,host,port,zone,kind,state"]
     for at in range(count):
         state = "draining" if at == changed else "up"
@@ -103,32 +104,33 @@
 READING = """
 import gc, json, sys, time
 from pathlib import Path
-from lockspoke.inventory.files import collect
-from lockspoke.inventory.reconcile import Reconciler
+from lockspoke.inventory.files import read_files
+from lockspoke.inventory.reconciler import Reconciler
 from lockspoke.inventory.schema import Rules
-from lockspoke.inventory.snapshot import Memory, Reading, take
+from lockspoke.inventory.parse_cache import ParseCache, ReadOptions
+from lockspoke.inventory.snapshot import take_snapshot
 
-gc.disable()  # as the helper does, which reads what is large
+gc.disable()  # as in the parser process
 
 def peak():
-    # Not ru_maxrss: what the parent had before it started this process counts there.
+    # Not ru_maxrss: it includes the memory of the parent at the time of the fork.
     lines = Path("/proc/self/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmHWM")) / 1024
 
-reading, memory, reconciler = Reading(Rules(("lis-1",), {"gen-a": 0.7})), Memory(), Reconciler()
+options, cache, reconciler = ReadOptions(Rules(("lis-1",), {"gen-a": 0.7})), ParseCache(), Reconciler()
 before, figures = peak(), {}
 for name, path in (("whole", sys.argv[1]), ("one_row_changed", sys.argv[2])):
     began = time.perf_counter()
-    files = collect([Path(path)])
+    files = read_files([Path(path)])
     files = [type(files[0])("a." + path.rpartition(".")[2], files[0].data)]
-    snapshot = take(files, reading, memory).snapshot
+    snapshot = take_snapshot(files, options, cache).snapshot
     read = time.perf_counter()
     step = reconciler.step(snapshot, 0)
     done = time.perf_counter()
     figures[name] = {
         "read_ms": round((read - began) * 1e3, 1),
         "reconcile_ms": round((done - read) * 1e3, 1),
-        "workers": len(snapshot.workers),
+        "replicas": len(snapshot.replicas),
         "entries": len(step.entries),
     }
 figures["memory_mb"] = round(peak() - before, 1)
@@ -137,14 +139,14 @@
 
 
 def reading(size: int, form: str = "csv", runs: int = 5) -> dict[str, Any]:
-    """Read and reconcile a list of a size, and again with one row changed; each run in a new process."""
+    """Read and reconcile a list, and again with one row changed; each run in a new process."""
     with tempfile.TemporaryDirectory() as name:
         paths = [Path(name, f"a.{form}"), Path(name, f"b.{form}")]
         for path, changed in zip(paths, (-1, size // 2), strict=True):
             text = big_rows(size, changed)
             if form != "csv":
                 files = [FileText("a.csv", text.encode())]
-                text = write(take(files, Reading()).snapshot.workers.values(), form)
+                text = write_inventory(take_snapshot(files, ReadOptions()).snapshot.replicas.values(), form)
             path.write_text(text)
         command = [sys.executable, "-c", READING, *map(str, paths)]
         found = [
@@ -155,13 +157,15 @@
 
 
 async def pauses(size: int, changes: int = 10) -> dict[str, Any]:
-    """The longest time without an answer to `GET /up`, at rest and while one row of many changes."""
+    """The longest time without a response to `GET /up`, at rest and while one row of many changes."""
     with tempfile.TemporaryDirectory() as name:
         path = Path(name, "workers.csv")
         place(path, big_rows(size))
         options = edge(Path(name), **{"kinds.gen-a": 0.7})
         async with Program(options=options) as program, Client(program.port) as client:
-            rest, busy, settled = [], [], []
+            rest: list[float] = []
+            busy: list[float] = []
+            settled: list[float] = []
 
             async def ping(into: list[float], end: Any) -> None:
                 while not end():
@@ -201,7 +205,7 @@
     figures: dict[str, Any] = {"machine": platform.machine(), "python": platform.python_version()}
     if not options.only_removals:
         figures["reading"] = [reading(size) for size in SIZES]
-        figures["reading"] += [reading(SIZES[-1], form) for form in FORMS if form != "csv"]
+        figures["reading"] += [reading(SIZES[-1], form) for form in FORMATS if form != "csv"]
         figures["pauses"] = [asyncio.run(pauses(size)) for size in SIZES]
     if options.removals:
         figures["removals"] = asyncio.run(removals(options.removals))
--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -22,7 +22,7 @@
 from lockspoke.lifecycle.edge_file import read_edge
 from lockspoke.lifecycle.logging_setup import start_logging
 
-from .reading import console
+from .output import console
 
 HEALTH_INTERVAL = 0.1  # seconds between two health updates of a witness
 
--- /dev/null
+++ b/lockspoke/inventory/reconciler.py
@@ -0,0 +1,313 @@
+"""The reconciler: turns snapshots of the files into changes of the replica set, each with its reason.
+
+It does no I/O and has no clock. Hosts are added with caution and taken away promptly: a host that the files
+no longer name, or mark as draining, gets no new request, whatever is wrong with other rows. A host whose own
+row is invalid keeps its last valid state, or stays out if it has none. Two kinds of absence remove no host:
+one that an unfinished file may explain, and one of many hosts at once (see `removal_guard`).
+
+A host is out, up, draining or removed; independently of that it may be held, that is, kept in a state other
+than that in the files, for a reason.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from dataclasses import dataclass, replace
+
+from lockspoke.balancing.events import ReplicaState
+from lockspoke.core.replica_set import ListedReplica
+
+from .address_conflicts import resolve_address_conflicts
+from .decisions import Action, Decision, KnownReplica, ReconcilePolicy, ReconcileResult, Target
+from .flap_damping import FlapDamper
+from .model import ReplicaRecord, Snapshot
+from .removal_guard import PendingRemoval, RemovalGuard
+from .unterminated_sources import UnterminatedSources
+
+FORGET_HALF_LIVES = 8  # half-lives of a flap penalty for which a removed host is remembered
+
+_STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.REMOVED}
+_REMOVED_BY_FILE = "the file says that it is removed"
+
+
+@dataclass(frozen=True, slots=True)
+class _RemovedReplica:
+    """A host that was removed a short time ago."""
+
+    record: ReplicaRecord
+    removed_at_ms: int
+    boot_ms: int
+    explicit: bool  # the files asked for it
+
+
+class Reconciler:
+    """Decides, from one snapshot to the next, how the replica set changes."""
+
+    def __init__(self, policy: ReconcilePolicy | None = None, known: Iterable[KnownReplica] = ()) -> None:
+        self.policy = policy or ReconcilePolicy()
+        self.known: dict[str, KnownReplica] = {one.record.name: one for one in known}
+        self.excluded: dict[str, str] = {}  # hosts that are kept out, with the reason
+        self.started = bool(self.known)
+        self._recently_removed: dict[str, _RemovedReplica] = {}
+        self._guard = RemovalGuard()
+        self._damper = FlapDamper()
+        self._unterminated = UnterminatedSources()
+        self._wake_ms: int | None = None
+        self._decisions: list[Decision] = []
+
+    @property
+    def pending_removal(self) -> PendingRemoval | None:
+        """The mass removal that is held back, if there is one."""
+        return self._guard.pending
+
+    def accept(self, fingerprint: str) -> None:
+        """Allow the mass removal of the snapshot with this fingerprint, for an operator."""
+        self._guard.accept(fingerprint)
+
+    def step(self, snapshot: Snapshot, now_ms: int) -> ReconcileResult:
+        """Reconcile a snapshot, a new one or the same again at a later time.
+
+        A decision that is made again for the same reason is not reported again. Removals and drains come
+        first among the entries, as the replica set may apply them in several batches.
+        """
+        self._wake_ms, self._decisions = None, []
+        self._unterminated.update(snapshot, now_ms, self.policy)
+        self._expire(now_ms)
+        targets, unchanged = self._targets(snapshot, now_ms)
+        self._guard_removals(targets, snapshot.fingerprint, now_ms, unchanged > 0)
+        resolve_address_conflicts(targets, self.known)
+        entries = self._apply_targets(targets, snapshot, now_ms)
+        self.excluded = {name: one.reason for name, one in targets.items() if one.action is Action.KEEP_OUT}
+        self.started = True
+        return ReconcileResult(tuple(entries), tuple(self._decisions), self._wake_ms)
+
+    def entries(self) -> tuple[ListedReplica, ...]:
+        """The complete list, as the replica set should have it now."""
+        return tuple(_entry(known) for known in self.known.values())
+
+    # The target of each host
+
+    def _targets(self, snapshot: Snapshot, now_ms: int) -> tuple[dict[str, Target], int]:
+        """The targets of all hosts that may change, and the number of those that don't."""
+        targets: dict[str, Target] = {}
+        unchanged, known_of, files_of = 0, self.known.get, snapshot.files.get
+        for name, record in snapshot.replicas.items():
+            known = known_of(name)
+            # Most hosts of a large list have not changed, so this case has to be cheap.
+            if (
+                known is not None
+                and not known.hold_reason
+                and (known.record is record or known.record == record)
+            ):
+                unchanged += 1
+                known.record, known.files = record, files_of(name, known.files)
+                continue
+            if (target := self._target_of_listed(name, record, now_ms)) is not None:
+                targets[name] = target
+        if unchanged < len(self.known):
+            for name in self.known:
+                if name not in targets and name not in snapshot.replicas:
+                    targets[name] = self._target_of_absent(name, snapshot, now_ms)
+        for name, reason in snapshot.invalid_hosts.items():
+            is_in = name in self.known or name in snapshot.replicas
+            if not is_in and snapshot.requested_states.get(name) != "removed":
+                targets[name] = Target(Action.KEEP_OUT, None, f"its row is wrong: {reason}")
+        return targets, unchanged
+
+    def _target_of_listed(self, name: str, record: ReplicaRecord, now_ms: int) -> Target | None:
+        """The target of a host with a valid row; None if it is out and stays so."""
+        known = self.known.get(name)
+        if record.state == "removed":
+            return None if known is None else Target(Action.REMOVE, None, _REMOVED_BY_FILE)
+        if known is not None:
+            return self._target_of_changed(name, record, known, now_ms)
+        if self.started and self._is_damped(name, now_ms):
+            return Target(Action.KEEP_OUT, None, "it comes and goes; it stays out until that has calmed down")
+        return Target(Action.ADD, record, "new" if name not in self._recently_removed else "back")
+
+    def _target_of_changed(
+        self, name: str, record: ReplicaRecord, known: KnownReplica, now_ms: int
+    ) -> Target:
+        """The target of a known host with a valid row that differs from its record, or that was held."""
+        if record == known.record:
+            return Target(Action.CHANGE, record, "as before")
+        if record.address != known.record.address:
+            if self._is_damped(name, now_ms):
+                reason = "it moves to and fro; it stays where it was until that has calmed down"
+                return Target.hold(known.record, reason)
+            old, new = (f"{host}:{port}" for host, port in (known.record.address, record.address))
+            return Target(Action.CHANGE, record, f"moves from {old} to {new}")
+        if record.state != known.record.state:
+            action = Action.DRAIN if record.state == "draining" else Action.CHANGE
+            return Target(action, record, f"from {known.record.state} to {record.state}")
+        return Target(Action.CHANGE, record, _describe_difference(known.record, record))
+
+    def _target_of_absent(self, name: str, snapshot: Snapshot, now_ms: int) -> Target:
+        """The target of a known host without a valid row."""
+        known = self.known[name]
+        if name in snapshot.invalid_hosts:
+            return _target_of_invalid(known.record, name, snapshot)
+        for file in known.files:
+            if file in snapshot.incomplete_sources:
+                reason = f"absent, but {file} was not read to its end: {snapshot.incomplete_sources[file]}"
+                return Target.hold(known.record, reason)
+            until_ms = self._unterminated.suspended_until(file, now_ms, self.policy)
+            if until_ms is not None:
+                self._wake_at(until_ms)
+                return Target.hold(known.record, f"absent, but the last line of {file} is not finished")
+        if known.record.address in snapshot.invalid_row_addresses:
+            return Target.hold(known.record, "absent, but a row that can't be read has its address")
+        return Target(Action.REMOVE, None, "it is not in the files any more", explicit=False)
+
+    def _is_damped(self, name: str, now_ms: int) -> bool:
+        until_ms = self._damper.damped_until(name, now_ms, self.policy)
+        if until_ms is not None:
+            self._wake_at(until_ms)
+        return until_ms is not None
+
+    def _guard_removals(
+        self, targets: dict[str, Target], fingerprint: str, now_ms: int, any_unchanged: bool
+    ) -> None:
+        result = self._guard.review(targets, self.known, fingerprint, now_ms, self.policy, any_unchanged)
+        if result.wake_ms is not None:
+            self._wake_at(result.wake_ms)
+        if result.decision is not None:
+            self._decisions.append(result.decision)
+        for name in result.held_hosts:
+            reason = "absent, with too many others"
+            targets[name] = Target(
+                Action.HOLD, self.known[name].record, reason, hold_reason="held by the guard"
+            )
+
+    def _wake_at(self, at_ms: int) -> None:
+        self._wake_ms = at_ms if self._wake_ms is None else min(self._wake_ms, at_ms)
+
+    # Applying the targets
+
+    def _apply_targets(
+        self, targets: dict[str, Target], snapshot: Snapshot, now_ms: int
+    ) -> list[ListedReplica]:
+        """Bring the known replicas to their targets; returns the entries, removals and drains first."""
+        removals: list[ListedReplica] = []
+        others: list[ListedReplica] = []
+        for name, target in targets.items():
+            known = self.known.get(name)
+            if target.record is None:
+                if known is not None:
+                    removals.append(ListedReplica(name, ReplicaState.REMOVED, None))
+                    self._remove(name, known, target, now_ms)
+                elif self.excluded.get(name) != target.reason:
+                    self._decide(target.action, name, target.reason)
+            elif known is None:
+                others.append(self._add(name, target, target.record, snapshot, now_ms))
+            elif self._change(name, known, target, target.record, snapshot, now_ms):
+                (removals if target.record.state == "draining" else others).append(_entry(known))
+        return removals + others
+
+    def _remove(self, name: str, known: KnownReplica, target: Target, now_ms: int) -> None:
+        self._decide(Action.REMOVE, name, target.reason)
+        del self.known[name]
+        self._recently_removed[name] = _RemovedReplica(known.record, now_ms, known.boot_ms, target.explicit)
+        if not target.explicit:
+            self._guard.count_removal(name, now_ms)
+
+    def _add(
+        self, name: str, target: Target, record: ReplicaRecord, snapshot: Snapshot, now_ms: int
+    ) -> ListedReplica:
+        boot_ms = self._boot_time_ms(name, record, now_ms)
+        known = self.known[name] = KnownReplica(record, snapshot.files.get(name, ()), boot_ms)
+        self._recently_removed.pop(name, None)
+        if self.started:
+            self._decide(target.action, name, target.reason)
+        return _entry(known)
+
+    def _change(
+        self,
+        name: str,
+        known: KnownReplica,
+        target: Target,
+        record: ReplicaRecord,
+        snapshot: Snapshot,
+        now_ms: int,
+    ) -> bool:
+        """Bring a known replica to its target; returns whether the replica set has to know."""
+        is_held = target.action is Action.HOLD
+        if not is_held:
+            known.files = snapshot.files.get(name, known.files)
+        elif target.hold_reason and target.hold_reason != known.hold_reason:
+            self._decide(Action.HOLD, name, target.reason)
+        known.hold_reason = target.hold_reason
+        if record == known.record:
+            return False
+        if record.address != known.record.address:
+            self._damper.count(name, now_ms, self.policy)
+            known.boot_ms = now_ms if self.policy.new_is_cold else known.boot_ms
+        before, known.record = known.record, record
+        self._decide(target.action, name, target.reason)
+        return _visible_fields(before) != _visible_fields(record)
+
+    def _boot_time_ms(self, name: str, record: ReplicaRecord, now_ms: int) -> int:
+        """When a host that is added was started, as far as is known; counts its return."""
+        if not self.started:
+            return 0
+        removed = self._recently_removed.get(name)
+        if removed is not None:
+            self._damper.count(name, now_ms, self.policy)
+            if not removed.explicit:
+                self._guard.forget_removal(name)
+            returned_quickly = now_ms - removed.removed_at_ms <= self.policy.blink_ms
+            if returned_quickly and removed.record.address == record.address:
+                return removed.boot_ms
+        return now_ms if self.policy.new_is_cold else 0
+
+    def _expire(self, now_ms: int) -> None:
+        """Forget what is too old to matter."""
+        self._guard.expire(now_ms, self.policy)
+        lifetime_ms = max(self.policy.window_ms, FORGET_HALF_LIVES * self.policy.flap_half_life_ms)
+        for name, removed in list(self._recently_removed.items()):
+            if removed.removed_at_ms < now_ms - lifetime_ms:
+                del self._recently_removed[name]
+        self._damper.expire(now_ms, self.policy)
+
+    def _decide(self, action: Action, host: str, reason: str) -> None:
+        self._decisions.append(Decision(action, host, reason))
+
+
+def _target_of_invalid(record: ReplicaRecord, name: str, snapshot: Snapshot) -> Target:
+    """The target of a known host whose row is invalid."""
+    reason = f"its row is wrong: {snapshot.invalid_hosts[name]}"
+    requested_state = snapshot.requested_states.get(name)
+    if requested_state == "removed":
+        return Target(Action.REMOVE, None, _REMOVED_BY_FILE)
+    if requested_state == "draining" and record.state == "up":
+        # The other values of the row don't matter for a host that is to get nothing more.
+        draining = replace(record, state="draining")
+        return Target(Action.DRAIN, draining, "from up to draining", hold_reason=reason)
+    return Target.hold(record, reason)
+
+
+def _entry(known: KnownReplica) -> ListedReplica:
+    record = known.record
+    return ListedReplica(
+        record.name,
+        _STATES[record.state],
+        record.address,
+        record.zone,
+        record.cell,
+        record.weight,
+        known.boot_ms,
+    )
+
+
+def _visible_fields(record: ReplicaRecord) -> tuple[object, ...]:
+    """What the replica set sees of a record."""
+    return record.address, record.zone, record.cell, record.weight, record.state
+
+
+def _describe_difference(before: ReplicaRecord, after: ReplicaRecord) -> str:
+    parts = []
+    for name in ("zone", "kind", "cell", "weight", "labels"):
+        old, new = getattr(before, name), getattr(after, name)
+        if old != new:
+            parts.append(f"{name} from {old!r} to {new!r}")
+    return ", ".join(parts)
--- a/lockspoke/inventory/store.py
+++ b/lockspoke/inventory/store.py
@@ -1,7 +1,8 @@
-"""The last good list in a file: versioned, checksummed, whole or not there.
+"""The files that a gateway keeps in the folder of the setting `keep`.
 
-A restart amid a half-edited inventory starts from it. What is written is what the replica set was told, not
-what the files said.
+The cached list holds the replicas as the replica set had them last, not as the files described them. It has
+a version and a checksum and is replaced atomically. A restart while the inventory is being edited begins
+with it. The status document is written for operators; the accept file is written by them.
 """
 
 from __future__ import annotations
@@ -10,65 +11,75 @@
 import json
 import os
 from collections.abc import Iterable
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
-from .model import WorkerRecord
-from .reconcile import Known
+from .decisions import KnownReplica
+from .model import ReplicaRecord
 
-NAME = "inventory.last"
+CACHED_LIST_NAME = "inventory.last"
 STATUS_NAME = "inventory.status.json"
 ACCEPT_NAME = "inventory.accept"
-_HEAD = b"lockspoke-inventory 1 "
-LIMIT = 64 * 1024 * 1024
+_HEADER = b"lockspoke-inventory 1 "
+MAX_BYTES = 64 * 1024 * 1024
+MAX_FINGERPRINT_CHARS = 64
 
 
-class KeptError(ValueError):
-    """A kept list that can't be used; the text says why."""
+class CachedListError(ValueError):
+    """A cached list that can't be used; the text says why."""
 
 
-def encode(known: Iterable[Known], fingerprint: str) -> bytes:
-    """A kept list as bytes: a line with the version and a BLAKE2b digest, then JSON."""
+@dataclass(frozen=True, slots=True)
+class CachedList:
+    """The replicas of a cached list, and the fingerprint of the files that they came from."""
+
+    replicas: list[KnownReplica]
+    fingerprint: str
+
+
+def encode(known: Iterable[KnownReplica], fingerprint: str) -> bytes:
+    """A cached list as bytes: a line with the version and a BLAKE2b digest, then JSON."""
     hosts = [
-        one.record.as_json() | {"files": list(one.files), "boot_ms": one.boot_ms, "held": one.held}
+        one.record.as_json() | {"files": list(one.files), "boot_ms": one.boot_ms, "held": one.hold_reason}
         for one in known
     ]
     body = json.dumps({"fingerprint": fingerprint, "hosts": hosts}, separators=(",", ":")).encode()
     digest = hashlib.blake2b(body, digest_size=16).hexdigest().encode()
-    return _HEAD + digest + b"\n" + body
+    return _HEADER + digest + b"\n" + body
 
 
-def decode(data: bytes) -> tuple[list[Known], str]:
-    """A kept list and the fingerprint of the files it was made from. Raises KeptError."""
-    head, newline, body = data.partition(b"\n")
-    if not head.startswith(b"lockspoke-inventory "):
-        raise KeptError("it is no kept inventory")
-    if not head.startswith(_HEAD):
-        raise KeptError(f"its version is not known: {head[:40].decode(errors='replace')!r}")
-    if not newline or head[len(_HEAD) :] != hashlib.blake2b(body, digest_size=16).hexdigest().encode():
-        raise KeptError("its checksum does not hold")
-    raw = json.loads(body)
-    return [_known(host) for host in raw["hosts"]], raw["fingerprint"]
+def decode(data: bytes) -> CachedList:
+    """Read a cached list. Raises CachedListError."""
+    header, newline, body = data.partition(b"\n")
+    if not header.startswith(b"lockspoke-inventory "):
+        raise CachedListError("it is no kept inventory")
+    if not header.startswith(_HEADER):
+        raise CachedListError(f"its version is not known: {header[:40].decode(errors='replace')!r}")
+    if not newline or header[len(_HEADER) :] != hashlib.blake2b(body, digest_size=16).hexdigest().encode():
+        raise CachedListError("its checksum does not hold")
+    document = json.loads(body)
+    return CachedList([_decode_replica(host) for host in document["hosts"]], document["fingerprint"])
 
 
-def _known(raw: dict[str, Any]) -> Known:
-    labels = tuple(sorted(raw["labels"].items()))
+def _decode_replica(fields: dict[str, Any]) -> KnownReplica:
+    labels = tuple(sorted(fields["labels"].items()))
     names = ("name", "host", "port", "zone", "kind", "cell", "weight", "state")
-    record = WorkerRecord(**{name: raw[name] for name in names}, labels=labels)
-    return Known(record, tuple(raw["files"]), raw["boot_ms"], raw["held"])
+    record = ReplicaRecord(**{name: fields[name] for name in names}, labels=labels)
+    return KnownReplica(record, tuple(fields["files"]), fields["boot_ms"], fields["held"])
 
 
-def save(folder: Path, data: bytes, name: str = NAME) -> None:
-    """Put a file in place whole: written beside, synced, renamed, the folder synced. Raises OSError."""
-    beside = folder / f".{name}.{os.getpid()}"
+def write_atomically(folder: Path, data: bytes, name: str = CACHED_LIST_NAME) -> None:
+    """Replace a file atomically and durably, by a synced temporary file beside it. Raises OSError."""
+    temporary = folder / f".{name}.{os.getpid()}"
     try:
-        with beside.open("wb") as file:
+        with temporary.open("wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        beside.replace(folder / name)
+        temporary.replace(folder / name)
     finally:
-        beside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
     handle = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(handle)
@@ -76,13 +87,24 @@
         os.close(handle)
 
 
-def load(folder: Path) -> tuple[list[Known], str] | None:
-    """The kept list of a folder; None where there is none. Raises KeptError and OSError."""
+def load(folder: Path) -> CachedList | None:
+    """The cached list of a folder; None where there is none. Raises CachedListError and OSError."""
     try:
-        with (folder / NAME).open("rb") as file:
-            data = file.read(LIMIT + 1)
+        with (folder / CACHED_LIST_NAME).open("rb") as file:
+            data = file.read(MAX_BYTES + 1)
     except FileNotFoundError:
         return None
-    if len(data) > LIMIT:
-        raise KeptError("it is too large")
+    if len(data) > MAX_BYTES:
+        raise CachedListError("it is too large")
     return decode(data)
+
+
+def take_accepted_fingerprint(folder: Path) -> str:
+    """Read and remove the accept file of a folder; empty where there is none."""
+    path = folder / ACCEPT_NAME
+    try:
+        text = path.read_text()[:MAX_FINGERPRINT_CHARS].strip()
+        path.unlink()
+    except OSError:
+        return ""
+    return text
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -10,7 +10,7 @@
 import json
 import re
 import zlib
-from collections.abc import Callable, MutableMapping
+from collections.abc import Callable, Mapping, MutableMapping
 from pathlib import Path
 from typing import Any
 from unittest import mock
@@ -186,6 +186,17 @@
 
 # Kept inventory
 
+# Events and fields of the log as the recorded files name them, by their names now.
+RECORDED_EVENTS = {
+    "inventory_cache_loaded": "inventory_kept_used",
+    "inventory_cache_unusable": "inventory_kept_unusable",
+}
+RECORDED_FIELDS = {
+    "inventory_cache_loaded": {"replicas": "workers"},
+    "inventory_decision": {"action": "act"},
+    "inventory_read": {"replicas": "workers", "resolved": "mended", "duration_ms": "took_ms"},
+}
+
 _VARYING = (("took_ms", rb"[0-9.]+"), ("pid", rb"[0-9]+"))  # members of the status that no run repeats
 
 
@@ -203,20 +214,32 @@
         source.initial_list()
         source.close()
     status = source.status()
-    log = [{key: 0 if key == "took_ms" else value for key, value in line.items()} for line in logs]
+    log = [
+        {key: 0 if key == "took_ms" else value for key, value in _recorded_line(line).items()}
+        for line in logs
+    ]
     return {"status": status | {"took_ms": 0, "pid": 0}, "log": log}
 
 
+def _recorded_line(line: Mapping[str, Any]) -> dict[str, Any]:
+    """A line of the log with the names that it had at the recording, its fields in the same order."""
+    event = line["event"]
+    fields = RECORDED_FIELDS.get(event, {})
+    assert not fields.values() & line.keys(), "a field has its recorded name still"
+    renamed = {fields.get(key, key): value for key, value in line.items()}
+    return renamed | {"event": RECORDED_EVENTS.get(event, event)}
+
+
 def _kept_files(folder: Path) -> Tree:
     tree = read_tree(folder / KEPT)
-    for name, data in tree.items():
-        if name.endswith(".json"):
-            normalised = data
-            for member, pattern in _VARYING:
-                key = member.encode()
-                normalised = re.sub(rb'"%b": %b' % (key, pattern), b'"%b": 0' % key, normalised)
-            tree[name] = normalised
-    return tree
+    return {name: _normalised(data) if name.endswith(".json") else data for name, data in tree.items()}
+
+
+def _normalised(data: bytes) -> bytes:
+    """A status document with 0 for the members that differ between runs."""
+    for member, pattern in _VARYING:
+        data = re.sub(rb'"%b": %b' % (member.encode(), pattern), b'"%b": 0' % member.encode(), data)
+    return data
 
 
 def write_kept_inventory(folder: Path) -> Tree:
@@ -249,14 +272,14 @@
 def _kept_case() -> Any:
     try:
         kept = inventory_store.load(Path(KEPT))
-    except inventory_store.KeptError as error:
+    except inventory_store.CachedListError as error:
         return f"refused: {error}"
     assert kept is not None
     return {
-        "fingerprint": kept[1],
+        "fingerprint": kept.fingerprint,
         "hosts": [
-            one.record.as_json() | {"files": one.files, "boot_ms": one.boot_ms, "held": one.held}
-            for one in kept[0]
+            one.record.as_json() | {"files": one.files, "boot_ms": one.boot_ms, "held": one.hold_reason}
+            for one in kept.replicas
         ],
     }
 
