--- a/lockspoke/core/actions.py
+++ b/lockspoke/core/actions.py
@@ -10,10 +10,11 @@
 
 from .attempt_lifecycle import AttemptLifecycle
 from .decision_loop import DecisionLoop
-from .interfaces import Clock, Discovery, Transport
+from .interfaces import Clock, Discovery
 from .replica_set import UNKNOWN_VERSION, ReplicaSet
 from .request_lifecycle import RequestLifecycle
 from .totals import RequestOutcome
+from .transport import Transport
 
 log = structlog.get_logger()
 
--- a/lockspoke/core/attempt_lifecycle.py
+++ b/lockspoke/core/attempt_lifecycle.py
@@ -10,11 +10,12 @@
 from lockspoke.balancing.actions import SendAttempt
 from lockspoke.balancing.events import AttemptEnded, Event, FirstToken, Outcome
 
-from .interfaces import Clock, Discovery, Transport
+from .interfaces import Clock, Discovery
 from .replica_set import ReplicaSet
 from .request_lifecycle import RequestLifecycle
 from .requests import Attempt, AttemptStage, ClientRequest, SendPermission
 from .totals import RequestOutcome
+from .transport import Transport
 
 log = structlog.get_logger()
 
--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -21,12 +21,13 @@
 from lockspoke.units import SECOND
 
 from .actions import ActionExecutor
-from .interfaces import Clock, Discovery, Transport
+from .interfaces import Clock, Discovery
 from .replica_set import ReplicaListUpdate, ReplicaSet, ReplicaSetChange
 from .request_lifecycle import RequestLifecycle
 from .requests import Attempt, ClientRequest
 from .stream_supervision import StreamSupervision
 from .totals import RequestOutcome, Totals
+from .transport import Transport
 
 WATCH_RETRY_DELAY = SECOND  # after a failed poll, where the balancer does not schedule the polls
 
--- a/lockspoke/core/interfaces.py
+++ b/lockspoke/core/interfaces.py
@@ -4,13 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Protocol
-
-from lockspoke.balancing.events import Outcome
-
-if TYPE_CHECKING:  # requests.py imports this module
-    from .replica_set import Replica
-    from .requests import Attempt, SendPermission
+from typing import Protocol
 
 
 class TimerHandle(Protocol):
@@ -64,37 +58,6 @@
         """Send an error reply that leaves open whether the request ran."""
 
 
-class AttemptListener(Protocol):
-    """Receives the progress of attempts from the transport."""
-
-    def permission_to_send(self, attempt: Attempt) -> SendPermission:
-        """Whether the first byte may be sent now; asked once the attempt's connection is up."""
-
-    def stream_received(self, attempt: Attempt, data: bytes) -> asyncio.Future[None] | None:
-        """Take a part of the replica's stream. If a future is returned, read no more until it is done."""
-
-    def attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, cached_tokens: int, report: tuple[float, ...]
-    ) -> None:
-        """Record that the attempt has ended, with the load report of its replica."""
-
-
-class Transport(Protocol):
-    """Carries attempts to replicas and reports on each through `Attempt`."""
-
-    def start(self, attempt: Attempt) -> None:
-        """Begin an attempt. Never raises: failures are reported through the attempt."""
-
-    def cancel(self, attempt: Attempt) -> None:
-        """Abandon an attempt: nothing more is reported for it."""
-
-    def has_unread_response(self, attempt: Attempt) -> bool:
-        """Whether bytes of the attempt's response have arrived that are not forwarded yet."""
-
-    def close_idle_connections(self, replica: Replica) -> None:
-        """Close the idle connections to a replica that has moved, restarted or left."""
-
-
 class Discovery(Protocol):
     """The source of the endpoint list."""
 
--- a/lockspoke/core/requests.py
+++ b/lockspoke/core/requests.py
@@ -6,11 +6,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import Protocol
 
 from lockspoke.balancing.events import Outcome
 from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass
 
-from .interfaces import AttemptListener, ResponseWriter, TimerHandle
+from .interfaces import ResponseWriter, TimerHandle
 from .replica_set import Incarnation, Replica
 
 # Outcomes which prove that the replica has not run the request.
@@ -87,6 +88,21 @@
     ENDED = "ended"  # the attempt has ended: report nothing more
 
 
+class AttemptListener(Protocol):
+    """Receives the progress of attempts from the transport."""
+
+    def permission_to_send(self, attempt: Attempt) -> SendPermission:
+        """Whether the first byte may be sent now; asked once the attempt's connection is up."""
+
+    def stream_received(self, attempt: Attempt, data: bytes) -> asyncio.Future[None] | None:
+        """Take a part of the replica's stream. If a future is returned, read no more until it is done."""
+
+    def attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, cached_tokens: int, report: tuple[float, ...]
+    ) -> None:
+        """Record that the attempt has ended, with the load report of its replica."""
+
+
 @dataclass(eq=False, slots=True)
 class Attempt:
     """One attempt of a request at one replica."""
--- a/lockspoke/core/stream_supervision.py
+++ b/lockspoke/core/stream_supervision.py
@@ -10,10 +10,11 @@
 from lockspoke.units import MILLISECOND, SECOND
 
 from .attempt_lifecycle import AttemptLifecycle
-from .interfaces import Clock, Transport
+from .interfaces import Clock
 from .request_lifecycle import RequestLifecycle
 from .requests import Attempt, ClientRequest
 from .totals import RequestOutcome
+from .transport import Transport
 
 CHECK_INTERVAL = SECOND // 4
 # A stream that brings no data for so long has lost its replica.
--- a/lockspoke/wire/clients/connection.py
+++ b/lockspoke/wire/clients/connection.py
@@ -6,10 +6,11 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from lockspoke.core.core import Core
 from lockspoke.core.requests import ClientRequest
 from lockspoke.units import MILLISECOND, SECOND
 from lockspoke.wire.http.encoding import encode_head
@@ -23,9 +24,6 @@
 from .request_fields import RequestFields, decode_request_fields
 from .responses import StreamingResponse, encode_text_response, retry_after_header
 
-if TYPE_CHECKING:
-    from .front import ClientFront
-
 COMPLETIONS_PATH = "/v1/chat/completions"
 READINESS_PATH = "/up"
 METHODS = {COMPLETIONS_PATH: "POST", READINESS_PATH: "GET"}  # the allowed method by path
@@ -47,10 +45,23 @@
     CLOSING = "closing"  # the last response is written; input is discarded until the client closes
 
 
+class ConnectionOwner(Protocol):
+    """The front that a connection belongs to, with what all its connections share."""
+
+    core: Core
+    admission_mode: AdmissionMode
+    classes: Mapping[str, int]  # the index of each request class by its name
+    tenants: Mapping[str, int]  # the index of each tenant by its name
+    open_ids: set[str]  # ids of requests whose response has not ended
+    buffered_bytes: int  # of requests, complete or not, on all connections
+    max_buffered_bytes: int
+    is_ready: Callable[[], bool]
+
+
 class ClientConnection:
     """One client's connection."""
 
-    def __init__(self, front: ClientFront, stream: IOStream) -> None:
+    def __init__(self, front: ConnectionOwner, stream: IOStream) -> None:
         self.front = front
         self.stream = stream
         self.outgoing = OutgoingBuffer(stream)
