--- a/lockspoke/balancing/balancer.py
+++ b/lockspoke/balancing/balancer.py
@@ -106,7 +106,7 @@
         self.began = self.warm_at = 0  # the first event came; all are warm from then on
         self.done = DecayingSum(RATE_MEMORY)  # work that the mean warm replica got done of late
         self.asked = ANSWER_TOKENS  # what the mean request asks of a replica that keeps nothing, in tokens
-        self.out: list[Action] = []
+        self.latest_actions: list[Action] = []
 
     def reconfigure(self, settings: BalancerSettings) -> None:
         """New settings from now on; what is under way keeps the class it came with."""
@@ -114,7 +114,7 @@
 
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Take what has come in at `now`; answer what is to be done at once."""
-        self.now, self.out, self.began = now, [], self.began or now
+        self.now, self.latest_actions, self.began = now, [], self.began or now
         self.armed = self.armed if self.armed > now else _NEVER
         for event in events:
             match event:
@@ -136,7 +136,7 @@
             if request is not None and request.open and not any(a.streaming for a in request.attempts):
                 self._answer(number, request)  # a stream that has begun has no deadline
         if self.ask_at is not None and self.ask_at <= now:
-            self.out.append(
+            self.latest_actions.append(
                 WatchEndpointList(True)
             )  # an answer may never come: asked again before that counts
             self.ask_at = now + self.settings.poll_interval // 2
@@ -144,8 +144,8 @@
         wake = min(wake, now + FULL_PAUSE) if self.waiting else wake  # time alone ends a pause
         if wake < self.armed:
             self.armed = wake
-            self.out.append(SetTimer(wake - now, 0))
-        return self.out
+            self.latest_actions.append(SetTimer(wake - now, 0))
+        return self.latest_actions
 
     def _listed(self, update: EndpointListUpdate) -> None:
         if self.settings.polls_endpoint_list and update.completes_poll:
@@ -271,13 +271,13 @@
             request.kind.deduplication_window - self.now + ran[0].sent_at if ran else 0
         )  # to connect in, too
         request.attempts.append(attempt)
-        self.out.append(SendAttempt(number, replica.number, request.deadline - self.now, left))
+        self.latest_actions.append(SendAttempt(number, replica.number, request.deadline - self.now, left))
         return True
 
     def _answer(self, number: int, request: TrackedRequest) -> None:
         if not request.attempts:
             self.bands.note(self.now, request.arrived.prompt_tokens, sent=False)
-        self.out.append(Fail(number) if request.ran else Reject(number, self._come_back()))
+        self.latest_actions.append(Fail(number) if request.ran else Reject(number, self._come_back()))
         self._close(number, request)
 
     def _come_back(self) -> int:
@@ -337,7 +337,7 @@
             if before is BreakerState.CLOSED and breaker.state is BreakerState.OPEN:
                 # It comes back to a few requests and earns more: all gateways find it empty at once.
                 attempt.replica.limit = FIRST_LIMIT
-                self.out.append(Log(f"breaker open: replica {event.replica}, last {event.outcome.name}"))
+                self.latest_actions.append(Log(f"breaker open: replica {event.replica}, last {event.outcome.name}"))
         breaker.released(attempt)
         if event.request_answered or not request.open:
             self._close(event.request, request)
--- a/lockspoke/core/decision_loop.py
+++ b/lockspoke/core/decision_loop.py
@@ -52,6 +52,6 @@
             log.exception("decisions_failed", given=type(event).__name__)
             self._failed(event)
             # What was decided before the fault is counted as done by then, and so it has to be.
-            actions = self.balancer.out
+            actions = self.balancer.latest_actions
         for action in actions:
             self._carry_out(action)
