--- /dev/null
+++ b/lockspoke/balancing/attempt_results.py
@@ -0,0 +1,123 @@
+"""What first tokens and outcomes of attempts say about replicas: the only place that learns from them."""
+
+from __future__ import annotations
+
+from .breaker import BreakerState
+from .concurrency_control import NEVER, TIMELY_SHARE, ConcurrencyControl
+from .endpoint_list import EndpointList
+from .events import AttemptEnded, FirstToken, Outcome
+from .load_reports import REPORT_LIFETIME
+from .settings import BalancerSettings
+from .slow_start_budget import SlowStartBudget
+from .tracked import ANSWER_TOKENS, TrackedAttempt, TrackedReplica, TrackedRequest
+
+MAX_OPEN_SHARE = 0.5  # of the ready replicas: when more fail, the fault is shared and not theirs
+CONNECTION_FAILURE_WEIGHT = 3  # failures that a failed connection counts for: one gateway of many sees few
+FAILURES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
+CONNECTION_FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET)
+# Utilization that is inferred from latency, where replicas send no load reports:
+UTILIZATION_IF_LATE = 1.0
+UTILIZATION_IF_TIMELY = 0.5
+
+
+class AttemptResults:
+    """Applies the results of attempts to breakers, limits, backoffs, load reports and slow start."""
+
+    def __init__(
+        self,
+        settings: BalancerSettings,
+        endpoints: EndpointList,
+        limits: ConcurrencyControl,
+        budget: SlowStartBudget,
+    ) -> None:
+        self.settings = settings
+        self._endpoints = endpoints
+        self._limits = limits
+        self._budget = budget
+
+    def first_token(
+        self, now: int, request: TrackedRequest, attempt: TrackedAttempt, event: FirstToken
+    ) -> None:
+        """Apply the first token of an attempt in progress."""
+        attempt.streaming = True
+        self._limits.gateway.in_flight -= 1
+        replica = attempt.replica
+        replica.backoff.record_accepted(request.arrived.request_class)
+        for other in request.attempts:
+            if other.outcome is Outcome.INVALID_REQUEST:  # wrongly, as this replica accepts the request
+                other.replica.breaker.record_failure(now, may_open=self._another_may_open())
+        # Reading an uncached prompt takes its time: up to twice the latency is allowed for it.
+        allowance = 1.0 + attempt.uncached_tokens / max(1.0, request.arrived.prompt_tokens)
+        objective_share = event.elapsed / request.latency_objective / allowance
+        self._limits.learn(now, attempt, objective_share)
+        if self.settings.utilization_field is None:
+            is_late = objective_share > TIMELY_SHARE
+            self._update_utilization(now, replica, UTILIZATION_IF_LATE if is_late else UTILIZATION_IF_TIMELY)
+        replica.breaker.record_success(attempt.trial)
+        replica.work_in_flight -= attempt.work - ANSWER_TOKENS  # the prompt is read, the answer goes on
+        attempt.work = ANSWER_TOKENS
+
+    def ended(self, now: int, request: TrackedRequest, attempt: TrackedAttempt, event: AttemptEnded) -> bool:
+        """Apply the outcome of an attempt in progress; return whether it opened a closed breaker."""
+        attempt.outcome = event.outcome
+        replica = attempt.replica
+        is_overloaded = event.outcome is Outcome.OVERLOADED and replica.backoff.record_rejection(
+            now, request.arrived.request_class, event.elapsed
+        )
+        if event.load_report and self.settings.utilization_field is not None:
+            self._apply_load_report(now, replica, event.load_report[self.settings.utilization_field])
+        if not attempt.streaming and (is_overloaded or event.outcome is Outcome.TIMEOUT):
+            self._limits.learn(now, attempt, NEVER)
+        self._release(attempt)
+        has_opened = False
+        if event.outcome is Outcome.OK:
+            replica.breaker.record_success(attempt.trial)
+            read = min(attempt.uncached_tokens, request.arrived.prompt_tokens - event.cached_tokens)
+            self._budget.record_completed(now, replica, read)
+        elif event.outcome in FAILURES:
+            has_opened = self._record_failure(now, replica, event)
+        replica.breaker.release_trial(attempt.trial)
+        return has_opened
+
+    def _release(self, attempt: TrackedAttempt) -> None:
+        """Take an ended attempt out of the counts of what is in flight."""
+        replica = attempt.replica
+        replica.concurrency.in_flight -= 1
+        replica.reported_load.record_in_flight(replica.concurrency.in_flight)
+        replica.work_in_flight -= attempt.work
+        if not attempt.streaming:
+            self._limits.gateway.in_flight -= 1
+
+    def _record_failure(self, now: int, replica: TrackedReplica, event: AttemptEnded) -> bool:
+        """Count a failure; return whether it opened a closed breaker."""
+        breaker, state_before = replica.breaker, replica.breaker.state
+        if event.outcome in CONNECTION_FAILURES and not event.connection_reused:
+            breaker.record_failure(now, may_open=True, weight=CONNECTION_FAILURE_WEIGHT)
+        else:
+            breaker.record_failure(now, may_open=self._another_may_open())
+        if state_before is not BreakerState.CLOSED or breaker.state is not BreakerState.OPEN:
+            return False
+        # All gateways will find it idle at once when it recovers: each begins with few requests.
+        replica.concurrency.reset(limited=True)
+        return True
+
+    def _another_may_open(self) -> bool:
+        """Whether one more breaker may open; a shared slowdown must not open those of the whole fleet."""
+        ready = self._endpoints.ready
+        not_closed = sum([replica.breaker.state is not BreakerState.CLOSED for replica in ready])
+        return not_closed + 1 <= MAX_OPEN_SHARE * len(ready)
+
+    def _apply_load_report(self, now: int, replica: TrackedReplica, utilization: float) -> None:
+        concurrency = replica.concurrency
+        capacity = replica.reported_load.estimate_capacity(utilization, concurrency.in_flight)
+        if now - concurrency.lowered_at > REPORT_LIFETIME:
+            concurrency.raise_to(capacity)
+        self._update_utilization(now, replica, utilization)
+
+    def _update_utilization(self, now: int, replica: TrackedReplica, utilization: float) -> None:
+        replica.reported_load.update(now, utilization)
+        if now >= replica.slow_start.ends_at:
+            replica.kind.record_utilization(utilization)
+        self._endpoints.machine_kinds.estimate_capacity(
+            reports_utilization=self.settings.utilization_field is not None
+        )
--- a/lockspoke/balancing/breaker.py
+++ b/lockspoke/balancing/breaker.py
@@ -1,20 +1,19 @@
-"""A circuit breaker with bounded trials, one for each replica."""
+"""A circuit breaker with one trial at a time; each replica has its own.
+
+Times and durations are integer nanoseconds.
+"""
 
 from __future__ import annotations
 
 from enum import Enum
-from typing import TYPE_CHECKING
 
 from lockspoke.units import SECOND
 
-if TYPE_CHECKING:
-    from .records import TrackedAttempt
-
-FAILURE_THRESHOLD = 5  # the source's figure
-SUCCESS_THRESHOLD = 2  # the source's figure
-RECOVERY = 2 * SECOND  # the source's 60 s outlast most troubles; doubled by each failed trial
-LONGEST_RECOVERY = 16 * SECOND  # a replica that is back is found within this time
-STALE_TRIAL = 30 * SECOND  # the source's figure: a silent trial frees its slot
+FAILURE_THRESHOLD = 5  # consecutive failures that open a closed breaker
+SUCCESS_THRESHOLD = 2  # consecutive successful trials that close a half-open one
+INITIAL_RECOVERY = 2 * SECOND  # most faults are shorter than the customary 60 s; doubled by each failed trial
+MAX_RECOVERY = 16 * SECOND  # a replica that has recovered is found within this time
+TRIAL_TIMEOUT = 30 * SECOND  # a trial without a result frees its slot after this time
 
 
 class BreakerState(Enum):
@@ -25,45 +24,82 @@
     HALF_OPEN = "half-open"
 
 
+class Trial:
+    """An attempt that a half-open breaker lets through. Compared by identity."""
+
+    __slots__ = ("started_at",)
+
+    def __init__(self, started_at: int) -> None:
+        self.started_at = started_at
+
+
 class Breaker:
-    """Closed while a replica answers, open after failures in a row, half-open while it is tried again."""
+    """Closed while a replica answers, open after consecutive failures, half-open while it is tried again."""
+
+    __slots__ = ("failures", "last_failure_at", "recovery", "state", "successes", "trial")
 
     def __init__(self) -> None:
         self.state = BreakerState.CLOSED
-        self.failures = self.successes = self.last_failure = self.trial_at = 0
-        self.recovery = RECOVERY
-        self.trial: TrackedAttempt | None = None
-
-    def look(self, now: int) -> BreakerState:
-        """The state at this moment; time alone half-opens a breaker and frees a stale trial's slot."""
-        if self.state is BreakerState.OPEN and now - self.last_failure >= self.recovery:
-            self.state, self.successes, self.trial = BreakerState.HALF_OPEN, 0, None
-        if self.trial is not None and now - self.trial_at >= STALE_TRIAL:
+        self.failures = 0
+        self.successes = 0
+        self.last_failure_at = 0
+        self.recovery = INITIAL_RECOVERY
+        self.trial: Trial | None = None
+
+    def refresh(self, now: int) -> BreakerState:
+        """Apply the passage of time and return the state.
+
+        An open breaker half-opens after its recovery time; a trial without a result frees its slot.
+        """
+        if self.state is BreakerState.OPEN and now - self.last_failure_at >= self.recovery:
+            self.state = BreakerState.HALF_OPEN
+            self.successes = 0
+            self.trial = None
+        if self.trial is not None and now - self.trial.started_at >= TRIAL_TIMEOUT:
             self.trial = None
         return self.state
 
-    def shut_until(self) -> int:
+    @property
+    def accepts_trial(self) -> bool:
+        """Whether a trial may be sent now."""
+        return self.state is BreakerState.HALF_OPEN and self.trial is None
+
+    @property
+    def half_opens_at(self) -> int:
         """When it half-opens; 0 unless it is open."""
-        return self.last_failure + self.recovery if self.state is BreakerState.OPEN else 0
+        return self.last_failure_at + self.recovery if self.state is BreakerState.OPEN else 0
 
-    def succeeded(self, attempt: TrackedAttempt) -> None:
-        """A first token, or an answer without one. Only a trial's own success counts when not closed."""
+    def begin_trial(self, now: int) -> Trial:
+        """Occupy the trial slot and return the trial, to be passed back with its result."""
+        self.trial = Trial(now)
+        return self.trial
+
+    def record_success(self, trial: Trial | None = None) -> None:
+        """Count a first token, or an answer without one; unless closed, only the current trial's counts."""
         if self.state is BreakerState.CLOSED:
             self.failures = 0
-        elif self.trial is attempt:
-            self.trial, self.successes = None, self.successes + 1
+        elif trial is not None and trial is self.trial:
+            self.trial = None
+            self.successes += 1
             if self.successes >= SUCCESS_THRESHOLD:
-                self.state, self.failures, self.recovery = BreakerState.CLOSED, 0, RECOVERY
+                self._close()
 
-    def failed(self, now: int, may_open: bool, weight: int = 1) -> None:
-        """A counted failure; in any state but closed it opens the breaker and restarts the timer."""
-        self.failures, self.last_failure = self.failures + weight, now
+    def _close(self) -> None:
+        self.state = BreakerState.CLOSED
+        self.failures = 0
+        self.recovery = INITIAL_RECOVERY
+
+    def record_failure(self, now: int, *, may_open: bool, weight: int = 1) -> None:
+        """Count a failure; in any state but closed it opens the breaker and restarts its recovery time."""
+        self.failures += weight
+        self.last_failure_at = now
         if self.state is BreakerState.HALF_OPEN:
-            self.recovery = min(2 * self.recovery, LONGEST_RECOVERY)
+            self.recovery = min(2 * self.recovery, MAX_RECOVERY)
         if self.state is not BreakerState.CLOSED or (self.failures >= FAILURE_THRESHOLD and may_open):
-            self.state, self.trial = BreakerState.OPEN, None
+            self.state = BreakerState.OPEN
+            self.trial = None
 
-    def released(self, attempt: TrackedAttempt) -> None:
-        """The trial ended without a verdict (full, cancelled): its slot is free."""
-        if self.trial is attempt:
+    def release_trial(self, trial: Trial | None) -> None:
+        """Free the slot of a trial that ended without a verdict (overloaded, cancelled)."""
+        if trial is not None and trial is self.trial:
             self.trial = None
--- /dev/null
+++ b/lockspoke/balancing/concurrency_limit.py
@@ -0,0 +1,43 @@
+"""An adaptive limit on the gateway's own requests in flight: at one replica, or at all together."""
+
+from __future__ import annotations
+
+import math
+
+INITIAL_LIMIT = 2.0  # after a start or an open breaker: as many as the trials; never less for the gateway
+MIN_REPLICA_LIMIT = 1.0
+DECREASE_FACTOR = 0.7  # what remains of the limit after a late first token, a time-out or an overload
+
+
+class ConcurrencyLimit:
+    """A count of requests in flight and its limit: additive increase, multiplicative decrease."""
+
+    __slots__ = ("in_flight", "limit", "lowered_at", "minimum")
+
+    def __init__(self, minimum: float = MIN_REPLICA_LIMIT) -> None:
+        self.minimum = minimum
+        self.in_flight = 0
+        self.limit = math.inf  # none until the first sign of overload
+        self.lowered_at = 0
+
+    def has_capacity(self) -> bool:
+        """Whether one more request may be sent."""
+        return self.in_flight < self.limit
+
+    def reset(self, *, limited: bool) -> None:
+        """Begin anew: with a low limit that has to be earned back, or with none."""
+        self.limit = INITIAL_LIMIT if limited else math.inf
+
+    def increase(self, step: float) -> None:
+        """Raise the limit by `step` if it was nearly reached; otherwise its height has not been tested."""
+        if self.in_flight + 1 >= self.limit:
+            self.limit += step
+
+    def decrease(self, now: int) -> None:
+        """Lower the limit below the number in flight."""
+        self.limit = max(self.minimum, DECREASE_FACTOR * min(self.limit, self.in_flight))
+        self.lowered_at = now
+
+    def raise_to(self, capacity: float) -> None:
+        """Raise a limit that is lower than a known capacity."""
+        self.limit = max(self.limit, capacity)
--- /dev/null
+++ b/lockspoke/balancing/prefix_affinity.py
@@ -0,0 +1,86 @@
+"""Which replicas a request should go to because they hold its prefix or session in their cache.
+
+Rendezvous hashing gives all gateways the same preferred replicas without any exchange between them.
+"""
+
+from __future__ import annotations
+
+import math
+from itertools import islice
+
+from .endpoint_list import EndpointList
+from .events import RequestArrived
+from .moving_statistics import RecentKeys
+from .settings import BalancerSettings
+from .tracked import TrackedReplica
+from .weighted_sampling import SAMPLE_SIZE, WeightedSampler, local_zone_weight
+
+MAX_PREFIX_SHARE = 0.5  # of a mean replica's requests: as many as one prefix may bring to one replica
+MAX_CACHED_RANKINGS = 512
+RECENT_REQUESTS = 256  # over which a prefix's share is taken: there may be hundreds of prefixes
+MIN_REQUESTS_FOR_SHARE = 16  # of a few requests, one says nothing about a prefix's share
+
+_HASH_FACTOR = 0xD6E8FEB86659FD93
+_NUMBER_FACTOR = 0x9E3779B97F4A7C15
+_MASK = (1 << 64) - 1
+
+
+def rendezvous_score(replica: TrackedReplica, key: int) -> float:
+    """Return the replica's score for a key; the replica with the least score holds the key.
+
+    Scores are exponentially distributed: each replica is first in proportion to its listed capacity.
+    """
+    mixed = ((key ^ (replica.number * _NUMBER_FACTOR)) * _HASH_FACTOR) & _MASK
+    mixed = ((mixed ^ (mixed >> 32)) * _HASH_FACTOR) & _MASK
+    return -math.log(((mixed >> 11) + 1) / (1 << 53)) / replica.max_listed_capacity
+
+
+class PrefixAffinity:
+    """Finds the preferred replicas of a request: more of them the more requests share its prefix."""
+
+    def __init__(self, settings: BalancerSettings, endpoints: EndpointList, sampler: WeightedSampler) -> None:
+        self.settings = settings
+        self._endpoints = endpoints
+        self._sampler = sampler
+        self._recent = RecentKeys(RECENT_REQUESTS)
+        self._rankings: dict[int, list[TrackedReplica]] = {}  # by prefix or session
+
+    def record_request(self, arrived: RequestArrived) -> int:
+        """Count a request's key; return how many recent requests are counted."""
+        self._recent.add(arrived.prefix or arrived.session)
+        return len(self._recent)
+
+    def clear_rankings(self) -> None:
+        """Drop the cached rankings after a change of the ready replicas."""
+        self._rankings.clear()
+
+    def preferred_replicas(
+        self, arrived: RequestArrived, candidates: list[TrackedReplica]
+    ) -> list[TrackedReplica]:
+        """Return up to `SAMPLE_SIZE` of the candidates that hold the request's prefix.
+
+        For a session they are the same at all gateways of a zone: its next request may come to any of them.
+        """
+        key = arrived.prefix or arrived.session
+        share = self._recent.share(key, MIN_REQUESTS_FOR_SHARE)
+        count = 1 + int(share * len(candidates) / MAX_PREFIX_SHARE)
+        holders = list(islice((replica for replica in self.ranking(key) if replica in candidates), count))
+        if not arrived.session:
+            return self._sampler.sample(holders)
+        zone, local_weight = self.settings.zone, local_zone_weight(self.settings)
+        holders.sort(
+            key=lambda replica: (
+                rendezvous_score(replica, arrived.session) / (local_weight if replica.zone == zone else 1.0)
+            )
+        )
+        return holders[:SAMPLE_SIZE]
+
+    def ranking(self, key: int) -> list[TrackedReplica]:
+        """Return the ready replicas in the order in which they should hold a key."""
+        ranking = self._rankings.get(key)
+        if ranking is None:
+            if len(self._rankings) >= MAX_CACHED_RANKINGS:
+                self._rankings.clear()
+            ranking = sorted(self._endpoints.ready, key=lambda replica: rendezvous_score(replica, key))
+            self._rankings[key] = ranking
+        return ranking
--- /dev/null
+++ b/lockspoke/balancing/replica_selection.py
@@ -0,0 +1,187 @@
+"""The choice of the replica for a request's next attempt.
+
+Work and cost are counted in tokens. A half-open replica that lacks a trial comes first; otherwise the
+request goes to the candidate of least cost in a small sample.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from lockspoke.units import SECOND
+
+from .breaker import BreakerState
+from .concurrency_limit import ConcurrencyLimit
+from .endpoint_list import EndpointList
+from .events import Outcome, RequestArrived
+from .load_reports import TARGET_UTILIZATION
+from .prefix_affinity import PrefixAffinity
+from .settings import BalancerSettings, DeduplicationScope, Idempotency
+from .slow_start_budget import SlowStartBudget
+from .tracked import ANSWER_TOKENS, TrackedAttempt, TrackedReplica, TrackedRequest
+from .weighted_sampling import WeightedSampler
+
+UNCACHED_TOKEN_COST = 4.0  # an uncached token read here also displaces cached ones of later requests
+CROSS_ZONE_TOKENS = 200_000.0  # times the price of crossing zones: the load worth avoiding a crossing
+REPORT_HALF_LIFE = 10 * SECOND  # a replica's own report fades into the mean of its machine kind
+
+
+class Selection(NamedTuple):
+    """The replica for the next attempt, or none; then, whether one may have capacity later."""
+
+    replica: TrackedReplica | None
+    may_wait: bool = False
+
+
+class _Candidates(NamedTuple):
+    trial: TrackedReplica | None  # a half-open replica that accepts a trial
+    closed: list[TrackedReplica]  # replicas with a closed breaker and capacity
+    any_busy: bool  # further replicas could take the request but have no capacity
+
+
+class ReplicaSelector:
+    """Selects replicas; remembers the last winner as a candidate for the next request."""
+
+    def __init__(
+        self,
+        settings: BalancerSettings,
+        endpoints: EndpointList,
+        budget: SlowStartBudget,
+        sampler: WeightedSampler,
+        affinity: PrefixAffinity,
+        gateway_limit: ConcurrencyLimit,
+    ) -> None:
+        self.settings = settings
+        self._endpoints = endpoints
+        self._budget = budget
+        self._sampler = sampler
+        self._affinity = affinity
+        self._gateway_limit = gateway_limit
+        self._last_winner: TrackedReplica | None = None
+
+    def select(self, now: int, request: TrackedRequest) -> Selection:
+        """Select the replica for the next attempt; breakers must have been refreshed at `now`."""
+        if request.attempts and not self._may_repeat(now, request):
+            return Selection(None)
+        candidates = self._find_candidates(now, request)
+        if candidates.trial is not None:
+            return Selection(candidates.trial)
+        closed = candidates.closed
+        if not closed or not self._gateway_limit.has_capacity():
+            return Selection(None, may_wait=candidates.any_busy or bool(closed))
+        self._last_winner = self._select_warming_up(now, closed) or self._select_sampled(now, request, closed)
+        return Selection(self._last_winner)
+
+    def _may_repeat(self, now: int, request: TrackedRequest) -> bool:
+        """Whether a further attempt is allowed at any replica at all."""
+        if not self.settings.hedging_allowed and request.has_attempt_in_progress:
+            return False
+        request_class, may_have_run = request.request_class, request.attempts_that_may_have_run
+        if request_class.idempotency is Idempotency.IDEMPOTENT or not may_have_run:
+            return True
+        if request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
+            return False
+        return now - may_have_run[0].sent_at < request_class.deduplication_window
+
+    def _find_candidates(self, now: int, request: TrackedRequest) -> _Candidates:
+        request_class = request.arrived.request_class
+        work = request.arrived.prompt_tokens + ANSWER_TOKENS
+        closed: list[TrackedReplica] = []
+        any_busy = False
+        for replica in self._eligible_replicas(request):
+            breaker = replica.breaker
+            if breaker.state is BreakerState.OPEN:
+                continue
+            backoff = replica.backoff
+            if now < backoff.class_until.get(request_class, 0):
+                any_busy = True
+                continue
+            if now < replica.slow_start.ends_at and not self._budget.allows(now, replica, work):
+                continue
+            if breaker.state is BreakerState.HALF_OPEN:
+                # An overloaded replica frees its slot at once: without backoff it would get all requests.
+                if breaker.trial is None and now >= backoff.until:
+                    return _Candidates(replica, closed, any_busy)
+            elif replica.has_capacity(now):
+                closed.append(replica)
+            else:
+                any_busy = True
+        return _Candidates(None, closed, any_busy)
+
+    def _eligible_replicas(self, request: TrackedRequest) -> list[TrackedReplica]:
+        """Return the ready replicas that the request's earlier attempts do not rule out."""
+        ready = self._endpoints.ready
+        if not request.attempts:
+            return ready
+        # Even one that was not reached is not tried again: an unreachable replica looks idle and would win.
+        tried = [a.replica for a in request.attempts if a.outcome is not Outcome.OVERLOADED]
+        runs: list[TrackedAttempt] = []
+        if request.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+            runs = request.attempts_that_may_have_run
+        scope = request.request_class.deduplication_scope
+        return [replica for replica in ready if replica not in tried and _deduplicates(scope, replica, runs)]
+
+    def _select_warming_up(self, now: int, closed: list[TrackedReplica]) -> TrackedReplica | None:
+        """Return the least loaded replica in slow start; none where all are warm.
+
+        A sample would find one too seldom to use its budget, while the others carry its load.
+        """
+        if now >= self._endpoints.slow_starts_end_at:
+            return None
+        warming_up = [replica for replica in closed if now < replica.slow_start.ends_at]
+        if not warming_up:
+            return None
+        return min(
+            warming_up,
+            key=lambda r: r.concurrency.in_flight / r.slow_start.capacity_share(now, self.settings),
+        )
+
+    def _select_sampled(
+        self, now: int, request: TrackedRequest, closed: list[TrackedReplica]
+    ) -> TrackedReplica:
+        sample = self._sampler.sample(closed)
+        if self._last_winner is not None and self._last_winner in closed:
+            sample.append(self._last_winner)
+        arrived = request.arrived
+        if arrived.session or arrived.prefix:
+            sample += self._cache_holders(arrived, closed)
+        mean_capacity = sum([replica.capacity for replica in closed]) / len(closed)
+        return min(sample, key=lambda replica: self._cost(now, replica, arrived, mean_capacity))
+
+    def _cache_holders(self, arrived: RequestArrived, closed: list[TrackedReplica]) -> list[TrackedReplica]:
+        """Return the replicas that should hold the prompt, and the one known to hold most of it."""
+        preferred = self._affinity.preferred_replicas(arrived, closed)
+        for replica in preferred:
+            replica.cached.setdefault(
+                arrived.prefix, arrived.prefix_tokens
+            )  # other gateways have sent it there
+        return [*preferred, min(closed, key=lambda replica: replica.work_for(arrived))]
+
+    def _cost(
+        self, now: int, replica: TrackedReplica, arrived: RequestArrived, mean_capacity: float
+    ) -> float:
+        """Return the load that the request waits for and the work it takes, in tokens of a mean replica.
+
+        Own work in flight stands for that of all gateways; a fully utilized replica counts as having one
+        more own request.
+        """
+        settings = self.settings
+        capacity = replica.capacity / mean_capacity * replica.slow_start.capacity_share(now, settings)
+        report, kind_mean = replica.reported_load, replica.kind.mean_utilization
+        freshness: float = 0.5 ** ((now - report.updated_at) / REPORT_HALF_LIFE)
+        utilization = kind_mean + (report.utilization - kind_mean) * freshness
+        excess = max(0.0, utilization - TARGET_UTILIZATION)
+        load = replica.work_in_flight / capacity + ANSWER_TOKENS * excess / (1.0 - TARGET_UTILIZATION)
+        cost = load * settings.gateway_count + UNCACHED_TOKEN_COST * replica.work_for(arrived)
+        if replica.zone != settings.zone:
+            cost += settings.cross_zone_cost * CROSS_ZONE_TOKENS
+        return cost
+
+
+def _deduplicates(scope: DeduplicationScope, replica: TrackedReplica, runs: list[TrackedAttempt]) -> bool:
+    """Whether the replica discards a repeat of each of these attempts."""
+    if scope is DeduplicationScope.ZONE:
+        return all(run.replica.zone == replica.zone for run in runs)
+    if scope is DeduplicationScope.CELL:
+        return all(run.replica.cell == replica.cell for run in runs)
+    return True
--- /dev/null
+++ b/lockspoke/balancing/tracked.py
@@ -0,0 +1,168 @@
+"""The balancer's records of replicas, requests and attempts: state without decisions.
+
+Times are integer nanoseconds; work is counted in tokens.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+
+from .breaker import Breaker, Trial
+from .concurrency_limit import ConcurrencyLimit
+from .events import Outcome, ReplicaState, RequestArrived
+from .load_reports import MachineKind, ReportedLoad
+from .overload_backoff import OverloadBackoff
+from .settings import BalancerSettings, RequestClass
+from .slow_start import SlowStart
+
+ANSWER_TOKENS = 200.0  # an answer costs a replica about as much as reading a prompt of this length
+MAX_CACHED_KEYS = 2048  # sessions and prefixes remembered per replica; more than its memory can hold
+MIN_CAPACITY = 1e-9
+NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
+
+
+class TrackedReplica:
+    """One replica as this gateway knows it."""
+
+    __slots__ = (
+        "backoff",
+        "breaker",
+        "cached",
+        "cell",
+        "concurrency",
+        "kind",
+        "listed_capacity",
+        "max_listed_capacity",
+        "number",
+        "reported_load",
+        "slow_start",
+        "state",
+        "state_changed_at",
+        "work_in_flight",
+        "zone",
+    )
+
+    def __init__(self, number: int) -> None:
+        self.number = number
+        self.state = ReplicaState.REMOVED
+        self.state_changed_at = 0  # when the endpoint list last named it, or ceased to
+        self.zone = 0
+        self.cell = 0
+        self.kind = MachineKind()
+        self.listed_capacity = 1.0
+        self.max_listed_capacity = MIN_CAPACITY  # live weights sink with the load: the greatest one counts
+        self.breaker = Breaker()
+        self.concurrency = ConcurrencyLimit()
+        self.backoff = OverloadBackoff()
+        self.slow_start = SlowStart()
+        self.reported_load = ReportedLoad()
+        self.work_in_flight = 0.0  # own tokens: prompts to be read, and answers
+        self.cached: OrderedDict[int, float] = OrderedDict()  # prompt tokens by session or prefix
+
+    @property
+    def capacity(self) -> float:
+        """Its capacity when it is warm, in the unit of the endpoint list's weights."""
+        return self.listed_capacity * self.kind.capacity_factor
+
+    def has_capacity(self, now: int) -> bool:
+        """Whether its backoff and its concurrency limit let one more request through."""
+        concurrency = self.concurrency
+        return concurrency.in_flight < concurrency.limit and now >= self.backoff.until
+
+    def uncached_tokens(self, arrived: RequestArrived) -> float:
+        """Return the prompt tokens that the replica would have to read, as far as own sends tell."""
+        prefix = self.cached.get(arrived.prefix, 0.0)
+        prefix = min(prefix, arrived.prefix_tokens)
+        session = self.cached.get(arrived.session, 0.0)
+        tokens = arrived.prompt_tokens - (session if session > prefix else prefix)
+        return tokens if tokens > 0.0 else 0.0
+
+    def work_for(self, arrived: RequestArrived) -> float:
+        """Return the work of a request at this replica, in tokens: the uncached prompt and the answer."""
+        return self.uncached_tokens(arrived) + ANSWER_TOKENS
+
+    def record_send(self, arrived: RequestArrived, work: float) -> None:
+        """Count a request sent, and remember what it leaves in the cache; the oldest keys are dropped."""
+        self.concurrency.in_flight += 1
+        self.work_in_flight += work
+        added = ((arrived.prefix, arrived.prefix_tokens), (arrived.session, arrived.prompt_tokens))
+        for key, tokens in added:
+            if key:
+                self.cached[key] = tokens
+                self.cached.move_to_end(key)
+        while len(self.cached) > MAX_CACHED_KEYS:
+            self.cached.popitem(last=False)
+
+    def restart(self, now: int, started_at: int, settings: BalancerSettings) -> None:
+        """Reset what belonged to the replica's former process: failures, cache and concurrency limit."""
+        self.slow_start.begin(started_at, settings.slow_start_duration)
+        self.breaker = Breaker()
+        self.cached.clear()
+        self.concurrency.reset(limited=self.slow_start.in_progress(now))
+
+
+class TrackedAttempt:
+    """One attempt of a request."""
+
+    __slots__ = ("outcome", "replica", "sent_at", "streaming", "trial", "uncached_tokens", "work")
+
+    def __init__(
+        self, replica: TrackedReplica, sent_at: int, uncached_tokens: float, trial: Trial | None = None
+    ) -> None:
+        self.replica = replica
+        self.sent_at = sent_at
+        self.uncached_tokens = uncached_tokens  # prompt tokens that the replica was expected to read
+        self.work = uncached_tokens + ANSWER_TOKENS  # what remains of it, in tokens
+        self.trial = trial
+        self.outcome: Outcome | None = None  # None while it is in progress
+        self.streaming = False
+
+    @property
+    def in_progress(self) -> bool:
+        """Whether its outcome has not arrived."""
+        return self.outcome is None
+
+    @property
+    def may_have_run(self) -> bool:
+        """Whether it may have had an effect; false where its outcome proves that it never ran."""
+        return self.outcome not in NEVER_RAN
+
+
+class TrackedRequest:
+    """One request, until it has its final answer and the outcomes of all its attempts."""
+
+    __slots__ = (
+        "arrived",
+        "arrived_at",
+        "attempts",
+        "deadline",
+        "is_open",
+        "latency_objective",
+        "request_class",
+    )
+
+    def __init__(self, arrived: RequestArrived, now: int, request_class: RequestClass) -> None:
+        self.arrived = arrived
+        self.request_class = request_class
+        self.arrived_at = now
+        self.deadline = now + arrived.time_remaining
+        self.latency_objective = request_class.latency_objective + int(
+            request_class.latency_objective_per_token * arrived.prompt_tokens
+        )
+        self.attempts: list[TrackedAttempt] = []
+        self.is_open = True  # it has no final answer yet
+
+    @property
+    def attempts_that_may_have_run(self) -> list[TrackedAttempt]:
+        """Its attempts that may have had an effect, including those in progress."""
+        return [attempt for attempt in self.attempts if attempt.may_have_run]
+
+    @property
+    def has_attempt_in_progress(self) -> bool:
+        """Whether the outcome of any attempt is outstanding."""
+        return any(attempt.outcome is None for attempt in self.attempts)
+
+    @property
+    def is_streaming(self) -> bool:
+        """Whether an attempt in progress has begun its answer."""
+        return any(attempt.streaming and attempt.outcome is None for attempt in self.attempts)
--- a/tests/balancing/test_cold_sum.py
+++ b/tests/balancing/test_cold_sum.py
@@ -18,7 +18,6 @@
 
 from lockspoke.balancing import Balancer
 from lockspoke.balancing.actions import Action, SendAttempt
-from lockspoke.balancing.balancer import ANSWER_TOKENS
 from lockspoke.balancing.events import (
     AttemptEnded,
     EndpointListKind,
@@ -28,6 +27,7 @@
     Outcome,
     RequestArrived,
 )
+from lockspoke.balancing.tracked import ANSWER_TOKENS
 from tests.balancing.helpers import MS, SECOND, ready, settings
 
 REPLICAS = range(1, 21)
--- a/tests/balancing/test_records.py
+++ b/tests/balancing/test_moving_statistics.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lockspoke.balancing.records import MOST_HALF_LIVES, DecayingSum, PromptBands, Recent
+from lockspoke.balancing.moving_statistics import MAX_AGE_IN_HALF_LIVES, DecayingSum, PromptBands, RecentKeys
 from tests.balancing.helpers import SECOND
 
 
@@ -27,33 +27,33 @@
     bands = PromptBands(30 * SECOND)
     assert bands.share_sent() == bands.share_sent(900.0) == 1.0, "none is known"
     for number in range(10):
-        bands.note(number, 900.0, sent=True)
-        bands.note(number, 9_000.0, sent=number < 2)
+        bands.record(number, 900.0, sent=True)
+        bands.record(number, 9_000.0, sent=number < 2)
     assert bands.share_sent(1_000.0) == 1.0, "of about the same length"
     assert bands.share_sent(8_500.0) == pytest.approx(0.2)
     assert bands.share_sent(100.0) == 1.0
     assert bands.share_sent() == pytest.approx(0.6)
 
 
-@pytest.mark.parametrize("gap", [60 * SECOND, (MOST_HALF_LIVES + 1) * 30 * SECOND, 10**7 * SECOND])
+@pytest.mark.parametrize("gap", [60 * SECOND, (MAX_AGE_IN_HALF_LIVES + 1) * 30 * SECOND, 10**7 * SECOND])
 def test_bands_forget_what_is_long_past_however_long(gap: int) -> None:
     bands = PromptBands(30 * SECOND)
     for _ in range(8):
-        bands.note(SECOND, 900.0, sent=False)
+        bands.record(SECOND, 900.0, sent=False)
     for _ in range(8):
-        bands.note(SECOND + gap, 900.0, sent=True)
+        bands.record(SECOND + gap, 900.0, sent=True)
     assert bands.share_sent(900.0) == pytest.approx(8 / (8 + 8 * 0.5 ** (gap / (30 * SECOND))))
 
 
 def test_bands_keep_their_shares_when_their_weights_begin_anew() -> None:
     bands = PromptBands(30 * SECOND)
-    for second in range(0, 3 * MOST_HALF_LIVES * 30, 10):
-        bands.note(second * SECOND, 900.0, sent=second % 20 == 0)
+    for second in range(0, 3 * MAX_AGE_IN_HALF_LIVES * 30, 10):
+        bands.record(second * SECOND, 900.0, sent=second % 20 == 0)
     assert bands.share_sent(900.0) == pytest.approx(0.5, abs=0.1)
 
 
 def test_keys_share_among_the_latest_requests_and_few_are_judged_as_more() -> None:
-    recent = Recent(4)
+    recent = RecentKeys(4)
     recent.add(7)
     assert recent.share(7, at_least=16) == pytest.approx(1 / 16)
     for key in (7, 8, 9, 8):
--- a/tests/balancing/test_pick.py
+++ b/tests/balancing/test_pick.py
@@ -9,7 +9,6 @@
 import pytest
 
 from lockspoke.balancing.actions import SendAttempt, WatchEndpointList
-from lockspoke.balancing.balancer import FULL_PAUSE
 from lockspoke.balancing.breaker import BreakerState
 from lockspoke.balancing.events import (
     EndpointListEntry,
@@ -18,6 +17,7 @@
     Outcome,
     RequestArrived,
 )
+from lockspoke.balancing.overload_backoff import OVERLOAD_BACKOFF
 from lockspoke.balancing.settings import Tenant
 from tests.balancing.helpers import MS, SECOND, Call, World, ready, settings
 
@@ -204,7 +204,7 @@
     """A jam outlasts its cause when everything is sent on: held back, requests are served in time."""
     world = World(replicas=(1, 2))
     jammed(world)
-    assert all(r.in_flight >= r.limit for r in world.balancer.replicas.values())
+    assert all(r.concurrency.in_flight >= r.concurrency.limit for r in world.balancer.replicas.values())
     for number in (101, 102, 103):
         assert not world.sent_to(world.arrive(number))
         world.pass_time(10 * MS)
@@ -273,7 +273,7 @@
     replica = world.balancer.replicas[1]
     for number in range(1, 41):
         world.end(number, Outcome.OK)
-    before, fed = replica.limit, 0
+    before, fed = replica.concurrency.limit, 0
     for number in range(200, 300):
         world.arrive(number)
         world.pass_time(MS)
@@ -281,10 +281,10 @@
         for request, attempt in fresh:
             world.first_token(request, attempt)
             fed += 1
-        if len(world.out()) >= int(replica.limit):
+        if len(world.out()) >= int(replica.concurrency.limit):
             world.end(world.out()[0][0], Outcome.OK)
     assert fed > 40
-    assert replica.limit >= before + 5
+    assert replica.concurrency.limit >= before + 5
 
 
 def test_a_full_replica_rests_and_what_waits_is_taken_up_by_time_alone() -> None:
@@ -292,7 +292,7 @@
     world = World(replicas=(1,))
     world.arrive(1)
     assert not world.sent_to(world.end(1, Outcome.OVERLOADED))
-    world.pass_time(FULL_PAUSE + MS)
+    world.pass_time(OVERLOAD_BACKOFF + MS)
     assert len(world.calls[1].attempts) == 2
 
 
@@ -431,9 +431,9 @@
         world.pass_time(50 * MS)
         del world.calls[number]
     balancer = world.balancer
-    assert len(balancer.replicas) <= 20 and not balancer.requests and not balancer.waiting
-    assert len(balancer.due) <= 200
-    assert all(len(r.cached) <= 2048 and len(r.cold_sends) <= 100 for r in balancer.replicas.values())
+    assert len(balancer.replicas) <= 20 and not balancer.requests and not balancer.queue.waiting
+    assert len(balancer.deadlines) <= 200
+    assert all(len(r.cached) <= 2048 and len(r.slow_start.sends) <= 100 for r in balancer.replicas.values())
 
 
 def test_a_freed_place_goes_to_a_waiting_request_whose_prompt_is_kept_there() -> None:
@@ -460,10 +460,10 @@
     for gateways in (1, 4):
         world = World(settings(gateway_count=gateways), replicas=(1,))
         replica = world.balancer.replicas[1]
-        replica.limit = 1.0
+        replica.concurrency.limit = 1.0
         world.arrive(1)
         world.first_token(1)
-        risen[gateways] = replica.limit - 1.0
+        risen[gateways] = replica.concurrency.limit - 1.0
     assert risen[1] > 3 * risen[4] > 0
 
 
@@ -485,7 +485,7 @@
     """A limit of one a replica never binds there, and a shared jam went on until the record's end."""
     world = shared_jam(late=range(1, 21))
     sent = [len(world.sent_to(world.arrive(number))) for number in range(101, 121)]
-    most = math.ceil(world.balancer.fleet.limit)
+    most = math.ceil(world.balancer.limits.gateway.limit)
     assert most < 20 and sent == [1] * most + [0] * (20 - most), "so many may wait for a first token"
 
 
@@ -545,7 +545,7 @@
         if world.calls[number].attempts[-1][0] == 1:
             world.end(number, Outcome.OVERLOADED)
         world.pass_time(MS)
-    assert world.balancer.fleet.limit == math.inf
+    assert world.balancer.limits.gateway.limit == math.inf
 
 
 def test_a_prompt_that_must_be_read_may_take_twice_as_long_before_it_counts_as_late() -> None:
@@ -558,5 +558,5 @@
         world.arrive(1, session=5)
         world.pass_time(300 * MS)
         world.first_token(1)
-        limits.append(world.balancer.replicas[1].limit)
+        limits.append(world.balancer.replicas[1].concurrency.limit)
     assert limits == [math.inf, 1.0]
--- a/tests/balancing/test_reports.py
+++ b/tests/balancing/test_reports.py
@@ -5,7 +5,6 @@
 import math
 from typing import Any
 
-from lockspoke.balancing.balancer import FULL_PAUSE, REPORT_LIVES
 from lockspoke.balancing.breaker import BreakerState
 from lockspoke.balancing.events import (
     AttemptEnded,
@@ -14,6 +13,9 @@
     Outcome,
     ReplicaState,
 )
+from lockspoke.balancing.load_reports import REPORT_LIFETIME
+from lockspoke.balancing.overload_backoff import OVERLOAD_BACKOFF
+from lockspoke.balancing.prefix_affinity import rendezvous_score
 from lockspoke.balancing.settings import RequestClass
 from tests.balancing.helpers import MS, SECOND, World, settings
 
@@ -33,7 +35,7 @@
     world.arrive(number, prompt_tokens=0.0)
     world.pass_time(after)
     world.first_token(number)
-    return world.balancer.replicas[1].limit
+    return world.balancer.replicas[1].concurrency.limit
 
 
 def test_a_late_first_token_cuts_no_limit_while_a_report_says_there_is_room() -> None:
@@ -42,7 +44,7 @@
     assert late(reported(0.9), 9, 450 * MS) < 4
     assert late(reported(0.2), 9, 700 * MS) < 4, "so late that it is a jam, whatever was reported"
     world = reported(0.2)
-    world.pass_time(REPORT_LIVES)
+    world.pass_time(REPORT_LIFETIME)
     assert late(world, 9, 450 * MS) < 4, "the report is old"
 
 
@@ -51,9 +53,9 @@
     world = reported(0.9)
     replica = world.balancer.replicas[1]
     assert late(world, 9, 700 * MS) < 4
-    world.pass_time(REPORT_LIVES + MS)
+    world.pass_time(REPORT_LIFETIME + MS)
     world.end(3, Outcome.OK, report=(0.1,))
-    assert replica.limit > 10
+    assert replica.concurrency.limit > 10
 
 
 def test_a_class_that_a_replica_turns_away_slowly_is_kept_off_it_and_others_are_not() -> None:
@@ -72,7 +74,7 @@
         world.pass_time(300 * MS)
     assert asked <= 3
     replica = world.balancer.replicas[1]
-    assert replica.full_until == 0 and replica.limit == math.inf
+    assert replica.backoff.until == 0 and replica.concurrency.limit == math.inf
     assert any(world.sent_to(world.arrive(number)) == [1] for number in range(100, 120))
 
 
@@ -122,15 +124,15 @@
     world.arrive(1)
     world.end(1, Outcome.OVERLOADED)
     replica = world.balancer.replicas[1]
-    assert replica.full_until == world.now + FULL_PAUSE and not replica.class_until
+    assert replica.backoff.until == world.now + OVERLOAD_BACKOFF and not replica.backoff.class_until
 
 
 def test_homes_follow_the_list() -> None:
     world = World(replicas=range(1, 9))
-    before = world.balancer._ranking(77)
-    assert before == sorted(world.balancer.ready, key=lambda replica: replica.rank(77))
+    before = world.balancer.affinity.ranking(77)
+    assert before == sorted(world.balancer.endpoints.ready, key=lambda replica: rendezvous_score(replica, 77))
     world.list(EndpointListKind.DELTA, (EndpointListEntry(before[0].number, ReplicaState.DRAINING),))
-    assert world.balancer._ranking(77) == before[1:]
+    assert world.balancer.affinity.ranking(77) == before[1:]
 
 
 def kinds_of_machine(**changes: Any) -> World:
@@ -163,7 +165,7 @@
     world = kinds_of_machine(utilization_field=0)
     sent_to_the_large(world, range(1, 31), 1.0)
     assert sent_to_the_large(world, range(31, 231), 1.0) < 0.25
-    assert all(world.balancer.replicas[number].kind.factor >= 0.25 for number in range(1, 41))
+    assert all(world.balancer.replicas[number].kind.capacity_factor >= 0.25 for number in range(1, 41))
 
 
 def test_without_reports_late_first_tokens_tell_of_a_kind_of_machine() -> None:
@@ -196,6 +198,6 @@
 def test_kinds_that_left_the_list_are_forgotten() -> None:
     world = kinds_of_machine(utilization_field=0)
     world.list(EndpointListKind.FULL, (EndpointListEntry(50, machine_kind=3),))
-    assert list(world.balancer.kinds) == [3]
+    assert list(world.balancer.endpoints.machine_kinds.by_number) == [3]
     world.list(EndpointListKind.FULL, ())
-    assert not world.balancer.kinds
+    assert not world.balancer.endpoints.machine_kinds.by_number
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from lockspoke.balancing.actions import Fail, Reject, SetTimer
-from lockspoke.balancing.breaker import RECOVERY
+from lockspoke.balancing.breaker import INITIAL_RECOVERY
 from lockspoke.balancing.events import (
     AttemptEnded,
     ClientDisconnected,
@@ -134,7 +134,7 @@
         world.end(request, Outcome.RESET, attempt)
     world.pass_time(10 * SECOND)
     assert all(call.final for call in world.calls.values())
-    assert not world.balancer.requests and not world.balancer.waiting
+    assert not world.balancer.requests and not world.balancer.queue.waiting
 
 
 def test_an_unsafe_request_that_might_have_run_is_failed_not_refused() -> None:
@@ -170,7 +170,7 @@
 
 def test_no_replica_at_all_refuses_at_once() -> None:
     world = World(replicas=())
-    assert Reject(1, RECOVERY) in world.arrive(1)
+    assert Reject(1, INITIAL_RECOVERY) in world.arrive(1)
 
 
 def test_a_stream_that_has_begun_has_no_deadline() -> None:
@@ -394,7 +394,7 @@
     for outcome in Outcome:  # a second time, for a request that is gone
         world.step(AttemptEnded(1, 0, replica, outcome, 5, False))
         world.step(FirstToken(1, 0, replica, 5))
-    assert world.balancer.replicas[replica].in_flight == 0
+    assert world.balancer.replicas[replica].concurrency.in_flight == 0
 
 
 def test_a_list_that_goes_stale_empty_and_full_again() -> None:
@@ -402,7 +402,7 @@
     world.list(EndpointListKind.FAILED, ())
     assert world.sent_to(world.arrive(1))
     world.list(EndpointListKind.FULL, ())
-    assert Reject(2, RECOVERY) in world.arrive(2)
+    assert Reject(2, INITIAL_RECOVERY) in world.arrive(2)
     world.list(EndpointListKind.FULL, ready(1, 2))
     assert world.sent_to(world.arrive(3))
 
@@ -417,7 +417,9 @@
         world.first_token(1)
     world.end(1, outcome, closed=begun or outcome is Outcome.OK)
     world.pass_time(10 * SECOND)
-    assert world.calls[1].final and all(r.in_flight == 0 for r in world.balancer.replicas.values())
+    assert world.calls[1].final and all(
+        r.concurrency.in_flight == 0 for r in world.balancer.replicas.values()
+    )
 
 
 def sent_while_cold(kept: int, weight: float) -> int:
