--- a/lockspoke/lifecycle/config.py
+++ b/lockspoke/lifecycle/config.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from lockspoke.balancing.settings import BalancerSettings
+from lockspoke.balancing.settings_reader import read_settings
 from lockspoke.core.replica_set import ReplicaListUpdate
-from lockspoke.simulator.protocol import decode_settings
 from lockspoke.units import MEBIBYTE, MILLISECOND
 from lockspoke.wire.discovery.messages import decode_address, read_endpoint_list
 
@@ -139,7 +139,7 @@
         sockets=min(_whole(raw, "limits.sockets", 1024), resource.getrlimit(resource.RLIMIT_NOFILE)[0]),
         memory_mb=_whole(raw, "limits.memory_mb", 192),
         known=None if known is None else read_endpoint_list(known).complete(),
-        settings=decode_settings(json.dumps(settings).encode()),
+        settings=read_settings(settings),
         classes={name: index for index, name in enumerate(names)},
         tenants={name: index for index, name in enumerate(_names(settings, "tenants"))},
         deadlines=tuple(
--- a/lockspoke/simulator/program.py
+++ b/lockspoke/simulator/program.py
@@ -1,6 +1,6 @@
-"""The loop that plays many instances over standard input and output, for the bench.
+"""Serves the simulator: many gateway instances in one process, over standard input and output.
 
-One `Balancer` an instance; instances share nothing. Standard output carries replies and nothing else.
+Each instance has a `Balancer` of its own; instances share nothing. Standard output carries replies only.
 """
 
 from __future__ import annotations
@@ -8,74 +8,65 @@
 import sys
 from typing import BinaryIO
 
-from lockspoke.balancing.balancer import Balancer
+from lockspoke.balancing import Balancer
 from lockspoke.balancing.events import Event
+from lockspoke.balancing.settings_reader import SettingsError
 
-from .protocol import (
-    LENGTH,
-    Provision,
-    Record,
-    SettingsError,
-    Teardown,
-    WireError,
-    decode_batch,
-    encode_action,
-    encode_crash,
-    encode_reply,
-)
+from .decoder import decode_batch
+from .encoder import encode_action, encode_crash, encode_reply
+from .framing import WireError, read_frame
+from .messages import InstanceRecord, Provision, Teardown
 
 
-class Drill:
-    """Keeps the instances that live in this process and hands each its own events."""
+class SimulatedGateways:
+    """The instances of this process by number."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
 
-    def play(self, now: int, records: list[Record]) -> list[bytes]:
-        """One batch: every instance with events answers them together, in order of its first event."""
-        waiting: dict[int, list[Event]] = {}
-        for instance, event in records:
-            if isinstance(event, Teardown):
-                # What came before the kill in this batch is void: answering it would name dead requests.
-                waiting.pop(instance, None)
-                self.balancers.pop(instance, None)
-            elif isinstance(event, Provision):
-                waiting.pop(instance, None)
-                self.balancers[instance] = Balancer(event.settings, event.seed)
-            elif instance in self.balancers:
-                waiting.setdefault(instance, []).append(event)
+    def handle(self, now: int, records: list[InstanceRecord]) -> list[bytes]:
+        """Apply one batch; return the encoded actions by instance, in the order of their first events."""
         replies: list[bytes] = []
-        for instance, events in waiting.items():
+        for instance, events in self._collect_events(records).items():
             try:
                 actions = self.balancers[instance].handle(now, events)
                 replies.extend([encode_action(instance, action) for action in actions])
-            except Exception as error:  # the wire asks for every failure of the decisions to be told
+            except Exception as error:  # the protocol reports each exception as a crash of its instance
                 replies.append(encode_crash(instance, f"{type(error).__name__}: {error}"))
         return replies
 
-
-def _read_exactly(stream: BinaryIO, count: int, what: str) -> bytes:
-    data = stream.read(count)
-    if data and len(data) < count:
-        raise WireError(f"{what} cut short: {len(data)} of {count} bytes")
-    return data
+    def _collect_events(self, records: list[InstanceRecord]) -> dict[int, list[Event]]:
+        """Start and stop instances; return the events of each that runs at the end of the batch."""
+        events: dict[int, list[Event]] = {}
+        for instance, event in records:
+            if isinstance(event, Teardown):
+                # Events before it are void: their answers would name requests that no longer exist.
+                events.pop(instance, None)
+                self.balancers.pop(instance, None)
+            elif isinstance(event, Provision):
+                events.pop(instance, None)
+                self.balancers[instance] = Balancer(event.settings, event.seed)
+            elif instance in self.balancers:
+                events.setdefault(instance, []).append(event)
+        return events
 
 
 def run(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
-    drill = Drill()
-    while head := _read_exactly(source, LENGTH.size, "frame length"):
-        (size,) = LENGTH.unpack(head)
-        body = _read_exactly(source, size, "frame")
-        if len(body) < size:
-            raise WireError(f"frame cut short: 0 of {size} bytes")
-        now, number, records = decode_batch(body)
-        sink.write(encode_reply(number, drill.play(now, records)))
+    """Answer batches until the input ends.
+
+    Raises:
+        WireError: The input does not follow the protocol.
+        SettingsError: An instance cannot be started with its settings.
+    """
+    gateways = SimulatedGateways()
+    while (frame := read_frame(source)) is not None:
+        batch = decode_batch(frame)
+        sink.write(encode_reply(batch.number, gateways.handle(batch.now, batch.records)))
         sink.flush()
 
 
 def main() -> int:
-    """Run on standard input and output; bad input ends it with one plain line and exit code 1."""
+    """Run on standard input and output; return the exit code. Bad input ends it with one plain line."""
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, SettingsError) as error:
--- a/tests/golden/message_cases.py
+++ b/tests/golden/message_cases.py
@@ -13,9 +13,10 @@
 
 from click.testing import CliRunner
 
+from lockspoke.balancing.settings_reader import SettingsError
 from lockspoke.cli.main import cli
 from lockspoke.lifecycle.config import ConfigError, read_config
-from lockspoke.simulator.protocol import SettingsError, decode_settings
+from lockspoke.simulator.decoder import decode_settings
 
 from .support import write_tree
 
