--- a/lockspoke/lifecycle/config_file.py
+++ b/lockspoke/lifecycle/config_file.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.simulator.protocol import decode_settings
+from lockspoke.balancing.settings_reader import read_settings
 from lockspoke.units import MILLISECOND
 from lockspoke.wire.discovery.endpoint_list import decode_address, read_endpoint_list
 
@@ -69,7 +69,7 @@
         sockets=_max_sockets(raw),
         memory_mb=_integer_at(raw, "limits.memory_mb", DEFAULT_MEMORY_MB),
         initial_list=None if known is None else read_endpoint_list(known).require_complete(),
-        settings=decode_settings(json.dumps(settings).encode()),
+        settings=read_settings(settings),
         classes=_indexes(class_names),
         tenants=_indexes(_names_of(settings, "tenants")),
         deadlines=_deadlines(settings),
