--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -71,7 +71,7 @@
         self.entries: dict[int, EndpointListEntry] = {}
         self.timers: list[tuple[int, int]] = []
         self.log: list[Action] = []
-        self.list(EndpointListKind.CACHED, ready(*replicas))
+        self.update_endpoint_list(EndpointListKind.CACHED, ready(*replicas))
 
     def step(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
@@ -130,7 +130,9 @@
 
     # Events
 
-    def list(self, kind: EndpointListKind, entries: tuple[EndpointListEntry, ...]) -> list[Action]:
+    def update_endpoint_list(
+        self, kind: EndpointListKind, entries: tuple[EndpointListEntry, ...]
+    ) -> list[Action]:
         if kind in (EndpointListKind.FULL, EndpointListKind.CACHED):
             for number, old in self.entries.items():
                 self.entries[number] = EndpointListEntry(number, ReplicaState.REMOVED, old.zone, old.cell)
--- a/tests/balancing/test_breaker.py
+++ b/tests/balancing/test_breaker.py
@@ -180,7 +180,7 @@
 def test_a_restart_under_the_same_id_closes_the_breaker() -> None:
     world = World(replicas=(1, 2, 3, 4))
     fail_on(world, 2, Outcome.RESET, 0)
-    world.list(EndpointListKind.DELTA, ready(2, started_at=world.now))
+    world.update_endpoint_list(EndpointListKind.DELTA, ready(2, started_at=world.now))
     assert world.balancer.replicas[2].breaker.state is BreakerState.CLOSED
 
 
--- a/tests/balancing/test_pick.py
+++ b/tests/balancing/test_pick.py
@@ -5,6 +5,7 @@
 import math
 from collections import Counter
 from collections.abc import Iterable
+from typing import Any
 
 import pytest
 
@@ -27,7 +28,7 @@
 
 def test_work_follows_listed_size() -> None:
     world = World(replicas=())
-    world.list(EndpointListKind.FULL, ready(1, 2, weight=1.0) + ready(3, 4, weight=3.0))
+    world.update_endpoint_list(EndpointListKind.FULL, ready(1, 2, weight=1.0) + ready(3, 4, weight=3.0))
     sent = Counter(replica for n in range(200) for replica in world.sent_to(world.arrive(n)))
     assert 2.2 < (sent[3] + sent[4]) / (sent[1] + sent[2]) < 3.8
 
@@ -99,7 +100,7 @@
                 world.arrive(number, prefix=100 + (gateway + number) % 25, prefix_tokens=3000.0)
                 world.first_token(number)
                 world.end(number, Outcome.OK)
-            turn: dict[str, float] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
+            turn: dict[str, Any] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
             turns.update(world.sent_to(world.arrive(999, prompt_tokens=9000.0 + 1000.0 * gateway, **turn)))
         together += turns.most_common(1)[0][1]
     assert together >= 0.7 * 10 * 12
@@ -109,7 +110,7 @@
     sent: Counter[int] = Counter()
     for session in range(1, 201):
         world = World(settings(gateway_count=200), replicas=range(1, 92), seed=session)
-        turn: dict[str, float] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
+        turn: dict[str, Any] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
         sent.update(world.sent_to(world.arrive(1, prompt_tokens=9000.0, **turn)))
     assert len(sent) >= 8 and max(sent.values()) <= 60
 
@@ -120,8 +121,8 @@
     for session in range(1, 201):
         world = World(settings(gateway_count=200, cross_zone_cost=0.08, zone=0), replicas=(), seed=session)
         entries = tuple(EndpointListEntry(number, zone=number % 3) for number in range(1, 91))
-        world.list(EndpointListKind.FULL, entries)
-        turn: dict[str, float] = {"session": session, "prefix": 1000 + session, "prefix_tokens": 9000.0}
+        world.update_endpoint_list(EndpointListKind.FULL, entries)
+        turn: dict[str, Any] = {"session": session, "prefix": 1000 + session, "prefix_tokens": 9000.0}
         near += world.sent_to(world.arrive(1, prompt_tokens=15_000.0, **turn))[0] % 3 == 0
     assert near >= 145
 
@@ -140,7 +141,9 @@
     sent: Counter[int] = Counter()
     for seed in range(80):
         world = World(replicas=(), seed=seed)
-        world.list(EndpointListKind.FULL, ready(1, 2, 3, 4, weight=0.25) + ready(5, weight=3.0))
+        world.update_endpoint_list(
+            EndpointListKind.FULL, ready(1, 2, 3, 4, weight=0.25) + ready(5, weight=3.0)
+        )
         sent.update(world.sent_to(world.arrive(1)))
     assert sent[5] >= 45 and sent.total() - sent[5] >= 5
 
@@ -152,7 +155,9 @@
         for seed in range(20):
             given = settings(cross_zone_cost=0.08, zone=0, gateway_count=gateways)
             world = World(given, replicas=(), seed=seed)
-            world.list(EndpointListKind.FULL, ready(1, 2, 3, 4, zone=1) + ready(5, 6, 7, 8, zone=0))
+            world.update_endpoint_list(
+                EndpointListKind.FULL, ready(1, 2, 3, 4, zone=1) + ready(5, 6, 7, 8, zone=0)
+            )
             sent = [replica for n in range(24) for replica in world.sent_to(world.arrive(n))]
             crossed[gateways] += sum(replica < 5 for replica in sent)
     assert 2 * crossed[1] < crossed[16]
@@ -161,7 +166,7 @@
 def test_a_small_replica_is_not_left_idle_beside_a_loaded_large_one() -> None:
     """Reading and crossing divided by the size kept small replicas empty while large ones jammed."""
     world = World(settings(gateway_count=4), replicas=())
-    world.list(EndpointListKind.FULL, ready(1, weight=4.0) + ready(2, 3, 4))
+    world.update_endpoint_list(EndpointListKind.FULL, ready(1, weight=4.0) + ready(2, 3, 4))
     sent = Counter(replica for n in range(28) for replica in world.sent_to(world.arrive(n)))
     assert min(sent[2], sent[3], sent[4]) >= 2
 
@@ -170,7 +175,7 @@
     world = World(replicas=(1, 2))
     home = world.sent_to(world.arrive(1, session=5))[0]
     assert world.balancer.replicas[home].cached
-    world.list(EndpointListKind.DELTA, ready(home, started_at=world.now))
+    world.update_endpoint_list(EndpointListKind.DELTA, ready(home, started_at=world.now))
     assert not world.balancer.replicas[home].cached
 
 
@@ -179,7 +184,9 @@
     stayed = 0
     for seed in range(100):
         world = World(settings(cross_zone_cost=0.08, zone=0), replicas=(), seed=seed)
-        world.list(EndpointListKind.FULL, ready(1, 2, zone=1) + ready(3, 4, zone=0, weight=near))
+        world.update_endpoint_list(
+            EndpointListKind.FULL, ready(1, 2, zone=1) + ready(3, 4, zone=0, weight=near)
+        )
         stayed += world.sent_to(world.arrive(1))[0] >= 3
     return stayed / 100
 
@@ -334,7 +341,7 @@
 def test_the_list_is_asked_for_at_the_start_and_not_again_once_it_has_come() -> None:
     world = World(settings(polls_endpoint_list=True))
     assert WatchEndpointList(True) in world.log
-    world.list(EndpointListKind.FULL, ready(1, 2))
+    world.update_endpoint_list(EndpointListKind.FULL, ready(1, 2))
     world.log.clear()
     world.pass_time(60 * SECOND)
     assert WatchEndpointList(True) not in world.log
@@ -348,7 +355,7 @@
     world = World(settings(polls_endpoint_list=True, gateway_count=gateways))
     for _ in range(8):
         world.log.clear()
-        world.list(EndpointListKind.FAILED, ())
+        world.update_endpoint_list(EndpointListKind.FAILED, ())
         assert 500 * MS <= until_it_asks(world) <= SECOND
 
 
@@ -377,7 +384,7 @@
         world = World(settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index)
         world.pass_time(5 * SECOND)
         world.log.clear()
-        world.list(EndpointListKind.FAILED, ())
+        world.update_endpoint_list(EndpointListKind.FAILED, ())
         again.append(until_it_asks(world))
     assert max(sum(when <= other < when + SECOND for other in again) for when in again) <= 24
     assert max(again) <= 5 * SECOND
@@ -397,7 +404,7 @@
         world.pass_time(5 * SECOND)
         for _ in range(8):
             world.log.clear()
-            world.list(EndpointListKind.FAILED, ())
+            world.update_endpoint_list(EndpointListKind.FAILED, ())
             assert until_it_asks(world) <= 6 * SECOND - CONNECT_AND_ANSWER
 
 
@@ -420,7 +427,7 @@
     world = World(replicas=(1, 2, 3))
     for number in range(1, 6001):
         if number % 20 == 0:
-            world.list(
+            world.update_endpoint_list(
                 EndpointListKind.FULL,
                 ready(1, 2, 3, 1000 + number, started_at=world.now if number % 40 else 0),
             )
--- a/tests/balancing/test_reports.py
+++ b/tests/balancing/test_reports.py
@@ -131,7 +131,9 @@
     world = World(replicas=range(1, 9))
     before = world.balancer.affinity.ranking(77)
     assert before == sorted(world.balancer.endpoints.ready, key=lambda replica: rendezvous_score(replica, 77))
-    world.list(EndpointListKind.DELTA, (EndpointListEntry(before[0].number, ReplicaState.DRAINING),))
+    world.update_endpoint_list(
+        EndpointListKind.DELTA, (EndpointListEntry(before[0].number, ReplicaState.DRAINING),)
+    )
     assert world.balancer.affinity.ranking(77) == before[1:]
 
 
@@ -140,7 +142,7 @@
     world = World(settings(gateway_count=100, **changes), replicas=())
     large = tuple(EndpointListEntry(number, weight=6.0, machine_kind=1) for number in range(1, 21))
     small = tuple(EndpointListEntry(number, weight=4.0, machine_kind=2) for number in range(21, 41))
-    world.list(EndpointListKind.FULL, large + small)
+    world.update_endpoint_list(EndpointListKind.FULL, large + small)
     return world
 
 
@@ -197,7 +199,7 @@
 
 def test_kinds_that_left_the_list_are_forgotten() -> None:
     world = kinds_of_machine(utilization_field=0)
-    world.list(EndpointListKind.FULL, (EndpointListEntry(50, machine_kind=3),))
+    world.update_endpoint_list(EndpointListKind.FULL, (EndpointListEntry(50, machine_kind=3),))
     assert list(world.balancer.endpoints.machine_kinds.by_number) == [3]
-    world.list(EndpointListKind.FULL, ())
+    world.update_endpoint_list(EndpointListKind.FULL, ())
     assert not world.balancer.endpoints.machine_kinds.by_number
--- a/tests/balancing/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -123,7 +123,7 @@
             case ("list", kind, numbers, state):
                 states = (ReplicaState.READY, ReplicaState.READY, *ReplicaState)
                 entries = tuple(entry(n, world.now, states[state], n % 2 == 0) for n in sorted(set(numbers)))
-                world.list(kind, entries)
+                world.update_endpoint_list(kind, entries)
             case ("left", which) if world.calls:
                 request = sorted(world.calls)[which % len(world.calls)]
                 call = world.calls[request]
@@ -152,7 +152,9 @@
 
 def test_a_keyed_request_stays_in_its_group_and_window() -> None:
     world = World(settings(classes=CLASSES), replicas=())
-    world.list(EndpointListKind.FULL, tuple(EndpointListEntry(n, zone=n % 2) for n in range(1, 7)))
+    world.update_endpoint_list(
+        EndpointListKind.FULL, tuple(EndpointListEntry(n, zone=n % 2) for n in range(1, 7))
+    )
     first = world.sent_to(world.arrive(1, request_class=2))[0]
     second = world.sent_to(world.end(1, Outcome.RESET))[0]
     assert second != first and second % 2 == first % 2
@@ -192,8 +194,8 @@
 
 def test_drains_and_removals_stop_sends_at_once() -> None:
     world = World(replicas=(1, 2, 3))
-    world.list(EndpointListKind.DELTA, (EndpointListEntry(1, ReplicaState.DRAINING),))
-    world.list(EndpointListKind.FULL, ready(1, 2))  # 3 is missing: gone; 1 is ready again
+    world.update_endpoint_list(EndpointListKind.DELTA, (EndpointListEntry(1, ReplicaState.DRAINING),))
+    world.update_endpoint_list(EndpointListKind.FULL, ready(1, 2))  # 3 is missing: gone; 1 is ready again
     sent = {replica for n in range(1, 20) for replica in world.sent_to(world.arrive(n))}
     assert sent == {1, 2}
 
@@ -212,7 +214,7 @@
         for world in worlds:
             world.pass_time(100 * MS)
             if tick == 200:
-                world.list(EndpointListKind.DELTA, ready(9, started_at=started))
+                world.update_endpoint_list(EndpointListKind.DELTA, ready(9, started_at=started))
         for _ in range(int(rate / 10)):
             number += 1
             world = rng.choice(worlds)
@@ -251,7 +253,7 @@
         for world in worlds:
             world.pass_time(100 * MS)
             if tick == 100:
-                world.list(EndpointListKind.DELTA, ready(*sends, started_at=started))
+                world.update_endpoint_list(EndpointListKind.DELTA, ready(*sends, started_at=started))
         for _ in range(calls):
             number += 1
             world = rng.choice(worlds)
@@ -282,7 +284,7 @@
     started, rng, number = worlds[0].now, random.Random(6), 0
     sends: dict[int, list[int]] = {}
     for world in worlds:
-        world.list(EndpointListKind.CACHED, ready(*range(1, 14), started_at=started))
+        world.update_endpoint_list(EndpointListKind.CACHED, ready(*range(1, 14), started_at=started))
     for _ in range(60):
         for world in worlds:
             world.pass_time(100 * MS)
@@ -305,7 +307,7 @@
     for number in range(1, 2000):
         world.arrive(number, time_remaining=SECOND)
         world.pass_time(5 * MS)
-    world.list(EndpointListKind.DELTA, ready(9, started_at=world.now))
+    world.update_endpoint_list(EndpointListKind.DELTA, ready(9, started_at=world.now))
     assert not [r for n in range(3000, 3100) for r in world.sent_to(world.arrive(n)) if r == 9]
 
 
@@ -318,8 +320,8 @@
         world.pass_time(20 * MS)
     started, sent = world.now, 0
     for number in range(1000, 1100):
-        world.list(EndpointListKind.FULL, ready(1, 2, 3, 4))
-        world.list(EndpointListKind.FULL, ready(1, 2, 3, 4) + ready(9, started_at=started))
+        world.update_endpoint_list(EndpointListKind.FULL, ready(1, 2, 3, 4))
+        world.update_endpoint_list(EndpointListKind.FULL, ready(1, 2, 3, 4) + ready(9, started_at=started))
         sent += world.sent_to(world.arrive(number)) == [9]
     assert sent
     per_replica = 200 / 4 / 4  # 50 a second over four replicas for the two seconds of the window
@@ -350,9 +352,11 @@
         flapping = {n for n in range(1, 6) if (number // 40 + n) % 3 == 0}
         if number % 40 == 0:
             gone = tuple(EndpointListEntry(n, ReplicaState.REMOVED) for n in sorted(flapping))
-            world.list(EndpointListKind.DELTA, gone)
+            world.update_endpoint_list(EndpointListKind.DELTA, gone)
             back = sorted(set(range(1, 6)) - flapping)
-            world.list(EndpointListKind.DELTA, ready(*back, started_at=world.now if number % 80 else 0))
+            world.update_endpoint_list(
+                EndpointListKind.DELTA, ready(*back, started_at=world.now if number % 80 else 0)
+            )
         world.arrive(number, time_remaining=SECOND)
         while not world.calls[number].final and world.calls[number].attempts:
             replica = world.calls[number].attempts[-1][0]
@@ -379,7 +383,7 @@
             actions = world.end(number, Outcome.RESET if bad else Outcome.OK)
     world.pass_time(3 * SECOND)
     assert world.sent_to(world.arrive(900)) == [2]
-    world.list(EndpointListKind.DELTA, (EndpointListEntry(2, ReplicaState.DRAINING),))
+    world.update_endpoint_list(EndpointListKind.DELTA, (EndpointListEntry(2, ReplicaState.DRAINING),))
     world.first_token(900)
     assert all(world.sent_to(world.arrive(n)) != [2] for n in range(901, 930))
 
@@ -399,11 +403,11 @@
 
 def test_a_list_that_goes_stale_empty_and_full_again() -> None:
     world = World(replicas=(1, 2))
-    world.list(EndpointListKind.FAILED, ())
+    world.update_endpoint_list(EndpointListKind.FAILED, ())
     assert world.sent_to(world.arrive(1))
-    world.list(EndpointListKind.FULL, ())
+    world.update_endpoint_list(EndpointListKind.FULL, ())
     assert Reject(2, INITIAL_RECOVERY) in world.arrive(2)
-    world.list(EndpointListKind.FULL, ready(1, 2))
+    world.update_endpoint_list(EndpointListKind.FULL, ready(1, 2))
     assert world.sent_to(world.arrive(3))
 
 
@@ -425,7 +429,7 @@
 def sent_while_cold(kept: int, weight: float) -> int:
     """How many requests a replica that has just started gets within the rule's span beside warm ones."""
     world = World(replicas=())
-    world.list(EndpointListKind.FULL, ready(1, 2, 3, weight=4.0))
+    world.update_endpoint_list(EndpointListKind.FULL, ready(1, 2, 3, weight=4.0))
     number = 0
     for _ in range(300):
         number += 1
@@ -436,7 +440,7 @@
         world.calls[number].final = "outcome"
         world.step(AttemptEnded(number, 0, replica, Outcome.OK, world.now - sent, True, kept))
         world.pass_time(10 * MS)
-    world.list(EndpointListKind.DELTA, ready(4, weight=weight, started_at=world.now))
+    world.update_endpoint_list(EndpointListKind.DELTA, ready(4, weight=weight, started_at=world.now))
     cold = 0
     for _ in range(200):
         number += 1
@@ -484,7 +488,7 @@
     world = World(settings(**extreme), replicas=())
     cold, warm = ready(1, 2, started_at=world.now + ahead), ready(3, zone=9, weight=0.0)
     for entries in (cold + warm, cold):
-        world.list(EndpointListKind.FULL, entries)
+        world.update_endpoint_list(EndpointListKind.FULL, entries)
         for number in range(len(world.calls), len(world.calls) + 12):
             world.arrive(number, prompt_tokens=100.0 * number)
             if world.calls[number].attempts and not world.calls[number].final:
