--- a/lockspoke/core/actions.py
+++ b/lockspoke/core/actions.py
@@ -72,5 +72,5 @@
     def _decision_failed(self, event: Event) -> None:
         self._requests.totals.decisions_failed += 1
         if isinstance(event, EndpointListUpdate):
-            # The balancer may have applied only a part of the update, so the next poll asks for a full list.
+            # The balancer may have applied only a part of the update, so the next poll requests a full list.
             self._replica_set.version = UNKNOWN_VERSION
--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -63,20 +63,20 @@
 
     @property
     def totals(self) -> Totals:
-        """Counters since the start."""
+        """The counters since the start of the process."""
         return self.request_lifecycle.totals
 
     @property
     def interactive_rejected_at(self) -> int:
-        """When the balancer last rejected a request that is not background; 0: never."""
+        """When the balancer last rejected a request that is not background, by the clock; 0: never."""
         return self.request_lifecycle.interactive_rejected_at
 
     def start(self) -> None:
         """Begin the periodic checks, and the watch of the endpoint list."""
         self.stream_supervision.run()
         if not self._polls_endpoint_list:
-            # With these settings the balancer expects to be sent the list without asking, but discovery
-            # sends nothing that was not asked for. Otherwise the balancer starts the watch by an action.
+            # With these settings the balancer expects the list to be pushed, but discovery only responds to
+            # requests. With the others the balancer itself starts the watch, by an action.
             self.discovery.watch(True)
 
     def reconfigure(self, settings: BalancerSettings, zones: Sequence[str]) -> bool:
@@ -176,10 +176,10 @@
         Args:
             update: The list or change.
             cached: Whether it was stored by an earlier process, and is not confirmed by discovery yet.
-            completes_poll: Whether it answers the poll that the balancer waits for.
+            completes_poll: Whether it is the response to the poll that the balancer waits for.
         """
         self._apply(self.replica_set.apply(update, cached, completes_poll))
-        # Without pruning, every replica that discovery has ever listed would be kept.
+        # Without pruning, every replica that discovery has ever listed would stay in memory.
         self.replica_set.prune(self.balancer.replicas)
 
     def set_banned(self, uid: str, banned: bool) -> bool:
--- a/lockspoke/core/endpoint_list.py
+++ b/lockspoke/core/endpoint_list.py
@@ -20,10 +20,10 @@
         """Apply a complete list or a change of it.
 
         Args:
-            update: the list, or what has changed in it.
-            cached: whether it comes from a stored copy, not from its source.
-            completes_poll: whether it ends the poll that is open or due.
+            update: The list, or what has changed in it.
+            cached: Whether it was stored by an earlier process, and is not confirmed by its source yet.
+            completes_poll: Whether it is the response to the poll that the balancer waits for.
         """
 
     def endpoint_list_failed(self) -> None:
-        """Note that a request for the list has failed; the last list stays in force."""
+        """Record that a poll of the list has failed; the last list stays in force."""
--- a/lockspoke/core/interfaces.py
+++ b/lockspoke/core/interfaces.py
@@ -11,7 +11,7 @@
     """A callback that the clock has scheduled."""
 
     def cancel(self) -> None:
-        """Drop the callback: it is not called, and nothing it refers to is kept alive."""
+        """Drop the callback: it is not called, and no reference to it remains."""
 
 
 class Clock(Protocol):
@@ -28,7 +28,7 @@
         """
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> TimerHandle:
-        """Call back after `delay` nanoseconds."""
+        """Call back after `delay` nanoseconds; returns the handle that cancels it."""
 
 
 class ResponseWriter(Protocol):
--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -15,7 +15,7 @@
 
 
 class Incarnation(NamedTuple):
-    """One process of a replica at one address. A restart or a move makes a new incarnation."""
+    """One process of a replica at one address. A restart or a change of address makes a new incarnation."""
 
     endpoint: tuple[str, int] | None
     boot_ms: int  # Unix time
@@ -47,9 +47,8 @@
     version: int
     complete: bool
     entries: tuple[ListedReplica, ...]
-    unreadable: frozenset[str] = (
-        frozenset()
-    )  # uids of entries that can't be read: those replicas stay as they are
+    # The uids of entries that can't be read: those replicas stay as they are.
+    unreadable: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True)
@@ -73,12 +72,12 @@
     """What follows from a change of the replica set."""
 
     event: EndpointListUpdate  # for the balancer
-    # Replicas that have moved, restarted, left or been taken out of use: their idle connections are stale.
+    # Replicas that have moved, restarted, or are not in use any more: their idle connections are stale.
     connections_to_close: list[Replica] = field(default_factory=list)
 
 
 class ReplicaSet:
-    """The replicas that endpoint lists have named. A removed one is kept until `prune`."""
+    """The replicas that endpoint lists have named. A removed one stays until `prune` forgets it."""
 
     def __init__(self, identifiers: Identifiers, zones: Sequence[str]) -> None:
         self.identifiers = identifiers
@@ -171,8 +170,8 @@
     def _superseded(self, endpoints: Iterable[tuple[str, int]]) -> list[Replica]:
         """The replicas at these addresses that are older than another replica at the same address.
 
-        Such a replica is gone, though discovery has not noticed yet. Requests sent to it would reach the
-        younger one, which would get a double load and be judged by the old one's health.
+        The process of such a replica has ended, though discovery has not noticed yet. Requests sent to it
+        would reach the younger one, which would get a double load and be judged by the old one's health.
         """
         superseded: list[Replica] = []
         for endpoint in endpoints:
@@ -216,8 +215,8 @@
     def set_banned(self, uid: str, banned: bool) -> ReplicaSetChange | None:
         """Ban a replica from new attempts, or lift the ban.
 
-        Returns None if the replica is neither known nor banned. The change's event has no entries if there
-        is nothing to tell the balancer.
+        Returns None if the replica is neither known nor banned. The change's event has no entries if the
+        balancer need not be notified.
         """
         replica = next((replica for replica in self.replicas.values() if replica.uid == uid), None)
         if replica is None and uid not in self._banned:
--- a/lockspoke/core/requests.py
+++ b/lockspoke/core/requests.py
@@ -84,7 +84,7 @@
     """What an attempt whose connection is up may do."""
 
     GRANTED = "granted"  # send the first byte now, without awaiting anything first
-    CHECK_AGAIN = "check_again"  # unread input may change the decision: ask again after one loop iteration
+    CHECK_AGAIN = "check_again"  # unread input may change the decision: check again after one loop iteration
     ENDED = "ended"  # the attempt has ended: report nothing more
 
 
@@ -92,7 +92,7 @@
     """Receives the progress of attempts from the transport."""
 
     def permission_to_send(self, attempt: Attempt) -> SendPermission:
-        """Whether the first byte may be sent now; asked once the attempt's connection is up."""
+        """Whether the first byte may be sent now; called once the attempt's connection is up."""
 
     def stream_received(self, attempt: Attempt, data: bytes) -> asyncio.Future[None] | None:
         """Take a part of the replica's stream. If a future is returned, read no more until it is done."""
@@ -137,7 +137,7 @@
         return self.stage is not AttemptStage.CONNECTING and self.outcome not in NEVER_RAN
 
     def permission_to_send(self) -> SendPermission:
-        """Whether the first byte may be sent now; to be asked once the connection is up."""
+        """Whether the first byte may be sent now; to be called once the connection is up."""
         return self.listener.permission_to_send(self)
 
     def stream_received(self, data: bytes) -> asyncio.Future[None] | None:
--- a/lockspoke/core/stream_supervision.py
+++ b/lockspoke/core/stream_supervision.py
@@ -26,7 +26,7 @@
 
 
 class StreamSupervision:
-    """Ends streams of vanished replicas, and fails requests for which no decision came."""
+    """Ends streams of vanished replicas, and fails requests for which the balancer made no decision."""
 
     def __init__(
         self,
--- a/lockspoke/core/totals.py
+++ b/lockspoke/core/totals.py
@@ -15,9 +15,9 @@
     TRUNCATED = "truncated"  # the replica's stream broke off after it had begun
     REJECTED = "rejected"  # an overload reply: the client may retry without harm
     FAILED = "failed"  # an error reply: the request may have run
-    CLIENT_DISCONNECTED = "client_disconnected"  # the client left before the response was complete
+    CLIENT_DISCONNECTED = "client_disconnected"  # the client closed its connection before the end
     HANDED_OFF = "handed_off"  # the stream was cut so that the client continues at another gateway
-    OVERDUE = "overdue"  # no decision came by the deadline, and the periodic check failed the request
+    OVERDUE = "overdue"  # the balancer made no decision by the deadline: the periodic check failed it
 
 
 class Totals:
@@ -34,14 +34,14 @@
 
     def __init__(self) -> None:
         self.requests = 0
-        self.attempts = 0  # attempts that the transport was asked to start
+        self.attempts = 0  # those that the transport has started
         self.endpoint_list_polls_failed = 0
         self.decisions_failed = 0  # events at which the balancer raised an exception
         self.request_outcomes: Counter[RequestOutcome] = Counter()
         self.attempt_outcomes: Counter[Outcome] = Counter()
 
     def log_fields(self) -> dict[str, int]:
-        """The counters that are not 0, by the names that they have in the `totals` log line."""
+        """Return the counters that are not 0, by the names that they have in the `totals` log line."""
         counts = {
             "requests": self.requests,
             "attempts": self.attempts,
--- a/lockspoke/lifecycle/composition.py
+++ b/lockspoke/lifecycle/composition.py
@@ -46,7 +46,7 @@
         return self.config.settings.polls_endpoint_list or self.endpoint_list_source.first_poll_finished
 
     def apply(self, config: GatewayConfig) -> None:
-        """Put a new configuration in force. Requests, connections and knowledge of replicas are kept."""
+        """Put a new configuration in force. Requests, connections and the replica set stay."""
         self.config = config
         per_side = config.max_connections_per_side(self.reserved_descriptors)
         self.transport.reconfigure(
--- a/lockspoke/lifecycle/graceful_shutdown.py
+++ b/lockspoke/lifecycle/graceful_shutdown.py
@@ -13,14 +13,14 @@
 
 # Before the platform may kill the process: what is still open is handed off to other gateways from then on.
 HANDOFF_BEFORE_KILL = 0.3
-# Before the kill: from then on also streams are handed off of which unread data has arrived.
+# Before the kill: from then on streams with unread data are handed off, too.
 IMMEDIATE_HANDOFF_BEFORE_KILL = 0.15
 # After SIGTERM. Clients learn with a delay that this gateway stops, so it goes on accepting connections.
 MIN_ACCEPT_TIME = 0.7
 MAX_ACCEPT_TIME = 2.0
 # Accepting ends after so long without a new connection; connections idle for as long are closed.
 IDLE_TIME = 0.3
-# After SIGTERM, where clients don't resume streams, so that none may be cut off. New connections come for
+# After SIGTERM, where clients don't resume streams, so that none may be cut off. New connections arrive for
 # 0.4 s at most, and a request that arrived later than 0.7 s is lost if the kill finds it unanswered.
 MAX_ACCEPT_TIME_WITHOUT_RESUME = 0.45
 REJECT_TIME_WITHOUT_RESUME = 0.65
--- a/lockspoke/lifecycle/logging_setup.py
+++ b/lockspoke/lifecycle/logging_setup.py
@@ -1,4 +1,4 @@
-"""Logging: one JSON object a line on standard error, for events and never for single requests."""
+"""Logging: one JSON object per line on standard error, for events and never for single requests."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 def start_logging() -> None:
     """Set up structlog and the standard library's logging for the whole process."""
-    # Below ERROR, Tornado logs each connection that a peer closes: that would be a line a request.
+    # Below ERROR, Tornado logs each connection that a peer closes: that would be one line per request.
     logging.basicConfig(level=logging.ERROR, handlers=[_LibraryLogHandler()])
     structlog.configure(
         processors=[
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -38,7 +38,7 @@
         self._listen()
         for subsystem in self._gateway.subsystems:
             subsystem.start()
-        gc.freeze()  # objects loaded so far stay for good: later collections need not visit them
+        gc.freeze()  # what is loaded now lives as long as the process: later collections need not visit it
         checks = asyncio.ensure_future(PeriodicChecks(self._gateway).run())
         await self._stop.wait()
         await GracefulShutdown(self._gateway).run()
--- a/lockspoke/wire/clients/connection.py
+++ b/lockspoke/wire/clients/connection.py
@@ -71,7 +71,7 @@
         self.buffered_bytes = 0  # of requests, complete or not
         self.pipelined: deque[ReceivedRequest | HttpError] = deque()  # to be answered in this order
         self.open_request: ClientRequest | None = None  # submitted to the core, not answered yet
-        self.has_received = False  # whether a byte has ever come
+        self.has_received = False  # whether a byte has ever arrived
         self.phase = ConnectionPhase.SERVING
         # Set once the service address of the connection has moved to another instance.
         self.closes_after_response = False
@@ -96,7 +96,9 @@
             pass
         finally:
             abandoned = self._release_request()
-            self._account_bytes(0)  # after the release: the bytes of the request are given back as well
+            self._account_bytes(
+                0
+            )  # after the release, so that the request's own bytes are not counted any more
             if abandoned is not None:
                 self.front.core.client_disconnected(abandoned)
 
@@ -244,7 +246,7 @@
         self.front.core.submit(request)
 
     def release_body(self) -> None:
-        """Give back the bytes of the open request's body, which the core has dropped."""
+        """Stop counting the bytes of the open request's body, which the core has dropped."""
         self._update_buffered_bytes()
 
     def send_response(
--- a/lockspoke/wire/clients/front.py
+++ b/lockspoke/wire/clients/front.py
@@ -14,7 +14,7 @@
 from .admission import AdmissionMode
 from .connection import ClientConnection
 
-IDLE_TIMEOUT_SECONDS = 30.0  # for which a connection is kept between requests
+IDLE_TIMEOUT_SECONDS = 30.0  # for which a connection stays open between requests
 CROWDED_IDLE_TIMEOUT_SECONDS = 2.0  # the same, while the front is crowded
 CROWDED_SHARE = 0.5  # of the allowed connections, past which the front is crowded
 
--- a/lockspoke/wire/clients/responses.py
+++ b/lockspoke/wire/clients/responses.py
@@ -42,7 +42,7 @@
     outgoing: OutgoingBuffer
 
     def release_body(self) -> None:
-        """Give back the bytes of the open request's body, which is not needed any more."""
+        """Stop counting the bytes of the open request's body, which the core has dropped."""
 
     def send_response(
         self, request: Request, status: int, text: str, headers: Mapping[str, str] | None = None
--- a/lockspoke/wire/discovery/follower.py
+++ b/lockspoke/wire/discovery/follower.py
@@ -45,7 +45,7 @@
 
 
 class EndpointListFollower:
-    """Follows one service's list until a request fails, or until it is told to stop."""
+    """Follows one service's list until a request fails, or until it is stopped."""
 
     def __init__(self, connection: DiscoveryConnection, owner: FollowerOwner) -> None:
         self._connection = connection
@@ -135,7 +135,7 @@
             return False
         empty = update.complete and not update.entries and self._replica_set.ready_count > 0
         if empty and not self._last_list_empty:
-            # Protects against a short fault of discovery: an empty list is applied when it comes twice.
+            # Protects against a short fault of discovery: only a second empty list in a row is applied.
             self._last_list_empty = True
             self._owner.report_failing("an empty list; asked for again before it is believed")
             self._replica_set.version = UNKNOWN_VERSION
--- a/lockspoke/wire/http/request_assembler.py
+++ b/lockspoke/wire/http/request_assembler.py
@@ -20,7 +20,7 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of a next request has come."""
+        """Whether no byte of a next request has arrived."""
         return self.head is None and self.parser.is_between_messages
 
     def take_expect_continue(self) -> bool:
--- a/lockspoke/wire/http/response_parser.py
+++ b/lockspoke/wire/http/response_parser.py
@@ -27,7 +27,7 @@
 
     @property
     def ended_cleanly(self) -> bool:
-        """Whether the response is complete and no bytes have come behind it."""
+        """Whether the response is complete and no bytes have arrived behind it."""
         return self._state is ParserState.DONE and not self._buffer
 
     def _read_head(self, parts: list[MessagePart]) -> bool:
--- a/lockspoke/wire/http/sse.py
+++ b/lockspoke/wire/http/sse.py
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self.events = 0  # data lines so far
-        self.done = False  # whether the end marker has come
+        self.done = False  # whether the end marker has arrived
         self.cached_tokens = 0
         self.load = ""  # the latest load report
         self._buffer = bytearray()  # the incomplete event
--- a/lockspoke/wire/operators/api.py
+++ b/lockspoke/wire/operators/api.py
@@ -1,4 +1,4 @@
-"""The requests of operators: one a connection, answered with 200 or an error that names the reason."""
+"""The requests of operators: one per connection, answered with 200 or an error that names the reason."""
 
 from __future__ import annotations
 
--- a/lockspoke/wire/operators/front.py
+++ b/lockspoke/wire/operators/front.py
@@ -1,4 +1,4 @@
-"""The operators' front: a listener of its own, which clients cannot crowd."""
+"""The operators' front: a listener of its own, so that clients cannot use up its connections."""
 
 from __future__ import annotations
 
--- a/lockspoke/wire/replicas/connection_pool.py
+++ b/lockspoke/wire/replicas/connection_pool.py
@@ -22,7 +22,7 @@
 class ConnectionPool:
     """Opens connections to replicas and keeps them idle between attempts.
 
-    Each connection that `acquire` returns is given back by one call of `release` or `close`.
+    For each connection that `acquire` returns, the caller calls `release` or `close` once.
     """
 
     def __init__(self, connect_timeout: int, keepalive: int, max_connections: int, dial: Dial) -> None:
@@ -134,8 +134,8 @@
     def connection_stale(self, connection: ReplicaConnection) -> None:
         """Note that a reused connection broke under its request: the replica closes idle ones early.
 
-        The replica's other idle connections are as old or older and are closed. Later ones are kept for at
-        most half the time that this one was idle.
+        The replica's other idle connections are as old or older and are closed. Later ones may be idle for
+        at most half the time that this one was.
         """
         replica = connection.replica
         if not connection.reused or replica.state == ReplicaState.REMOVED:
--- a/lockspoke/wire/replicas/exchange.py
+++ b/lockspoke/wire/replicas/exchange.py
@@ -34,7 +34,7 @@
 
 
 class Exchange:
-    """Sends one attempt's request and reads the response, passing its events on as they come."""
+    """Sends one attempt's request and reads the response, forwarding its events as they arrive."""
 
     __slots__ = ("_attempt", "_connection", "_events", "_head", "_outcome", "_parser")
 
@@ -85,7 +85,7 @@
                 first_event_timeout.reschedule(loop.time() + FIRST_EVENT_TIMEOUT)
             body, complete = self._parse(received)
             if self._outcome is Outcome.OK:
-                # Events that arrive together are passed on together, in a single write to the client.
+                # Events that arrive together are forwarded together, in a single write to the client.
                 data = events.feed(body) + (events.remainder() if complete else b"")
                 if data:
                     first_event_timeout.reschedule(None)
--- a/lockspoke/wire/replicas/keepalive.py
+++ b/lockspoke/wire/replicas/keepalive.py
@@ -1,4 +1,4 @@
-"""How long idle connections to replicas are kept. Pure: the caller passes the time in."""
+"""How long connections to replicas may be idle. Pure: the caller passes the time in."""
 
 from __future__ import annotations
 
--- a/lockspoke/wire/tcp/listener.py
+++ b/lockspoke/wire/tcp/listener.py
@@ -84,7 +84,7 @@
         return host, port
 
     def _start_accepting(self) -> None:
-        """Accept, unless already so, not listening, or past the limit."""
+        """Start to accept, unless it does already, is not listening, or is past the limit."""
         if self._socket is None or self._remove_accept_handler is not None:
             return
         if self._open_count() <= self.max_connections:
@@ -102,7 +102,7 @@
         """Close the connection that is idle for longest: its client can open another one.
 
         Returns:
-            Whether one was closed.
+            Whether a connection was closed; not where none is idle.
         """
         # Not a connection that has just been accepted: its first request may be on its way.
         before = asyncio.get_running_loop().time() - NEW_CONNECTION_GRACE_SECONDS
--- a/lockspoke/wire/tcp/outgoing.py
+++ b/lockspoke/wire/tcp/outgoing.py
@@ -18,7 +18,7 @@
         ended_at: When everything was sent and the sending was shut down, or None before.
     """
 
-    HIGH_WATER_MARK = 32 * 1024  # unsent bytes, past which the source is asked to wait
+    HIGH_WATER_MARK = 32 * 1024  # unsent bytes, past which the source has to wait
 
     def __init__(self, stream: IOStream) -> None:
         self.stream = stream
--- a/lockspoke/wire/tcp/read_ahead.py
+++ b/lockspoke/wire/tcp/read_ahead.py
@@ -23,7 +23,7 @@
                 self.stream.read_bytes(READ_SIZE, partial=True)
             )
         except StreamClosedError as error:
-            # Raised here, it would discard the bytes that came before the end.
+            # Raised here, it would discard the bytes that arrived before the end.
             pending = asyncio.get_running_loop().create_future()
             pending.set_exception(error)
         # Retrieves the exception, so that an end that nobody awaits is not logged as an ignored error.
