--- a/tests/core/test_hand_off.py
+++ b/tests/core/test_hand_off.py
@@ -28,10 +28,10 @@
 def test_only_the_given_requests_are_handed_off() -> None:
     """Those of an address that the gateway has lost are handed off; others go on."""
     world = World()
-    (gone, first), (_, second) = world.submit(), world.submit()
+    (handed_off, first), (_, second) = world.submit(), world.submit()
     for attempt in world.started:
         attempt.stream_received(b"a")
-    world.core.hand_off([gone])
+    world.core.hand_off([handed_off])
     assert first.written == [b"a", "aborted"] and second.written == [b"a"] and len(world.cancelled) == 1
     next(attempt for attempt in world.started if attempt not in world.cancelled).end(Outcome.OK)
     assert second.written == [b"a", "finished"] and not world.core.requests
--- a/tests/core/world.py
+++ b/tests/core/world.py
@@ -65,7 +65,7 @@
         self.cancelled: list[Attempt] = []
         self.idle_closed: list[Replica] = []  # replicas to which idle connections were closed
         self.watches: list[bool] = []
-        self.connects_at_once = True  # whether each attempt asks for permission to send as it starts
+        self.connects_at_once = True  # whether each attempt requests permission to send as it starts
         self.has_unread_changes = False
         self.unread_responses: set[Attempt] = set()
         self.core = Core(settings(**changes), 7, ReplicaSet(Identifiers(), ["z"]), self, self, self)
--- a/tests/lifecycle/test_connections.py
+++ b/tests/lifecycle/test_connections.py
@@ -116,16 +116,16 @@
 
     async with contextlib.AsyncExitStack() as stack:
         replica = await stack.enter_async_context(FakeReplica(script))
-        program = await stack.enter_async_context(Program(replica, sockets=70))  # room for 8 clients
+        program = await stack.enter_async_context(Program(replica, sockets=70))  # enough for 8 clients
         idle = [await stack.enter_async_context(Client(program.port)) for _ in range(7)]
         assert [(await one.request(UP))[0] for one in idle] == [200] * 7
         await asyncio.sleep(0.3)  # a connection that was just opened does not count as idle
-        asking = [await stack.enter_async_context(Client(program.port)) for _ in range(10)]
-        answers = [asyncio.ensure_future(one.request(request_bytes(n))) for n, one in enumerate(asking)]
+        clients = [await stack.enter_async_context(Client(program.port)) for _ in range(10)]
+        responses = [asyncio.ensure_future(one.request(request_bytes(n))) for n, one in enumerate(clients)]
         await until(lambda: len(replica.seen) == 8)
         assert program.log("clients_at_limit") is not None
         go.set()  # the others have waited in the kernel's backlog
-        assert [(await answer)[0] for answer in answers] == [200] * 10
+        assert [(await response)[0] for response in responses] == [200] * 10
 
 
 @run
--- a/tests/lifecycle/test_endpoint_list.py
+++ b/tests/lifecycle/test_endpoint_list.py
@@ -68,9 +68,9 @@
             await self.answers.wait()
             await super().answer(request, writer)
 
-    async with FakeReplica() as gone, FakeReplica() as replica, DelayedDiscovery() as discovery:
+    async with FakeReplica() as removed, FakeReplica() as replica, DelayedDiscovery() as discovery:
         discovery.change(replica)
-        pushed = Program(gone, discovery=discovery)
+        pushed = Program(removed, discovery=discovery)
         pushed.settings["discovery"] = "automatic"
         async with pushed as program:
             await until(lambda: bool(discovery.seen))
@@ -80,4 +80,4 @@
                 await until(lambda: program.log("phase", now="ready") is not None)
                 assert (await client.request(UP))[0] == 200
                 assert (await client.request(request_bytes(1)))[0] == 200
-        assert not gone.seen and len(replica.seen) == 1
+        assert not removed.seen and len(replica.seen) == 1
--- a/tests/lifecycle/test_requests.py
+++ b/tests/lifecycle/test_requests.py
@@ -72,7 +72,7 @@
 
 @run
 async def test_each_kind_of_response_counts_as_its_outcome() -> None:
-    """Each shape of response, and the outcome that the totals count it as."""
+    """The totals count each shape of response under the outcome that it has for the balancer."""
     shapes = {
         "error": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",  # no header says that it was declined
         "overloaded": b"HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
@@ -94,7 +94,7 @@
             status = (await client.request(request_bytes(1, deadline=400)))[0]
             assert status == (503 if outcome == "overloaded" else 502)
             await program.terminate()
-            assert program.log("totals")[f"outcome_{outcome}"] >= 1  # type: ignore[index]
+            assert program.log("totals")[f"outcome_{outcome}"] >= 1  # type: ignore[index]  # logged as the program ends
 
 
 MALFORMED = [
@@ -181,7 +181,7 @@
                 0
             ] == 503  # an overload response: the request never ran
             await program.terminate()
-            assert program.log("totals")["outcome_connect_failed"] >= 1  # type: ignore[index]
+            assert program.log("totals")["outcome_connect_failed"] >= 1  # type: ignore[index]  # logged as the program ends
 
 
 @run
@@ -191,7 +191,7 @@
             client.writer.write(request_bytes(1, deadline=3000))
             await until(lambda: bool(replica.seen))
         await program.terminate()
-        assert program.log("totals")["client_disconnected"] == 1  # type: ignore[index]
+        assert program.log("totals")["client_disconnected"] == 1  # type: ignore[index]  # logged as the program ends
 
 
 INVALID_REQUESTS = {
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -133,7 +133,7 @@
         self.raw: bytes | None = None  # sent once instead of the list
 
     def change(self, *replicas: FakeReplica, state: str = "up") -> None:
-        self.targets = [target(worker, state) for worker in replicas]
+        self.targets = [target(replica, state) for replica in replicas]
         self.rev += 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -175,7 +175,7 @@
         self.operator = operator
         self.env = env or {}
         self.keepalive = keepalive
-        self.known = {"rev": 1, "all": True, "targets": [target(worker) for worker in replicas]}
+        self.known = {"rev": 1, "all": True, "targets": [target(replica) for replica in replicas]}
         self.discovery = discovery.port if discovery is not None else 1
         self.options = options
         self.fifo = False  # whether the configuration is a named pipe that the test writes
@@ -214,7 +214,7 @@
         self.reading = asyncio.ensure_future(self._read_logs())
         await until(lambda: self.log("listening") is not None or self.process.returncode is not None)
         assert self.process.returncode is None, self.raw_logs
-        self.port = self.log("listening")["port"]  # type: ignore[index]
+        self.port = self.log("listening")["port"]  # type: ignore[index]  # awaited above
         return self
 
     async def __aexit__(self, *_: object) -> None:
--- a/tests/wire/clients/test_connection.py
+++ b/tests/wire/clients/test_connection.py
@@ -143,12 +143,12 @@
 
 
 def test_input_behind_a_request_does_not_cost_its_response() -> None:
-    """Hundreds of requests, or garbage, used to end the connection with a request still open: it was lost."""
+    """Regression: hundreds of requests, or garbage, ended the connection while a request was open."""
 
     async def pipelined(client: ConnectedClient) -> None:
         client.send(b"".join(request_bytes(number) for number in range(1, 200)))
         for number in range(client_connection.MAX_PIPELINED_REQUESTS):
-            await until(lambda number=number: len(client.world.started) == number + 1)  # type: ignore[misc]
+            await until(lambda number=number: len(client.world.started) == number + 1)  # type: ignore[misc]  # mypy infers no lambda with a default
             client.world.started[number].stream_received(EVENTS[0])
             client.world.started[number].end(Outcome.OK)
         response = await client.read_until(b"ahead\n")
@@ -192,7 +192,7 @@
     run_with_client(test)
 
 
-def test_connection_without_a_byte_is_closed_and_one_that_was_used_is_kept() -> None:
+def test_connection_without_a_byte_is_closed_and_one_that_was_used_stays_open() -> None:
     async def test(client: ConnectedClient) -> None:
         late = asyncio.get_running_loop().time() + client_connection.FIRST_BYTE_TIMEOUT_SECONDS + 0.1
         silent = new_client()
@@ -208,7 +208,7 @@
 
 
 def test_of_a_body_past_the_limit_only_the_beginning_is_read() -> None:
-    """60 MB read and discarded took the CPU time of all other connections."""
+    """Regression: 60 MB that were read and discarded took the CPU time of all other connections."""
 
     async def test(client: ConnectedClient) -> None:
         client.send(request_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 60000000"))
@@ -264,7 +264,7 @@
 
 
 def test_tenant_that_a_client_names_reaches_the_balancer() -> None:
-    """All requests counted as the first tenant's: one that flooded delayed those within their quota."""
+    """Regression: all requests counted as the first tenant's, and one tenant's flood delayed the others."""
 
     async def test(client: ConnectedClient) -> None:
         client.front.reconfigure({"docs": 0}, 8, 48_000_000, {"north": 0, "south": 1})
@@ -272,7 +272,7 @@
         for index, tenant in enumerate(tenants):
             header: dict[str, Any] = {"Req-Owner": tenant}
             client.send(request_bytes(index + 1, **header))
-            await until(lambda index=index: len(client.world.started) > index)  # type: ignore[misc]
+            await until(lambda index=index: len(client.world.started) > index)  # type: ignore[misc]  # mypy infers no lambda with a default
             attempt = client.world.started[index]
             event = client.world.core.balancer.requests[attempt.request.number].arrived
             assert event.tenant == {"south": 1}.get(tenant, 0)
--- a/tests/wire/discovery/test_endpoint_list.py
+++ b/tests/wire/discovery/test_endpoint_list.py
@@ -22,40 +22,42 @@
 TARGET = {"uid": "s-1", "endpoint": "127.0.0.1:5000", "az": "a", "pod_group": 3, "state": "up", "boot_ms": 5}
 
 
-def a_list(*targets: object, whole: bool = True) -> bytes:
-    return json.dumps({"rev": 4, "all": whole, "targets": targets}).encode()
+def list_body(*targets: object, complete: bool = True) -> bytes:
+    return json.dumps({"rev": 4, "all": complete, "targets": targets}).encode()
 
 
-def test_of_a_replica_that_a_whole_list_names_twice_only_a_drain_is_believed() -> None:
+def test_of_a_replica_that_a_complete_list_names_twice_only_a_drain_is_applied() -> None:
     twice = [TARGET, TARGET | {"state": "draining"}, TARGET | {"uid": "s-2"}]
-    answer = decode_endpoint_list(a_list(*twice))
-    assert [(entry.uid, entry.state) for entry in answer.update.entries] == [
+    response = decode_endpoint_list(list_body(*twice))
+    assert [(entry.uid, entry.state) for entry in response.update.entries] == [
         ("s-1", ReplicaState.DRAINING),
         ("s-2", ReplicaState.READY),
     ]
     with pytest.raises(EndpointListError, match="uid 's-1' is listed twice; name each replica once"):
-        answer.require_complete()
-    both = decode_endpoint_list(a_list(TARGET, TARGET))
+        response.require_complete()
+    both = decode_endpoint_list(list_body(TARGET, TARGET))
     assert both.faults and not both.update.entries and both.update.unreadable == {"s-1"}
-    changes = decode_endpoint_list(a_list(*twice[:2], whole=False)).require_complete()
+    changes = decode_endpoint_list(list_body(*twice[:2], complete=False)).require_complete()
     assert [entry.state for entry in changes.entries] == [
         ReplicaState.READY,
         ReplicaState.DRAINING,
-    ]  # changes come in their order
+    ]  # changes are applied in their order
 
 
-def test_lists_are_read() -> None:
-    update = decode_endpoint_list(a_list(TARGET, whole=False)).require_complete()
+def test_lists_are_decoded() -> None:
+    update = decode_endpoint_list(list_body(TARGET, complete=False)).require_complete()
     assert (update.version, update.complete) == (4, False)
     entry = update.entries[0]
     assert (entry.uid, entry.endpoint, entry.cell, entry.boot_ms) == ("s-1", ("127.0.0.1", 5000), 3, 5)
-    gone = {"uid": "s-1", "state": "removed"}  # what is gone needs no address
-    assert decode_endpoint_list(a_list(gone)).require_complete().entries[0].state is ReplicaState.REMOVED
+    removed = {"uid": "s-1", "state": "removed"}  # a removed replica needs no address
+    assert (
+        decode_endpoint_list(list_body(removed)).require_complete().entries[0].state is ReplicaState.REMOVED
+    )
 
 
-def test_a_list_tells_the_kind_of_machine_where_it_is_a_name() -> None:
+def test_a_machine_kind_that_is_not_a_name_is_decoded_as_unknown() -> None:
     for given_kind, kind in (("m2", "m2"), (7, ""), (None, "")):
-        update = decode_endpoint_list(a_list(TARGET | {"model": given_kind})).require_complete()
+        update = decode_endpoint_list(list_body(TARGET | {"model": given_kind})).require_complete()
         assert update.entries[0].machine_kind == kind
 
 
@@ -70,31 +72,31 @@
         {"capacity_hint": True},
     ],
 )
-def test_an_entry_that_cannot_be_read_is_named_and_costs_no_other(change: dict[str, object]) -> None:
-    answer = decode_endpoint_list(a_list(TARGET | change, TARGET | {"uid": "s-2"}))
-    assert [entry.uid for entry in answer.update.entries] == ["s-2"]
+def test_an_entry_that_cannot_be_decoded_is_reported_and_affects_no_other(change: dict[str, object]) -> None:
+    response = decode_endpoint_list(list_body(TARGET | change, TARGET | {"uid": "s-2"}))
+    assert [entry.uid for entry in response.update.entries] == ["s-2"]
     with pytest.raises(EndpointListError, match="|".join([*map(re.escape, change), "nowhere", "a:0"])):
-        answer.require_complete()
+        response.require_complete()
     # The replica stays as it is: by its uid, or since nothing is concluded from what the list doesn't name.
-    assert answer.update.unreadable == {"s-1"} if "uid" not in change else not answer.update.complete
+    assert response.update.unreadable == {"s-1"} if "uid" not in change else not response.update.complete
 
 
 @pytest.mark.parametrize("state", ["draining", "removed"])
-def test_a_drain_takes_effect_whatever_else_of_its_entry_cannot_be_read(state: str) -> None:
-    answer = decode_endpoint_list(a_list(TARGET | {"state": state, "endpoint": 5, "boot_ms": "x"}))
-    assert [(entry.uid, entry.state) for entry in answer.update.entries] == [("s-1", STATES[state])]
-    assert answer.faults
+def test_a_drain_is_applied_whatever_else_of_its_entry_cannot_be_decoded(state: str) -> None:
+    response = decode_endpoint_list(list_body(TARGET | {"state": state, "endpoint": 5, "boot_ms": "x"}))
+    assert [(entry.uid, entry.state) for entry in response.update.entries] == [("s-1", STATES[state])]
+    assert response.faults
 
 
-def test_of_an_older_answer_only_what_takes_replicas_out_of_use_is_kept() -> None:
+def test_of_a_stale_list_only_drains_and_removals_are_applied() -> None:
     update = decode_endpoint_list(
-        a_list(TARGET, TARGET | {"uid": "s-2", "state": "draining"})
+        list_body(TARGET, TARGET | {"uid": "s-2", "state": "draining"})
     ).require_complete()
-    kept = without_ready_replicas(update)
+    applied = without_ready_replicas(update)
     assert (
-        [entry.uid for entry in kept.entries] == ["s-2"]
-        and not kept.complete
-        and kept.version == UNKNOWN_VERSION
+        [entry.uid for entry in applied.entries] == ["s-2"]
+        and not applied.complete
+        and applied.version == UNKNOWN_VERSION
     )
 
 
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -43,7 +43,7 @@
 
 
 class SilentDiscovery(FakeDiscovery):
-    """Never responds to some requests, by their numbers; their connections stay open."""
+    """Never responds to the requests with these numbers, counted from 1; their connections stay open."""
 
     def __init__(self, silent: Container[int]) -> None:
         super().__init__()
@@ -81,7 +81,7 @@
 
 
 def test_a_lost_watch_is_reopened_at_once() -> None:
-    """Its changes are in force 2 s after its hold; a backoff of up to 5 s violated the drain rule."""
+    """Regression: a backoff of up to 5 s before the next request violated the drain rule."""
     listener = RecordingListener(1)
     times = asyncio.run(request_times({2}, listener, updates=2))
     assert len(listener.updates) == 2 and not listener.failed
@@ -97,7 +97,7 @@
 def test_a_request_for_the_complete_list_times_out_long_before_a_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It has no hold, and its changes are in force after 6 s: it had the timeout of a watch."""
+    """Regression: it had the timeout of a watch, though changes must be applied within 6 s."""
     monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.2)
     listener = RecordingListener(-1)
     asyncio.run(request_times({1}, listener, hold_ms=60_000))
@@ -105,7 +105,7 @@
 
 
 def test_the_time_to_connect_does_not_shorten_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A watch was lost before its hold was over, or counted as failed."""
+    """Regression: a watch was lost before its hold was over, or counted as failed."""
     monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 20.0)
 
     async def scenario() -> None:
@@ -146,7 +146,7 @@
 def run_with_watch(
     test: Callable[[watch.DiscoveryWatch, ScriptedServer, RecordingListener], Awaitable[None]],
 ) -> None:
-    """Run a test that takes the part of discovery."""
+    """Run a test that acts as discovery."""
 
     async def scenario() -> None:
         peer, listener = ScriptedServer(), RecordingListener(1)
@@ -162,7 +162,7 @@
 @pytest.mark.parametrize("extra", [list_response(2), b"HTTP/1.1 2"], ids=["a second response", "half a line"])
 @pytest.mark.parametrize("late", [False, True], ids=["with the response", "after it"])
 def test_bytes_after_a_response_are_never_read_as_the_next_response(extra: bytes, late: bool) -> None:
-    """Each later request would have got the response to the one before it."""
+    """Regression: each later request got the response to the one before it."""
 
     async def test(
         discovery_watch: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener
@@ -183,7 +183,7 @@
 
 
 def test_a_list_received_as_discovery_moves_is_applied_without_its_version() -> None:
-    """Its changes are in force, but its version means nothing to the new service, and would hide changes."""
+    """The version of the old service means nothing to the new one: requests from it would miss changes."""
 
     async def test(
         discovery_watch: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener
@@ -205,7 +205,7 @@
 def test_an_exception_while_a_list_is_applied_is_reported_as_a_failure(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The list would never have changed again, without a report."""
+    """Regression: the watch ended without a report, and the list never changed again."""
 
     async def test(
         discovery_watch: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener
--- a/tests/wire/drain_checker.py
+++ b/tests/wire/drain_checker.py
@@ -31,8 +31,10 @@
 
     def far_from_faults(self) -> bool:
         """Whether no fault of the schedule is near."""
-        day = self.schedule
-        times = [at for at, _ in day.faults] + [at for begin, end, _ in day.outages for at in (begin, end)]
+        schedule = self.schedule
+        times = [at for at, _ in schedule.faults] + [
+            at for begin, end, _ in schedule.outages for at in (begin, end)
+        ]
         return all(abs(at - self.now()) > MAX_PROPAGATION_TIME + 2 for at in times)
 
     def record_change(self, uid: str, state: str) -> None:
--- a/tests/wire/drain_schedule.py
+++ b/tests/wire/drain_schedule.py
@@ -22,7 +22,7 @@
     SPLIT = auto()  # the second half of the next response is late
     BAD_ENTRY = auto()  # the next response has an entry that can't be decoded
     STALE = auto()  # the next response is the list as it was at the start
-    LATE = auto()  # the next response comes just before its deadline, and the one after it is lost
+    LATE = auto()  # the next response arrives just before its deadline, and the one after it is lost
 
 
 class Outage(Enum):
@@ -54,31 +54,34 @@
     The end of an outage counts as a fault. With a single fault, so does the start, since hundreds of gateways
     that start together are polling in turn.
     """
-    day, now = Schedule(), random_.uniform(0.0, 4.0) + (MAX_PROPAGATION_TIME if faults_in_a_row == 1 else 0.0)
+    schedule = Schedule()
+    now = random_.uniform(0.0, 4.0) + (MAX_PROPAGATION_TIME if faults_in_a_row == 1 else 0.0)
     while now < DURATION - 10:
-        left = faults_in_a_row
+        remaining = faults_in_a_row
         if random_.random() < 0.4:
             end = now + random_.uniform(0.5, 7.0)
-            day.outages.append((now, end, random_.choice(list(Outage))))
-            now, left = end, left - 1
-        # A stale list that comes twice is applied, rightly: so no fault comes twice.
-        for fault in random_.sample(list(Fault), left):
+            schedule.outages.append((now, end, random_.choice(list(Outage))))
+            now, remaining = end, remaining - 1
+        # A stale list that arrives twice is applied, rightly: so no fault occurs twice.
+        for fault in random_.sample(list(Fault), remaining):
             now += random_.uniform(0.0, 2.0)
-            day.faults.append((now, fault))
+            schedule.faults.append((now, fault))
             if fault is Fault.LATE:
                 break
         now += MAX_PROPAGATION_TIME + 2.5
-    day.endpoint_changes = [random_.uniform(5, DURATION) for _ in range(random_.choice((0, 0, 1)))]
-    day.busy_periods = [(random_.uniform(0, DURATION), random_.uniform(0.05, 0.3)) for _ in range(6)]
-    times = [at for at, _ in day.faults] + [end for _, end, _ in day.outages] + day.endpoint_changes + [0.0]
+    schedule.endpoint_changes = [random_.uniform(5, DURATION) for _ in range(random_.choice((0, 0, 1)))]
+    schedule.busy_periods = [(random_.uniform(0, DURATION), random_.uniform(0.05, 0.3)) for _ in range(6)]
+    fault_times = [at for at, _ in schedule.faults]
+    outage_ends = [end for _, end, _ in schedule.outages]
+    times = [*fault_times, *outage_ends, *schedule.endpoint_changes, 0.0]
     for uid in random_.sample(range(REPLICAS), REPLICAS - 2):
-        # Drains come close to other events: before, during and soon after them.
+        # Drains are close to other events: before, during and soon after them.
         at = max(-3.0, random_.choice(times) + random_.uniform(-1.5, 2.5))
-        day.changes.append((at, f"r{uid}", random_.choice(("draining", "removed"))))
+        schedule.changes.append((at, f"r{uid}", random_.choice(("draining", "removed"))))
         if random_.random() < 0.4:
-            day.changes.append((at + random_.uniform(9.0, 15.0), f"r{uid}", "up"))
-    day.changes.sort()
+            schedule.changes.append((at + random_.uniform(9.0, 15.0), f"r{uid}", "up"))
+    schedule.changes.sort()
     for _ in range(random_.choice((0, 0, 1, 2))):
         at = max(0.5, random_.choice(times) + random_.uniform(-0.5, 2.0))
-        day.bans.append((at, at + random_.uniform(0.5, 8.0), f"r{random_.randrange(REPLICAS)}"))
-    return day
+        schedule.bans.append((at, at + random_.uniform(0.5, 8.0), f"r{random_.randrange(REPLICAS)}"))
+    return schedule
--- a/tests/wire/drain_simulation.py
+++ b/tests/wire/drain_simulation.py
@@ -27,7 +27,7 @@
 from tests.wire.drain_fakes import DISCOVERY_ADDRESSES, FakeDiscovery, FakeReplicas
 from tests.wire.drain_schedule import DURATION, REPLICAS, draw_schedule
 
-REQUEST_RATE = 12.0  # requests a second
+REQUEST_RATE = 12.0  # requests per second
 
 
 class DiscardingWriter:
@@ -93,19 +93,19 @@
         return self.checker
 
     def _events(self) -> list[tuple[float, Callable[[], Any]]]:
-        day, discovery = self.schedule, self.discovery
+        schedule, discovery = self.schedule, self.discovery
         events: list[tuple[float, Callable[[], Any]]] = []
-        for at, fault in day.faults:
+        for at, fault in schedule.faults:
             events.append((at, partial(discovery.inject, fault)))
-        for begin, end, outage in day.outages:
+        for begin, end, outage in schedule.outages:
             events += [(begin, partial(discovery.begin_outage, outage)), (end, discovery.end_outage)]
-        for at, uid, state in day.changes:
+        for at, uid, state in schedule.changes:
             events.append((at, partial(discovery.change, uid, state)))
-        for at in day.endpoint_changes:
+        for at in schedule.endpoint_changes:
             events.append((at, partial(self.watch.change_endpoint, DISCOVERY_ADDRESSES[1])))
-        for at, span in day.busy_periods:
+        for at, span in schedule.busy_periods:
             events.append((at, partial(self.loop.pass_time, span)))
-        for begin, end, uid in day.bans:
+        for begin, end, uid in schedule.bans:
             events += [(begin, partial(self._ban, uid, True)), (end, partial(self._ban, uid, False))]
         at = 0.0
         while (at := at + self.random.expovariate(REQUEST_RATE)) < DURATION:
--- a/tests/wire/http/test_request_parser.py
+++ b/tests/wire/http/test_request_parser.py
@@ -46,7 +46,7 @@
         (POST + b"Transfer-Encoding: gzip, chunked\r\n\r\n", 501),
         (POST + b"Transfer-Encoding: chunked\r\n\r\n0x5\r\nhello\r\n", 400),
         (POST + b"Transfer-Encoding: chunked\r\n\r\n5\r\nhello!\r\n", 400),
-        # Limits, enforced before the body comes.
+        # Limits, enforced before the body arrives.
         (POST + b"Content-Length: 262145\r\n\r\n", 413),
         (POST + b"Transfer-Encoding: chunked\r\n\r\n40001\r\n", 413),
         (POST + b"X: " + b"a" * HEAD_LIMIT, 431),
--- a/tests/wire/operators/test_front.py
+++ b/tests/wire/operators/test_front.py
@@ -37,7 +37,7 @@
 async def test_requests_are_answered_while_other_connections_stay_incomplete() -> None:
     async with FakeReplica() as replica, Program(replica, operator=True) as program:
         assert await operate(program, "ready", "GET") == 200
-        port = program.log("operators_listening")["port"]  # type: ignore[index]
+        port = program.log("operators_listening")["port"]  # type: ignore[index]  # `operate` waits for this line
         silent = [await asyncio.open_connection("127.0.0.1", port) for _ in range(12)]
         for _, writer in silent[::2]:
             writer.write(b"GET /control/rea")
@@ -137,21 +137,19 @@
             assert len(one.seen) > before
 
 
-def test_a_file_of_bans_that_is_cut_anywhere_is_whole_or_not_there(tmp_path: Path) -> None:
+def test_a_truncated_or_changed_file_of_bans_is_not_used(tmp_path: Path) -> None:
     file = tmp_path / "n1.bans.json"
     assert read_bans(file) == []
     write_bans(file, ["s-2", "s-1"])
-    whole = file.read_bytes()
+    complete = file.read_bytes()
     assert read_bans(file) == ["s-1", "s-2"] and [one.name for one in tmp_path.iterdir()] == [file.name]
-    for end in range(len(whole)):
-        file.write_bytes(whole[:end])
+    for end in range(len(complete)):
+        file.write_bytes(complete[:end])
         assert read_bans(file) == [], end
-    file.write_bytes(whole.replace(b"s-1", b"s-3"))
+    file.write_bytes(complete.replace(b"s-1", b"s-3"))
     assert read_bans(file) == []
 
 
-def test_a_folder_that_takes_no_file_is_told_and_ends_nothing(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_a_failure_to_write_bans_is_only_logged(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     write_bans(tmp_path / "missing" / "n1.bans.json", ["s-1"])
     assert "bans_write_failed" in capsys.readouterr().out
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -39,7 +39,7 @@
     assert keep_alive.idle_timeout(START + 1000 + 6 * RECOVERY_INTERVAL) == 8.0
 
 
-def test_an_idle_timeout_below_the_minimum_in_the_settings_is_kept() -> None:
+def test_an_idle_timeout_below_the_minimum_in_the_settings_is_not_raised() -> None:
     keep_alive = KeepAlive(0.1)
     keep_alive.connection_rejected(START)
     assert keep_alive.idle_timeout(START) == 0.1 and KeepAlive(0.0).idle_timeout(START) == 0.0
@@ -78,7 +78,7 @@
 
 
 def test_only_a_rejected_new_connection_halves_the_idle_timeout() -> None:
-    """Of 4,861 attempts 1,580 were rejected by full replicas while 630 of 1,000 connections were idle."""
+    """Regression: full replicas rejected 1,580 of 4,861 attempts while 630 of 1,000 connections were idle."""
 
     async def scenario() -> None:
         server = await asyncio.start_server(serve_replica, "127.0.0.1", 0)
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -37,7 +37,7 @@
 
 
 def remaining_ms(sent_at: float) -> float:
-    """What the client has left of its deadline, plus the tolerance."""
+    """Milliseconds that remain until the client's deadline, plus the tolerance."""
     return DEADLINE_MS - (time.monotonic() - sent_at) * 1000 + TOLERANCE_MS
 
 
@@ -72,7 +72,7 @@
 
 
 def test_a_pipelined_request_gets_the_time_that_remains_after_the_one_before_it() -> None:
-    """Its deadline began with its turn, so that it had more time than its client."""
+    """Regression: its deadline began with its turn, so that it had more time than its client."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -16,7 +16,6 @@
 from structlog.testing import capture_logs
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.wire.clients.connection import ClientConnection
 from lockspoke.wire.discovery import connection as discovery_connection
 from lockspoke.wire.discovery.connection import WATCH_GRACE
 from lockspoke.wire.discovery.follower import UNCHANGED_PAUSE
@@ -38,9 +37,9 @@
     return {"uid": uid, "endpoint": f"{host}:{port}", "az": "z", "state": state, "boot_ms": 0}
 
 
-def list_response(rev: int, *targets: Any, whole: bool = False) -> bytes:
+def list_response(rev: int, *targets: Any, complete: bool = False) -> bytes:
     """A response of discovery."""
-    body = json.dumps({"rev": rev, "all": whole, "targets": targets}).encode()
+    body = json.dumps({"rev": rev, "all": complete, "targets": targets}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
@@ -70,7 +69,6 @@
         """Submit a request without yielding to the loop; the balancer chooses a replica."""
         client.send(request_bytes(1))
         (connection,) = self.gateway.front.listener.connections
-        assert isinstance(connection, ClientConnection)
         connection._receive(connection.stream.socket.recv(65536))
 
     def listed_state(self, uid: str) -> ReplicaState:
@@ -98,7 +96,7 @@
             line.send(RESPONSE)
             await client.read_until(b"0\r\n\r\n")
             settled = loop.time() + 2 * SETTLE_TIME
-            await until(lambda until_then=settled: loop.time() > until_then)  # type: ignore[misc]
+            await until(lambda until_then=settled: loop.time() > until_then)  # type: ignore[misc]  # mypy infers no lambda with a default
         return lines
 
     def chosen_replica(self) -> tuple[str, ScriptedServer]:
@@ -109,7 +107,7 @@
 
 
 def run_scenario(test: Callable[[DrainScenario], Awaitable[None]], **options: Any) -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         scene = DrainScenario(**options)
         async with scene.gateway:
             try:
@@ -117,7 +115,7 @@
             finally:
                 scene.watch.close()
 
-    asyncio.run(whole())
+    asyncio.run(scenario())
 
 
 async def idle_client(scene: DrainScenario) -> RawConnection:
@@ -127,7 +125,7 @@
 
 
 def test_a_drain_unread_while_the_loop_is_busy_is_applied_before_any_request_is_sent() -> None:
-    """The loop was busy for longer than the grace period; requests were written before the drain was read."""
+    """Regression: after a pause of the loop, requests were written before the drain was read."""
 
     async def test(scene: DrainScenario) -> None:
         line, client = await scene.start_watch(), await idle_client(scene)
@@ -146,15 +144,15 @@
 
 
 def test_a_response_that_arrives_at_its_deadline_is_applied() -> None:
-    """Its bytes were read, and the request was timed out in the same iteration of the loop."""
+    """Regression: its bytes were read, and the request was timed out in the same iteration of the loop."""
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
-        held = asyncio.get_running_loop().time() + SHORT_HOLD_MS / 1000 + WATCH_GRACE + 0.05
-        while asyncio.get_running_loop().time() < held - 0.1:
+        timeout_at = asyncio.get_running_loop().time() + SHORT_HOLD_MS / 1000 + WATCH_GRACE + 0.05
+        while asyncio.get_running_loop().time() < timeout_at - 0.1:
             await asyncio.sleep(0.01)
         line.send(scene.drain_of_first)
-        block_event_loop(max(0.0, held - asyncio.get_running_loop().time()))
+        block_event_loop(max(0.0, timeout_at - asyncio.get_running_loop().time()))
         await until(lambda: scene.gateway.replica_set.version == 2)
         assert scene.listed_state("w0") is ReplicaState.DRAINING
 
@@ -162,14 +160,14 @@
 
 
 def test_a_drain_written_as_discovery_moved_is_applied() -> None:
-    """The old service had written it, and it was lost with the connection; the new service may be slow."""
+    """Regression: the drain was lost with the connection to the old service; the new one may be slow."""
 
     async def test(scene: DrainScenario) -> None:
         line, slow = await scene.start_watch(), ScriptedServer()
         line.send(scene.drain_of_first)
         scene.watch.change_endpoint(slow.endpoint)
-        taken = await slow.accept()
-        assert b"from=" not in await taken.read_until(b"\r\n\r\n"), "versions are each service's own"
+        new_connection = await slow.accept()
+        assert b"from=" not in await new_connection.read_until(b"\r\n\r\n"), "versions are each service's own"
         await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
         assert scene.gateway.replica_set.version == -1
 
@@ -191,7 +189,7 @@
 
 @pytest.mark.parametrize("bad", [{"uid": 5}, {"uid": "w1", "state": "odd"}, 7, {"uid": "w1", "state": "up"}])
 def test_a_drain_beside_an_unreadable_entry_is_applied(bad: Any) -> None:
-    """One malformed entry made the whole response unusable, with its valid drains."""
+    """Regression: one malformed entry made the entire response unusable, with its valid drains."""
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
@@ -203,27 +201,27 @@
 
 
 def test_a_stale_response_makes_no_drained_replica_ready() -> None:
-    """Its version and entries were applied as they were; the complete list is requested instead."""
+    """Regression: its version and entries were applied; the complete list must be requested instead."""
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
         line.send(scene.drain_of_first)
         await line.read_until(b"from=2&")
-        line.send(list_response(1, entry("w0", scene.first), entry("w1", scene.second), whole=True))
+        line.send(list_response(1, entry("w0", scene.first), entry("w1", scene.second), complete=True))
         assert b"from=" not in await line.read_until(b"\r\n\r\n")
         assert (
             scene.listed_state("w0") is ReplicaState.DRAINING
             and scene.listed_state("w1") is ReplicaState.READY
         )
-        line.send(list_response(1, entry("w0", scene.first), entry("w1", scene.second), whole=True))
+        line.send(list_response(1, entry("w0", scene.first), entry("w1", scene.second), complete=True))
         await line.read_until(b"from=1&")
         assert scene.listed_state("w0") is ReplicaState.READY, "a complete list is applied"
 
     run_scenario(test)
 
 
-def test_a_restarted_service_with_lower_versions_is_asked_for_its_complete_list() -> None:
-    """Its changes up to that version were never requested."""
+def test_the_complete_list_is_requested_from_a_restarted_service_with_lower_versions() -> None:
+    """Regression: its changes up to that version were never requested."""
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
@@ -269,7 +267,7 @@
 
 
 def test_a_response_that_does_not_end_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It arrived a byte at a time, without a limit."""
+    """Regression: a response that arrived a byte at a time had no time limit."""
     monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.3)
 
     async def test(scene: DrainScenario) -> None:
@@ -300,19 +298,19 @@
 
 
 def test_the_last_response_of_a_former_service_does_not_end_the_poll_of_the_new_one() -> None:
-    """It counted as the response to the failed request, so the list was not polled again."""
+    """Regression: it counted as the response to the failed poll, so the list was not polled again."""
 
     async def test(scene: DrainScenario) -> None:
         line, new = await scene.start_watch(), ScriptedServer()
         scene.watch.change_endpoint(new.endpoint)
-        refusing = await new.accept()
-        await refusing.read_until(b"\r\n\r\n")
-        refusing.send(MALFORMED_RESPONSES["an overload"])
-        assert await refusing.read_to_end() == b""
+        overloaded = await new.accept()
+        await overloaded.read_until(b"\r\n\r\n")
+        overloaded.send(MALFORMED_RESPONSES["an overload"])
+        assert await overloaded.read_to_end() == b""
         line.send(scene.drain_of_first)
         await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
-        asking = await new.accept()
-        assert b"from=" not in await asking.read_until(b"\r\n\r\n")
+        retry = await new.accept()
+        assert b"from=" not in await retry.read_until(b"\r\n\r\n")
 
     run_scenario(test, polls=True)
 
@@ -327,11 +325,11 @@
 
 
 def test_a_former_follower_with_a_response_does_not_wait_for_other_followers() -> None:
-    """After two moves it waited for its own response to be applied, and no request was sent any more."""
+    """Regression: after two moves it waited for its own response, and no request was sent any more."""
 
     async def test(scene: DrainScenario) -> None:
         line, former, new = await scene.start_watch(), UnfinishedFollower(), ScriptedServer()
-        scene.watch._former_followers.append(former)  # type: ignore[arg-type]
+        scene.watch._former_followers.append(former)  # type: ignore[arg-type]  # a fake with what the watch uses
         line.send(scene.drain_of_first)
         await until(
             lambda: scene.watch._current_follower is not None and scene.watch._current_follower._applying
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -44,7 +44,6 @@
 
 def client_connection(gateway: Gateway) -> ClientConnection:
     (one,) = gateway.front.listener.connections
-    assert isinstance(one, ClientConnection)
     return one
 
 
@@ -102,7 +101,7 @@
 
 
 def test_a_slow_client_gets_the_end_of_its_last_response_after_the_linger_time() -> None:
-    """The connection was closed a second after the response, with bytes that the client had not received."""
+    """Regression: the connection was closed with bytes that the client had not received."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, replica = await slow_stream(gateway, peer)
@@ -119,7 +118,7 @@
 
 
 def test_bytes_received_during_the_last_response_do_not_truncate_it() -> None:
-    """A close with unread bytes resets the connection: the kernel dropped the rest of the response."""
+    """Regression: a close over unread input resets the connection, and the rest of the response was lost."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, replica = await slow_stream(gateway, peer)
@@ -151,7 +150,7 @@
         await replica.read_until(b"{}")
         replica.send(STREAM_HEAD)
         for event in (EVENTS[0], EVENTS[1], EVENTS[0]):
-            replica.send(chunk(event))  # the next is not written before this one has been passed on
+            replica.send(chunk(event))  # the next is not written before this one has been forwarded
             assert (await client.read_until(chunk(event))).endswith(chunk(event))
         replica.send(chunk(b""))
         assert (await client.read_to_end()).endswith(chunk(b""))
@@ -173,7 +172,9 @@
     return client, replica
 
 
-@pytest.mark.parametrize("late", [RESPONSE, b"HTTP/1.1 2", b""], ids=["answer", "half a line", "end"])
+@pytest.mark.parametrize(
+    "late", [RESPONSE, b"HTTP/1.1 2", b""], ids=["a second response", "half a line", "a close"]
+)
 def test_what_a_replica_sends_after_its_response_is_never_read_as_the_next_response(late: bytes) -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, first = await idle_connection_pair(gateway, peer)
@@ -195,10 +196,10 @@
 
 
 @pytest.mark.parametrize(
-    ("whole", "outcome", "status"), [(False, "connect_failed", b"503"), (True, "reset", b"502")]
+    ("complete", "outcome", "status"), [(False, "connect_failed", b"503"), (True, "reset", b"502")]
 )
 def test_a_replica_that_resets_may_have_run_a_request_only_if_its_last_byte_was_written(
-    monkeypatch: pytest.MonkeyPatch, whole: bool, outcome: str, status: bytes
+    monkeypatch: pytest.MonkeyPatch, complete: bool, outcome: str, status: bytes
 ) -> None:
     """Of a class that is not idempotent: if rejected, its client retries; if failed, it does not."""
 
@@ -212,7 +213,7 @@
         sent = request_bytes(1, body=b"x" * 200_000)
         await asyncio.get_running_loop().sock_sendall(client.sock, sent)
         replica = await peer.accept()
-        await replica.read_until(b"x" * 200_000 if whole else b"\r\n\r\n")
+        await replica.read_until(b"x" * 200_000 if complete else b"\r\n\r\n")
         replica.reset()
         assert status in await client.read_until(b"\r\n\r\n")
         assert gateway.core.totals.attempt_outcomes[Outcome[outcome.upper()]] == gateway.core.totals.attempts
@@ -238,7 +239,7 @@
 def test_nothing_is_written_to_a_connection_that_is_established_too_late(
     happens: Callable[[Gateway, RawConnection], Awaitable[None]],
 ) -> None:
-    """The client had disconnected, or the replica had moved, and the request was written all the same."""
+    """Regression: the request was written although the client had disconnected or the replica had moved."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
@@ -261,7 +262,7 @@
     replica = await peer.accept()
     await replica.read_until(b"{}")
     replica.send(OVERLOADED_RESPONSE)
-    # in the loop iteration of the rejection, after which it would wait for capacity and a retry
+    # In the same loop iteration: after the rejection the request would wait for capacity and a retry.
     client.close()
 
 
@@ -294,7 +295,7 @@
 
 @pytest.mark.parametrize("pipelined", [False, True])
 def test_nothing_is_sent_for_a_client_whose_close_is_unread_in_a_busy_loop(pipelined: bool) -> None:
-    """It had disconnected more than 0.1 s before, and its request was written: the close was unread."""
+    """Regression: the request was written more than 0.1 s after its client had disconnected."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, replica = await idle_connection_pair(gateway, peer)
@@ -329,7 +330,7 @@
 
 
 def test_pipelined_requests_are_all_answered_by_a_gateway_that_stops() -> None:
-    """The first response ended the connection, and the requests read after it got none."""
+    """Regression: the first response ended the connection, and the requests read after it got none."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await idle_client(gateway)
@@ -378,7 +379,7 @@
     run_scenario(test)
 
 
-def test_a_running_stream_is_handed_off_once_all_received_events_are_passed_on() -> None:
+def test_a_running_stream_is_handed_off_once_all_received_events_are_forwarded() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         client.send(request_bytes(1))
