--- a/lockspoke/balancing/actions.py
+++ b/lockspoke/balancing/actions.py
@@ -1,6 +1,6 @@
-"""The actions that a balancer answers with, for the gateway to carry out in order.
+"""The actions that a balancer returns, for the gateway to carry out in the given order.
 
-Durations are integer nanoseconds.
+Durations are integer nanoseconds. Requests, replicas and timers are named by their numbers in the events.
 """
 
 from __future__ import annotations
@@ -10,32 +10,32 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Send the request's next attempt to a replica. `timeout` 0: until the client gives up."""
+    """Send a request's next attempt to a replica."""
 
     request: int
     replica: int
-    timeout: int = 0
-    start_within: int = 0  # its first byte has to go out within this time, or not at all; 0: no bound
+    timeout: int = 0  # until the first token; 0: until the client's own time-out
+    start_within: int = 0  # unless its first byte is sent within this time, it must not be sent; 0: no bound
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not served, and a retry does no harm."""
+    """Final answer: the request was not served, and the client may safely retry it."""
 
     request: int
-    retry_after: int = 0
+    retry_after: int = 0  # how long the client should wait before a retry; 0: no advice
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, with no word on whether it ran."""
+    """Final answer: the request failed, and may or may not have run."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a `TimerFired`."""
+    """Deliver a `TimerFired` with this token after the delay."""
 
     delay: int
     token: int
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpointList:
-    """Subscribe to changes of the list, or end that."""
+    """Request the endpoint list and watch it for changes, or stop watching it."""
 
     enable: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for whoever is on call."""
+    """Write one line to the log for operators."""
 
     text: str
 
--- a/lockspoke/balancing/admission.py
+++ b/lockspoke/balancing/admission.py
@@ -16,7 +16,7 @@
 TENANT_USAGE_HALF_LIFE = 10 * SECOND
 OVER_QUOTA_FACTOR = 1.5  # times the mean usage of tenants relative to their quotas
 MIN_QUOTA = 1e-9
-FAIR_SHARE = 0.6  # of the share of all requests sent: prompt lengths that fare worse are preferred
+FAIR_SHARE = 0.6  # of the share of all requests sent: prompt lengths with a lower share are preferred
 FAIRNESS_HALF_LIFE = 30 * SECOND  # a burst of some seconds leaves the order as it is
 
 
--- a/lockspoke/balancing/attempt_results.py
+++ b/lockspoke/balancing/attempt_results.py
@@ -12,7 +12,7 @@
 from .tracked import ANSWER_TOKENS, TrackedAttempt, TrackedReplica, TrackedRequest
 
 MAX_OPEN_SHARE = 0.5  # of the ready replicas: when more fail, the fault is shared and not theirs
-CONNECTION_FAILURE_WEIGHT = 3  # failures that a failed connection counts for: one gateway of many sees few
+CONNECTION_FAILURE_WEIGHT = 3  # in failures: with many gateways, each sees few failed connections
 FAILURES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
 CONNECTION_FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET)
 # Utilization that is inferred from latency, where replicas send no load reports:
--- a/lockspoke/balancing/balancer.py
+++ b/lockspoke/balancing/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer of one gateway: hands each event to the parts that decide about it, and returns actions.
+"""The balancer of one gateway: passes each event to the parts that handle it, and returns actions.
 
 Each part has a module of its own: `endpoint_list` and `discovery_polling` (which replicas there are),
 `admission` (the order of waiting requests), `replica_selection` (the replica for an attempt) and
@@ -41,7 +41,7 @@
 MAX_INVALID_VERDICTS = 2  # replicas that find a request invalid; one alone may itself be at fault
 TIMER_TOKEN = 0  # there is one kind of timer: any event makes the balancer look at the time
 
-_NEVER = 1 << 80  # later than any clock
+_NEVER = 1 << 80  # later than any time that a clock shows
 
 
 class Balancer:
@@ -70,7 +70,7 @@
 
     @property
     def replicas(self) -> dict[int, TrackedReplica]:
-        """The replicas of the endpoint list by number, with those that were removed of late."""
+        """The replicas of the endpoint list by number, with those that were removed recently."""
         return self.endpoints.replicas
 
     def reconfigure(self, settings: BalancerSettings) -> None:
@@ -202,7 +202,7 @@
         self.latest_actions.append(SendAttempt(number, replica.number, request.deadline - now, start_within))
 
     def _answer(self, now: int, number: int, request: TrackedRequest) -> None:
-        """Give the final answer: a rejection if the request surely never ran, else a failure."""
+        """Give the final answer: a rejection if the request certainly did not run, else a failure."""
         self.queue.record_answered(now, request)
         if request.attempts_that_may_have_run:
             self.latest_actions.append(Fail(number))
@@ -232,7 +232,7 @@
             self.requests.pop(number, None)
 
     def _set_timer(self, now: int) -> None:
-        """Ask for a timer if the next thing to do comes before the timer that is set."""
+        """Request a timer if something falls due before the pending timer fires."""
         wake_at = _NEVER
         for time in (self.deadlines.earliest(), self._polling.next_poll_at):
             if time is not None and time < wake_at:
--- a/lockspoke/balancing/concurrency_control.py
+++ b/lockspoke/balancing/concurrency_control.py
@@ -14,7 +14,7 @@
 
 TIMELY_SHARE = 0.2  # of the latency objective: a later first token means that the replica holds too much
 EXCUSABLE_SHARE = 0.5  # of the objective: up to that, a load report that shows capacity outweighs the latency
-INCREASE = 0.75  # by a timely first token, over the number of gateways: the load of answers shows late
+INCREASE = 0.75  # by a timely first token, divided by the number of gateways; small, as load shows late
 MAX_GATEWAYS_FOR_INCREASE = 16  # with more, limits would take minutes to rise
 LATENESS_MEMORY = 8  # signals over which the share of late ones is taken
 SHARED_LATENESS = 0.5  # share of late signals above which the fault is not one replica's
--- a/lockspoke/balancing/concurrency_limit.py
+++ b/lockspoke/balancing/concurrency_limit.py
@@ -4,7 +4,7 @@
 
 import math
 
-INITIAL_LIMIT = 2.0  # after a start or an open breaker: as many as the trials; never less for the gateway
+INITIAL_LIMIT = 2.0  # of a replica after a start or an open breaker; also the gateway's minimum
 MIN_REPLICA_LIMIT = 1.0
 DECREASE_FACTOR = 0.7  # what remains of the limit after a late first token, a time-out or an overload
 
@@ -25,11 +25,11 @@
         return self.in_flight < self.limit
 
     def reset(self, *, limited: bool) -> None:
-        """Begin anew: with a low limit that has to be earned back, or with none."""
+        """Start over: with a low limit, which timely first tokens raise again, or with no limit."""
         self.limit = INITIAL_LIMIT if limited else math.inf
 
     def increase(self, step: float) -> None:
-        """Raise the limit by `step` if it was nearly reached; otherwise its height has not been tested."""
+        """Raise the limit by `step` if it was nearly reached; otherwise more load has not been tested."""
         if self.in_flight + 1 >= self.limit:
             self.limit += step
 
--- a/lockspoke/balancing/discovery_polling.py
+++ b/lockspoke/balancing/discovery_polling.py
@@ -14,12 +14,10 @@
 
 POLL_SPACING = SECOND // 12  # between the polls of two gateways when all start at once
 RETRY_BACKOFF = SECOND // 2  # least backoff after a failed poll; the jitter of a few gateways is as long
-LONGEST_START_DELAY = (
-    9 * SECOND // 2
-)  # changes count as known after 6 s; 1.5 s go to a request and its answer
-LONGEST_RETRY_DELAY = (
-    7 * SECOND // 2
-)  # changes count as known after 6 s; 2.5 s go to connecting and an answer
+# A gateway must know a change 6 s after it was published; 1.5 s of them go to a request and its answer.
+LONGEST_START_DELAY = 9 * SECOND // 2
+# After a failure 2.5 s of them go to a new connection and the answer.
+LONGEST_RETRY_DELAY = 7 * SECOND // 2
 
 
 class DiscoveryPolling:
--- a/lockspoke/balancing/endpoint_list.py
+++ b/lockspoke/balancing/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The replicas that the endpoint list names, and those it has removed of late."""
+"""The replicas that the endpoint list names, and those that it removed recently."""
 
 from __future__ import annotations
 
--- a/lockspoke/balancing/events.py
+++ b/lockspoke/balancing/events.py
@@ -1,4 +1,4 @@
-"""The events that a gateway hands to its balancer: small frozen values that can be logged and replayed.
+"""The events that a gateway passes to its balancer: immutable values that can be logged and replayed.
 
 Times and durations are integer nanoseconds on the gateway's own clock.
 """
@@ -10,118 +10,119 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt ended."""
+    """How an attempt ended, and with it whether the request can have run on the replica.
 
-    OK = 0
-    ERROR = 1  # the replica answered with an error; the request may have run
-    OVERLOADED = 2  # turned away unseen: proves that it never ran
-    TIMEOUT = 3  # no answer in time; it may have run or still run
-    CONNECT_FAILED = 4  # no connection: proves that it never ran
-    RESET = 5  # the connection broke under it; it may have run
-    CANCELLED = 6  # called off by the balancer; it may have run
-    NEVER_SENT = 7  # never issued: proves that it never ran
-    INVALID_REQUEST = (
-        8  # the replica finds the request itself at fault; the wire of the simulator has no such word
-    )
+    `OVERLOADED`, `CONNECT_FAILED` and `NEVER_SENT` prove that it did not run: a retry is always harmless.
+    After any other outcome it may have run, in full or in part.
+    """
+
+    OK = 0  # the replica answered; the answer is complete
+    ERROR = 1  # the replica answered with an error: it may have run
+    OVERLOADED = 2  # the replica rejected it before starting it: it did not run
+    TIMEOUT = 3  # no answer in time: it may have run, or may still be running
+    CONNECT_FAILED = 4  # no connection was made: it did not run
+    RESET = 5  # the connection broke during the attempt: it may have run
+    CANCELLED = 6  # the gateway cancelled it: it may have run until then
+    NEVER_SENT = 7  # the gateway gave up before sending it: it did not run
+    # The replica rejected the request as invalid. The simulator's protocol has no code for it.
+    INVALID_REQUEST = 8
 
 
 class ReplicaState(IntEnum):
-    """What the list says of a replica."""
+    """The state in which the endpoint list names a replica."""
 
-    REMOVED = 0
-    READY = 1
-    DRAINING = 2
+    REMOVED = 0  # it is not listed any more and gets no requests
+    READY = 1  # it accepts requests
+    DRAINING = 2  # it completes the requests in flight and accepts no new ones
 
 
 class EndpointListKind(IntEnum):
-    """How a `ListUpdate` is to be read."""
+    """How an `EndpointListUpdate` applies to the replicas known before it."""
 
-    DELTA = 0  # changed entries only
-    FULL = 1  # the whole list; a replica missing from it is gone
-    CACHED = 2  # the whole list as last held, perhaps outdated
-    FAILED = 3  # a call for the list failed or the subscription broke; the old list stays
+    DELTA = 0  # the entries that changed; other replicas stay as they are
+    FULL = 1  # the complete list: replicas missing from it are removed
+    CACHED = 2  # the complete list as it was last cached: it may be outdated
+    FAILED = 3  # a poll failed or the watch broke: nothing changes
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListEntry:
-    """One replica as the list names it."""
+    """One replica as the endpoint list describes it."""
 
-    replica: int
+    replica: int  # its number, unique within the list
     state: ReplicaState = ReplicaState.READY
     zone: int = 0
     cell: int = 0
-    weight: float = 1.0
-    started_at: int = 0  # 0: long ago
-    machine_kind: int = 0  # of machine: those of one kind can do about the same
+    weight: float = 1.0  # its capacity relative to that of other replicas
+    started_at: int = 0  # when its process started; 0: so long ago that it is warm
+    machine_kind: int = 0  # replicas with the same number have machines of about equal capacity
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """The list of replicas, or a change to it."""
+    """The endpoint list, a change to it, or the failure to get it."""
 
     kind: EndpointListKind
     entries: tuple[EndpointListEntry, ...] = ()
-    completes_poll: bool = (
-        True  # whether it ends the request for the list that is out, or due; an operator's word doesn't
-    )
+    # Whether it answers the poll that is due or in progress; an operator's change to the list does not.
+    completes_poll: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request, now owed one final answer."""
-
-    request: int
-    time_remaining: int  # until the client gives this try up
-    request_class: int = 0
-    tenant: int = 0
-    session: int = 0  # requests of one session share what a replica has cached; 0: none
-    prefix: int = 0  # the shared beginning of the prompt; 0: none
+    """A client sent a request; it must get exactly one final answer."""
+
+    request: int  # its number, unique within the gateway
+    time_remaining: int  # until the client's own time-out
+    request_class: int = 0  # index into the settings' classes
+    tenant: int = 0  # index into the settings' tenants
+    session: int = 0  # key of the conversation, whose earlier prompts a replica may have cached; 0: none
+    prefix: int = 0  # key of the beginning that its prompt shares with other requests; 0: none
     prompt_tokens: float = 0.0
     prefix_tokens: float = 0.0
-    max_tokens: float = 0.0
-    cost_hint: int = 0  # expected work as time on a standard core; 0: none
-    client_retry: bool = False
+    max_tokens: float = 0.0  # of the answer
+    cost_hint: int = 0  # expected work, in nanoseconds on a standard core; 0: unknown
+    client_retry: bool = False  # the client has sent the same request before
 
 
 @dataclass(frozen=True, slots=True)
 class FirstToken:
-    """The answer has begun: this attempt belongs to the client now and has no time-out any more."""
+    """An attempt's answer has begun: it is streamed to the client, and its time-out no longer applies."""
 
     request: int
-    attempt: int
+    attempt: int  # its index among the request's attempts
     replica: int
-    elapsed: int
+    elapsed: int  # since the attempt was sent
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; comes exactly once for each `Send`."""
+    """An attempt ended; exactly one such event follows each `SendAttempt`."""
 
     request: int
-    attempt: int
+    attempt: int  # its index among the request's attempts
     replica: int
     outcome: Outcome
-    elapsed: int
-    request_answered: bool  # the request has its final answer, by this outcome or before it
-    cached_tokens: int = 0
-    load_report: tuple[float, ...] = ()
-    connection_reused: bool = (
-        False  # on a connection kept from before: that it broke says little of the replica
-    )
+    elapsed: int  # since the attempt was sent
+    request_answered: bool  # the client has its final answer, from this attempt or from an earlier event
+    cached_tokens: int = 0  # prompt tokens that the replica found in its cache
+    load_report: tuple[float, ...] = ()  # values that the replica reported; empty: none
+    # It was sent on an idle connection, which may have been closed in the meantime by a healthy replica.
+    connection_reused: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has gone; nothing is owed any more."""
+    """The client closed its connection; its request needs no answer any more."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by `SetTimer` has run out."""
+    """The delay of a `SetTimer` is over."""
 
-    token: int
+    token: int  # as the `SetTimer` gave it
 
 
 Event = EndpointListUpdate | RequestArrived | FirstToken | AttemptEnded | ClientDisconnected | TimerFired
--- a/lockspoke/balancing/load_reports.py
+++ b/lockspoke/balancing/load_reports.py
@@ -10,10 +10,10 @@
 from lockspoke.units import SECOND
 
 TARGET_UTILIZATION = 0.65  # above that, limits may hold requests back
-MIN_REPORTED_UTILIZATION = 0.1  # a report below that says no more than that there is much capacity
+MIN_REPORTED_UTILIZATION = 0.1  # lower reports are raised to this: they only show that there is much capacity
 REPORT_LIFETIME = 4 * SECOND  # an older report no longer overrides latency signals
 MACHINE_KIND_MEMORY = 64  # reports over which a machine kind is judged
-MACHINE_KIND_PRIOR = 1.5  # reports that listed capacity stands for, until enough have come
+MACHINE_KIND_PRIOR = 1.5  # weight of the listed capacity, in reports, until enough have arrived
 MIN_COUNTED_UTILIZATION = 0.02  # keeps near-zero reports from dominating a kind's mean
 MIN_CAPACITY_FACTOR = 0.25
 MAX_CAPACITY_FACTOR = 4.0
--- a/lockspoke/balancing/prefix_affinity.py
+++ b/lockspoke/balancing/prefix_affinity.py
@@ -15,10 +15,10 @@
 from .tracked import TrackedReplica
 from .weighted_sampling import SAMPLE_SIZE, WeightedSampler, local_zone_weight
 
-MAX_PREFIX_SHARE = 0.5  # of a mean replica's requests: as many as one prefix may bring to one replica
+MAX_PREFIX_SHARE = 0.5  # of a mean replica's requests: the most that one prefix may contribute to one replica
 MAX_CACHED_RANKINGS = 512
 RECENT_REQUESTS = 256  # over which a prefix's share is taken: there may be hundreds of prefixes
-MIN_REQUESTS_FOR_SHARE = 16  # of a few requests, one says nothing about a prefix's share
+MIN_REQUESTS_FOR_SHARE = 16  # with fewer, a single request would count as a large share
 
 _HASH_FACTOR = 0xD6E8FEB86659FD93
 _NUMBER_FACTOR = 0x9E3779B97F4A7C15
--- a/lockspoke/balancing/replica_selection.py
+++ b/lockspoke/balancing/replica_selection.py
@@ -22,8 +22,8 @@
 from .weighted_sampling import WeightedSampler
 
 UNCACHED_TOKEN_COST = 4.0  # an uncached token read here also displaces cached ones of later requests
-CROSS_ZONE_TOKENS = 200_000.0  # times the price of crossing zones: the load worth avoiding a crossing
-REPORT_HALF_LIFE = 10 * SECOND  # a replica's own report fades into the mean of its machine kind
+CROSS_ZONE_TOKENS = 200_000.0  # times the cost of crossing zones: the load that is accepted to avoid it
+REPORT_HALF_LIFE = 10 * SECOND  # of a replica's own report, which gives way to the mean of its machine kind
 
 
 class Selection(NamedTuple):
--- a/lockspoke/balancing/settings.py
+++ b/lockspoke/balancing/settings.py
@@ -1,4 +1,4 @@
-"""The settings that a balancer is given: durations are integer nanoseconds, shares are parts of one."""
+"""The settings of a balancer. Durations are integer nanoseconds; shares are from 0 to 1."""
 
 from __future__ import annotations
 
@@ -7,55 +7,59 @@
 
 
 class Idempotency(Enum):
-    """What a repeat of a request does to the world."""
+    """Whether it is harmless if a request runs more than once."""
 
-    IDEMPOTENT = "safe"  # may be repeated and refused freely
-    IDEMPOTENT_WITH_KEY = "keyed"  # repeats are discarded inside a dedup group, for a window
-    NOT_IDEMPOTENT = "unsafe"  # may run once at most
+    IDEMPOTENT = "safe"  # it may run any number of times
+    IDEMPOTENT_WITH_KEY = "keyed"  # replicas of one deduplication scope discard repeats, for a limited time
+    NOT_IDEMPOTENT = "unsafe"  # it must not run more than once
 
 
 class DeduplicationScope(Enum):
-    """The replicas that discard repeats of a keyed request."""
+    """The replicas among which repeats of a request with an idempotency key are recognized."""
 
-    ALL = "all"
-    ZONE = "zone"
-    CELL = "cell"
+    ALL = "all"  # all replicas
+    ZONE = "zone"  # those in the zone of the first attempt's replica
+    CELL = "cell"  # those in its cell
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One class of requests: its aim and what a repeat of it does."""
+    """The latency objective and the retry rules of one class of requests."""
 
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window: int = 0  # keyed: how long the group remembers, from the send of the first attempt
-    latency_objective: int = 1_000_000_000  # the first token is wanted within this time
-    latency_objective_per_token: float = 0.0  # and this much later for each prompt token
+    deduplication_window: int = 0  # how long keys are remembered after the first attempt was sent
+    latency_objective: int = 1_000_000_000  # from arrival to the first token
+    latency_objective_per_token: float = 0.0  # additional time for each prompt token
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One tenant's share of the service; all gateways counted together."""
+    """One tenant of the service."""
 
-    quota: float = 0.0
+    quota: float = 0.0  # the share of the work, at all gateways together, that it is entitled to
 
 
 @dataclass(frozen=True, slots=True)
 class BalancerSettings:
-    """What a balancer is told at its start. The defaults suit a small fleet."""
+    """All settings of a balancer. The defaults suit a small fleet."""
 
     classes: tuple[RequestClass, ...]
-    max_attempts: int
-    hedging_allowed: bool  # two attempts of one request may be out together
-    slow_start_initial_share: float  # a replica starts at this share of its capacity, or above
-    slow_start_duration: int  # and is warm within this time
-    overload_multiple: float  # sent more than this multiple of its present capacity
-    overload_duration: int  # for this long, a cold replica falls over
-    tenants: tuple[Tenant, ...] = ()
-    zone: int = 0
+    max_attempts: int  # per request
+    hedging_allowed: bool  # two attempts of one request may be in progress at the same time
+    # A replica that has just started has at least this share of its capacity, which grows to all of it
+    # within the duration of the slow start.
+    slow_start_initial_share: float
+    slow_start_duration: int
+    # A replica in slow start fails when it gets more than this multiple of its current capacity for as long
+    # as the overload duration.
+    overload_multiple: float
+    overload_duration: int
+    tenants: tuple[Tenant, ...] = ()  # empty: no quotas
+    zone: int = 0  # in which this gateway runs
     gateway_count: int = 1
-    gateway_index: int = 0  # this gateway's place among them
-    polls_endpoint_list: bool = False  # the list has to be asked for
+    gateway_index: int = 0  # this gateway's position among them, from 0
+    polls_endpoint_list: bool = False  # false: discovery sends the list unasked
     poll_interval: int = 10_000_000_000
-    cross_zone_cost: float = 0.0
-    utilization_field: int | None = None  # where a load report says what share of a replica's slots is taken
+    cross_zone_cost: float = 0.0  # price of sending a request to another zone; 0: free
+    utilization_field: int | None = None  # index of the utilization in load reports; None: not reported
--- a/lockspoke/balancing/slow_start.py
+++ b/lockspoke/balancing/slow_start.py
@@ -44,7 +44,7 @@
         """Return the share of its full capacity that the replica has at least."""
         if now >= self.ends_at:
             return 1.0
-        # The clock of the replica's machine may be ahead of ours, and the settings may know no slow start.
+        # The replica's clock may be ahead of the gateway's, and slow start may be disabled (a duration of 0).
         age = max(0, now - self.started_at) / max(1, settings.slow_start_duration)
         return settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * age
 
--- a/lockspoke/balancing/slow_start_budget.py
+++ b/lockspoke/balancing/slow_start_budget.py
@@ -16,9 +16,9 @@
 from .settings import BalancerSettings
 from .tracked import ANSWER_TOKENS, TrackedReplica
 
-THROUGHPUT_HALF_LIFE = 10 * SECOND  # smooths single requests and follows the load of the day
+THROUGHPUT_HALF_LIFE = 10 * SECOND  # smooths single requests, and follows changes of the load within a minute
 MIN_OBSERVED_SHARE = 0.1  # of a half-life: a sum that has just begun is not extrapolated further
-SAFETY_MARGIN = 0.5  # of the allowed load: work is only estimated
+SAFETY_MARGIN = 0.5  # of the allowed load, as work is only estimated
 MIN_REQUESTS_PER_WINDOW = 0.5  # that a replica which just started can take, whatever warm replicas do
 MIN_INITIAL_SHARE = 0.01
 ROTATION_STEP = 0.618  # of the gateways: distance between the first gateways of two successive windows
--- a/lockspoke/balancing/tracked.py
+++ b/lockspoke/balancing/tracked.py
@@ -50,13 +50,13 @@
         self.cell = 0
         self.kind = MachineKind()
         self.listed_capacity = 1.0
-        self.max_listed_capacity = MIN_CAPACITY  # live weights sink with the load: the greatest one counts
+        self.max_listed_capacity = MIN_CAPACITY  # the greatest so far, as live weights fall with the load
         self.breaker = Breaker()
         self.concurrency = ConcurrencyLimit()
         self.backoff = OverloadBackoff()
         self.slow_start = SlowStart()
         self.reported_load = ReportedLoad()
-        self.work_in_flight = 0.0  # own tokens: prompts to be read, and answers
+        self.work_in_flight = 0.0  # of own requests, in tokens: prompts not yet read, and answers
         self.cached: OrderedDict[int, float] = OrderedDict()  # prompt tokens by session or prefix
 
     @property
@@ -70,7 +70,7 @@
         return concurrency.in_flight < concurrency.limit and now >= self.backoff.until
 
     def uncached_tokens(self, arrived: RequestArrived) -> float:
-        """Return the prompt tokens that the replica would have to read, as far as own sends tell."""
+        """Return the prompt tokens that the replica would have to read, judged by this gateway's sends."""
         prefix = self.cached.get(arrived.prefix, 0.0)
         prefix = min(prefix, arrived.prefix_tokens)
         session = self.cached.get(arrived.session, 0.0)
--- a/lockspoke/balancing/weighted_sampling.py
+++ b/lockspoke/balancing/weighted_sampling.py
@@ -17,7 +17,7 @@
 
 
 class WeightedSampler:
-    """Draws replicas at random: weights that sink with the load move part of the traffic, never all."""
+    """Draws replicas in proportion to their weights: a low weight reduces traffic without stopping it."""
 
     def __init__(self, settings: BalancerSettings, source: random.Random) -> None:
         self.settings = settings
--- a/lockspoke/simulator/__init__.py
+++ b/lockspoke/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The balancer on the wire of the operators' simulator."""
+"""Runs the balancer under the operators' simulator, over a binary protocol on standard input and output."""
--- a/lockspoke/simulator/decoder.py
+++ b/lockspoke/simulator/decoder.py
@@ -1,4 +1,4 @@
-"""Decodes batches of the simulator's binary protocol into the balancer's events. It decides nothing.
+"""Decodes batches of the simulator's binary protocol into the balancer's events.
 
 All numbers are little-endian and unpadded. A batch is a header and a number of records; a record is a
 u16 code, the u16 number of an instance and the fields that belong to the code.
@@ -69,7 +69,7 @@
     """Read the JSON settings of a provision; unknown keys are ignored.
 
     Raises:
-        SettingsError: The text is not JSON, or `read_settings` refuses what it holds.
+        SettingsError: The text is not JSON, or `read_settings` rejects what it holds.
     """
     try:
         document = json.loads(text)
@@ -143,7 +143,7 @@
 
 def _decode_endpoint_list(reader: _Reader) -> EndpointListUpdate:
     _, kind, count = reader.read(_LIST)
-    # Lists are the bulk of what a large fleet sends: they are unpacked in one go.
+    # Lists are the bulk of what a large fleet sends: they are unpacked in one pass.
     entries = [
         EndpointListEntry(
             replica, _lookup(REPLICA_STATES, state, "state"), zone, cell, weight, started_at, machine_kind
--- a/lockspoke/simulator/framing.py
+++ b/lockspoke/simulator/framing.py
@@ -1,4 +1,4 @@
-"""Frames on the simulator's wire: a little-endian length and so many bytes."""
+"""Frames on the simulator's wire: a little-endian u32 length, then that many bytes."""
 
 from __future__ import annotations
 
