--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -1,10 +1,10 @@
-"""A small stand-in for the world around one balancer: it checks the rules after every step."""
+"""A simulated environment for one balancer, which asserts the invariants of requests on every action."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, NamedTuple
 
 from lockspoke.balancing.actions import Action, Fail, Reject, SendAttempt, SetTimer
 from lockspoke.balancing.balancer import Balancer
@@ -24,12 +24,12 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-ANSWER_SLACK = 20 * MS
+ANSWER_TOLERANCE = 20 * MS
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
 
 
-def settings(**changes: Any) -> BalancerSettings:
-    base: dict[str, Any] = {
+def settings(**overrides: Any) -> BalancerSettings:
+    defaults: dict[str, Any] = {
         "classes": (RequestClass(latency_objective=SECOND),),
         "max_attempts": 3,
         "hedging_allowed": False,
@@ -38,98 +38,114 @@
         "overload_multiple": 3.0,
         "overload_duration": 2 * SECOND,
     }
-    return BalancerSettings(**(base | changes))
+    return BalancerSettings(**(defaults | overrides))
 
 
-def ready(*numbers: int, **changes: Any) -> tuple[EndpointListEntry, ...]:
-    return tuple(EndpointListEntry(replica=number, **changes) for number in numbers)
+def ready_entries(*numbers: int, **overrides: Any) -> tuple[EndpointListEntry, ...]:
+    return tuple(EndpointListEntry(replica=number, **overrides) for number in numbers)
+
+
+class SentAttempt(NamedTuple):
+    """One attempt that the balancer sent."""
+
+    replica: int
+    sent_at: int
 
 
 @dataclass
-class Call:
-    """One request as the world sees it."""
+class ClientRequest:
+    """One request as the client and the replicas see it."""
 
     arrived: RequestArrived
-    kind: RequestClass
+    request_class: RequestClass
     deadline: int
-    attempts: list[tuple[int, int]] = field(default_factory=list)  # (replica, when)
+    attempts: list[SentAttempt] = field(default_factory=list)
     outcomes: dict[int, Outcome] = field(default_factory=dict)
-    streaming: bool = False
-    final: str = ""
+    is_streaming: bool = False
+    final_answer: str = ""  # name of the action that answered it; "" while it has no final answer
 
 
 class World:
-    """Feeds one balancer and asserts the four rules on every action it takes."""
+    """Passes events to one balancer, keeps the time and asserts the invariants on every action.
+
+    A request gets one final answer, in time; its attempts go to ready replicas only, and there are no more
+    than allowed; it runs no more often than its idempotency permits; and one that may have run is rejected
+    only if a retry is harmless.
+    """
 
     def __init__(
-        self, given: BalancerSettings | None = None, replicas: Iterable[int] = (1, 2, 3), seed: int = 7
+        self,
+        given_settings: BalancerSettings | None = None,
+        replicas: Iterable[int] = (1, 2, 3),
+        seed: int = 7,
     ) -> None:
-        self.settings = given or settings()
+        self.settings = given_settings or settings()
         self.balancer = Balancer(self.settings, seed)
         self.now = 1_000 * SECOND
-        self.calls: dict[int, Call] = {}
+        self.requests: dict[int, ClientRequest] = {}
         self.entries: dict[int, EndpointListEntry] = {}
         self.timers: list[tuple[int, int]] = []
-        self.log: list[Action] = []
-        self.update_endpoint_list(EndpointListKind.CACHED, ready(*replicas))
+        self.actions_taken: list[Action] = []
+        self.update_endpoint_list(EndpointListKind.CACHED, ready_entries(*replicas))
 
     def step(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
-            self._check(action)
-        self.log.extend(actions)
+            self._check_action(action)
+        self.actions_taken.extend(actions)
         return actions
 
-    def _check(self, action: Action) -> None:
+    def _check_action(self, action: Action) -> None:
         if isinstance(action, SetTimer):
             assert action.delay >= 0
             self.timers.append((self.now + action.delay, action.token))
         if isinstance(action, Reject | Fail):
-            call = self.calls[action.request]
-            assert not call.final, "a second final answer"
-            assert self.now <= call.deadline + ANSWER_SLACK, "answered late"
-            if isinstance(action, Reject) and not self._refusable(call):
-                raise AssertionError("refused though it may have run")
-            call.final = type(action).__name__
+            tracked = self.requests[action.request]
+            assert not tracked.final_answer, "a second final answer"
+            assert self.now <= tracked.deadline + ANSWER_TOLERANCE, "answered late"
+            if isinstance(action, Reject) and not self._may_reject(tracked):
+                raise AssertionError("rejected though it may have run")
+            tracked.final_answer = type(action).__name__
         if isinstance(action, SendAttempt):
             self._check_send(action)
 
     def _check_send(self, action: SendAttempt) -> None:
-        call = self.calls[action.request]
-        entry = self.entries[action.replica]
-        assert not call.final and not call.streaming, "sent after its end"
-        assert len(call.attempts) < self.settings.max_attempts, "too many attempts"
-        assert entry.state is ReplicaState.READY, "sent to a replica that drains or is gone"
-        out = [n for n in range(len(call.attempts)) if n not in call.outcomes]
-        assert self.settings.hedging_allowed or not out, "two attempts out together"
-        ran = [n for n in range(len(call.attempts)) if call.outcomes.get(n) not in NEVER_RAN]
-        if call.kind.idempotency is Idempotency.NOT_IDEMPOTENT:
-            assert not ran, "an unsafe request might run twice"
-        if call.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-            for n in ran:
-                first = self.entries[call.attempts[n][0]]
-                same = {
+        tracked = self.requests[action.request]
+        target = self.entries[action.replica]
+        assert not tracked.final_answer and not tracked.is_streaming, "sent after its final answer"
+        assert len(tracked.attempts) < self.settings.max_attempts, "too many attempts"
+        assert target.state is ReplicaState.READY, "sent to a replica that is not ready"
+        in_progress = [n for n in range(len(tracked.attempts)) if n not in tracked.outcomes]
+        assert self.settings.hedging_allowed or not in_progress, "two attempts in progress without hedging"
+        may_have_run = [n for n in range(len(tracked.attempts)) if tracked.outcomes.get(n) not in NEVER_RAN]
+        if tracked.request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
+            assert not may_have_run, "a request that is not idempotent might run twice"
+        if tracked.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+            for n in may_have_run:
+                first_target = self.entries[tracked.attempts[n].replica]
+                in_scope = {
                     DeduplicationScope.ALL: True,
-                    DeduplicationScope.ZONE: first.zone == entry.zone,
-                    DeduplicationScope.CELL: first.cell == entry.cell,
+                    DeduplicationScope.ZONE: first_target.zone == target.zone,
+                    DeduplicationScope.CELL: first_target.cell == target.cell,
                 }
-                assert same[call.kind.deduplication_scope], "sent outside its dedup group"
-            assert not ran or self.now - call.attempts[ran[0]][1] < call.kind.deduplication_window, (
-                "sent after the window"
-            )
-        call.attempts.append((action.replica, self.now))
-
-    def _refusable(self, call: Call) -> bool:
-        if call.kind.idempotency is Idempotency.IDEMPOTENT:
+                assert in_scope[tracked.request_class.deduplication_scope], (
+                    "sent outside its deduplication scope"
+                )
+            if may_have_run:
+                since_first = self.now - tracked.attempts[may_have_run[0]].sent_at
+                window = tracked.request_class.deduplication_window
+                assert since_first < window, "sent after its deduplication window"
+        tracked.attempts.append(SentAttempt(action.replica, self.now))
+
+    def _may_reject(self, tracked: ClientRequest) -> bool:
+        if tracked.request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        ran = [n for n in range(len(call.attempts)) if call.outcomes.get(n) not in NEVER_RAN]
-        return not ran or (
-            call.kind.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-            and call.kind.deduplication_scope is DeduplicationScope.ALL
+        may_have_run = [n for n in range(len(tracked.attempts)) if tracked.outcomes.get(n) not in NEVER_RAN]
+        return not may_have_run or (
+            tracked.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            and tracked.request_class.deduplication_scope is DeduplicationScope.ALL
         )
 
-    # Events
-
     def update_endpoint_list(
         self, kind: EndpointListKind, entries: tuple[EndpointListEntry, ...]
     ) -> list[Action]:
@@ -140,68 +156,82 @@
             self.entries |= {entry.replica: entry for entry in entries}
         return self.step(EndpointListUpdate(kind, entries))
 
-    def arrive(self, request: int, time_remaining: int = 5 * SECOND, **changes: Any) -> list[Action]:
+    def arrive(self, request: int, time_remaining: int = 5 * SECOND, **overrides: Any) -> list[Action]:
         event = RequestArrived(
-            request=request, time_remaining=time_remaining, **({"prompt_tokens": 1000.0} | changes)
+            request=request, time_remaining=time_remaining, **({"prompt_tokens": 1000.0} | overrides)
         )
-        kind = self.settings.classes[event.request_class]
-        self.calls[request] = Call(event, kind, self.now + time_remaining)
+        request_class = self.settings.classes[event.request_class]
+        self.requests[request] = ClientRequest(event, request_class, self.now + time_remaining)
         return self.step(event)
 
     def first_token(self, request: int, attempt: int = -1) -> list[Action]:
-        call = self.calls[request]
-        attempt %= len(call.attempts)
-        replica, sent = call.attempts[attempt]
-        call.streaming = True
+        tracked = self.requests[request]
+        attempt %= len(tracked.attempts)
+        replica, sent = tracked.attempts[attempt]
+        tracked.is_streaming = True
         return self.step(FirstToken(request, attempt, replica, self.now - sent))
 
-    def end(
+    def end_attempt(
         self,
         request: int,
         outcome: Outcome,
         attempt: int = -1,
-        closed: bool | None = None,
-        report: tuple[float, ...] = (),
+        request_answered: bool | None = None,
+        load_report: tuple[float, ...] = (),
     ) -> list[Action]:
-        call = self.calls[request]
-        attempt %= len(call.attempts)
-        replica, sent = call.attempts[attempt]
-        call.outcomes[attempt] = outcome
-        closed = (outcome is Outcome.OK or call.streaming or bool(call.final)) if closed is None else closed
-        if closed and not call.final:
-            call.final = "outcome"
+        tracked = self.requests[request]
+        attempt %= len(tracked.attempts)
+        replica, sent = tracked.attempts[attempt]
+        tracked.outcomes[attempt] = outcome
+        request_answered = (
+            (outcome is Outcome.OK or tracked.is_streaming or bool(tracked.final_answer))
+            if request_answered is None
+            else request_answered
+        )
+        if request_answered and not tracked.final_answer:
+            tracked.final_answer = "outcome"
         elapsed = self.now - sent
-        return self.step(AttemptEnded(request, attempt, replica, outcome, elapsed, closed, 0, report))
-
-    def out(self) -> list[tuple[int, int]]:
-        """The attempts whose outcome has not come: (request, attempt)."""
-        return [(r, n) for r, c in self.calls.items() for n in range(len(c.attempts)) if n not in c.outcomes]
+        return self.step(
+            AttemptEnded(request, attempt, replica, outcome, elapsed, request_answered, 0, load_report)
+        )
 
-    def pass_time(self, span: int) -> None:
-        """Let time go by; timers and the time-outs at the deadline come when they are due."""
-        end = self.now + span
+    def attempts_in_progress(self) -> list[tuple[int, int]]:
+        """Return the attempts without an outcome, as pairs of a request and the attempt's index."""
+        return [
+            (number, attempt)
+            for number, request in self.requests.items()
+            for attempt in range(len(request.attempts))
+            if attempt not in request.outcomes
+        ]
+
+    def advance_time(self, duration: int) -> None:
+        """Advance the clock; timers fire and attempts time out at their deadlines on the way."""
+        end_time = self.now + duration
         while True:
             due = [when for when, _ in self.timers]
-            due += [self.calls[r].deadline for r, _ in self.out() if not self.calls[r].streaming]
-            if not due or min(due) > end:
+            in_progress = [self.requests[number] for number, _ in self.attempts_in_progress()]
+            due += [request.deadline for request in in_progress if not request.is_streaming]
+            if not due or min(due) > end_time:
                 break
             self.now = max(self.now, min(due))
             fired = [timer for timer in self.timers if timer[0] <= self.now]
             self.timers = [timer for timer in self.timers if timer[0] > self.now]
             self.step(*(TimerFired(token) for _, token in fired))
-            for request, attempt in self.out():
-                call = self.calls[request]
-                if not call.streaming and call.deadline <= self.now:
-                    self.end(request, Outcome.TIMEOUT, attempt)
-            self.overdue()
-        self.now = end
+            for request, attempt in self.attempts_in_progress():
+                tracked = self.requests[request]
+                if not tracked.is_streaming and tracked.deadline <= self.now:
+                    self.end_attempt(request, Outcome.TIMEOUT, attempt)
+            self.assert_none_overdue()
+        self.now = end_time
         self.step()
 
-    def overdue(self) -> None:
-        """Every request past its deadline has its answer, unless its stream runs."""
-        for number, call in self.calls.items():
-            late = self.now > call.deadline + ANSWER_SLACK
-            assert call.final or call.streaming or not late, f"request {number} has no answer"
+    def assert_none_overdue(self) -> None:
+        """Assert that each request past its deadline has its final answer, unless it is streaming."""
+        for number, tracked in self.requests.items():
+            late = self.now > tracked.deadline + ANSWER_TOLERANCE
+            assert tracked.final_answer or tracked.is_streaming or not late, (
+                f"request {number} has no final answer"
+            )
 
     def sent_to(self, actions: Iterable[Action]) -> list[int]:
         return [action.replica for action in actions if isinstance(action, SendAttempt)]
--- /dev/null
+++ b/tests/balancing/test_admission.py
@@ -0,0 +1,223 @@
+"""Concurrency limits, and the order in which queued requests are admitted."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable
+
+from lockspoke.balancing.actions import SendAttempt
+from lockspoke.balancing.events import (
+    FirstToken,
+    Outcome,
+)
+from lockspoke.balancing.overload_backoff import OVERLOAD_BACKOFF
+from lockspoke.balancing.settings import Tenant
+from tests.balancing.helpers import MS, SECOND, World, settings
+
+
+def overload(world: World) -> None:
+    """Cause late first tokens on every replica, so that each has a concurrency limit."""
+    for number in range(1, 41):
+        world.arrive(number, time_remaining=60 * SECOND)
+    world.advance_time(2 * SECOND)
+    for number in range(1, 41):
+        if world.requests[number].attempts:
+            world.first_token(number)
+
+
+def test_late_first_tokens_set_limits_and_further_requests_wait_newest_first() -> None:
+    """Overload outlasts its cause if every request is forwarded; queued requests are served in time."""
+    world = World(replicas=(1, 2))
+    overload(world)
+    assert all(r.concurrency.in_flight >= r.concurrency.limit for r in world.balancer.replicas.values())
+    for number in (101, 102, 103):
+        assert not world.sent_to(world.arrive(number))
+        world.advance_time(10 * MS)
+    for number in range(1, 41):
+        for action in world.end_attempt(number, Outcome.OK):
+            if isinstance(action, SendAttempt):
+                assert action.request == 103
+                return
+    raise AssertionError("no request left the queue")
+
+
+def test_queued_requests_are_answered_by_their_deadline() -> None:
+    world = World(replicas=(1, 2))
+    overload(world)
+    world.arrive(101, time_remaining=SECOND)
+    world.advance_time(SECOND + 10 * MS)
+    assert world.requests[101].final_answer == "Reject"
+
+
+def test_the_tenant_least_served_relative_to_its_quota_goes_first() -> None:
+    tenants = (Tenant(0.5), Tenant(0.5))
+    world = World(settings(tenants=tenants), replicas=(1, 2))
+    overload(world)  # with requests of tenant 0 only
+    world.arrive(101, tenant=1)
+    world.advance_time(10 * MS)
+    world.arrive(102, tenant=0)
+    for number in range(1, 41):
+        for action in world.end_attempt(number, Outcome.OK):
+            if isinstance(action, SendAttempt):
+                assert action.request == 101
+                return
+    raise AssertionError("no request left the queue")
+
+
+def test_fewer_tenants_after_a_reload_leave_no_queued_request_unanswered() -> None:
+    world = World(settings(tenants=(Tenant(0.5), Tenant(0.5))), replicas=(1, 2))
+    overload(world)
+    world.arrive(101, tenant=1)
+    world.arrive(102, tenant=1)
+    world.balancer.reconfigure(settings(tenants=(Tenant(1.0),)))
+    for number in range(1, 41):
+        world.end_attempt(number, Outcome.OK)
+    assert world.requests[101].attempts and world.requests[102].attempts
+
+
+def test_client_retries_wait_behind_first_attempts() -> None:
+    """Newest first would favour retries, which have missed their latency objective already."""
+    world = World(replicas=(1, 2))
+    overload(world)
+    world.arrive(101)
+    world.advance_time(10 * MS)
+    world.arrive(102, client_retry=True)
+    world.arrive(103, time_remaining=SECOND // 2)
+    for number in range(1, 41):
+        for action in world.end_attempt(number, Outcome.OK):
+            if isinstance(action, SendAttempt):
+                assert action.request == 101
+                return
+    raise AssertionError("no request left the queue")
+
+
+def test_timely_first_tokens_raise_a_limit_again() -> None:
+    """After a burst replicas stayed half idle: limits rose by one per duration of an answer."""
+    world = World(replicas=(1,))
+    overload(world)
+    replica = world.balancer.replicas[1]
+    for number in range(1, 41):
+        world.end_attempt(number, Outcome.OK)
+    limit_before, timely_count = replica.concurrency.limit, 0
+    for number in range(200, 300):
+        world.arrive(number)
+        world.advance_time(MS)
+        waiting = [
+            (request, attempt)
+            for request, attempt in world.attempts_in_progress()
+            if not world.requests[request].is_streaming
+        ]
+        for request, attempt in waiting:
+            world.first_token(request, attempt)
+            timely_count += 1
+        if len(world.attempts_in_progress()) >= int(replica.concurrency.limit):
+            world.end_attempt(world.attempts_in_progress()[0][0], Outcome.OK)
+    assert timely_count > 40
+    assert replica.concurrency.limit >= limit_before + 5
+
+
+def test_an_overloaded_replica_backs_off_and_its_queue_continues_by_timer() -> None:
+    """Rejected attempts were repeated at once; and without requests in flight no event ends a backoff."""
+    world = World(replicas=(1,))
+    world.arrive(1)
+    assert not world.sent_to(world.end_attempt(1, Outcome.OVERLOADED))
+    world.advance_time(OVERLOAD_BACKOFF + MS)
+    assert len(world.requests[1].attempts) == 2
+
+
+def test_freed_capacity_goes_to_a_queued_request_whose_prompt_is_cached_there() -> None:
+    """Otherwise an overloaded fleet reads every prompt again at another replica and never catches up."""
+    for first, second in ((1, 2), (2, 1)):
+        world = World(replicas=(1, 2))
+        overload(world)
+        for replica, session in ((first, 8), (second, 9)):
+            world.balancer.replicas[replica].cached[session] = 4000.0
+        world.arrive(101, session=8, prompt_tokens=4200.0)
+        world.advance_time(10 * MS)
+        world.arrive(102, session=9, prompt_tokens=4200.0)
+        sent: list[tuple[int, int]] = []
+        for number in range(1, 41):
+            if world.requests[number].attempts and world.requests[number].attempts[-1].replica == first:
+                actions = world.end_attempt(number, Outcome.OK)
+                sent += [(a.request, a.replica) for a in actions if isinstance(a, SendAttempt)]
+        assert sent[0] == (101, first)
+
+
+def test_limits_increase_less_with_more_gateways() -> None:
+    """A decrease is a share of each limit; fixed increases of many gateways would exceed what it saves."""
+    increases = {}
+    for gateways in (1, 4):
+        world = World(settings(gateway_count=gateways), replicas=(1,))
+        replica = world.balancer.replicas[1]
+        replica.concurrency.limit = 1.0
+        world.arrive(1)
+        world.first_token(1)
+        increases[gateways] = replica.concurrency.limit - 1.0
+    assert increases[1] > 3 * increases[4] > 0
+
+
+def overloaded_gateway(late_replicas: Iterable[int]) -> World:
+    """Return one gateway of a hundred with requests at twenty replicas; at some the first token is late."""
+    world = World(settings(gateway_count=100), replicas=range(1, 21))
+    for number in range(1, 21):
+        world.arrive(number, time_remaining=60 * SECOND)
+    world.advance_time(900 * MS)
+    replicas = {number: world.requests[number].attempts[0].replica for number in range(1, 21)}
+    for number in sorted(replicas, key=lambda number: replicas[number] in set(late_replicas)):
+        elapsed = 900 * MS if replicas[number] in set(late_replicas) else 10 * MS
+        world.step(FirstToken(number, 0, replicas[number], elapsed))
+        world.requests[number].is_streaming = True
+    return world
+
+
+def test_one_gateway_of_many_queues_requests_when_most_first_tokens_are_late() -> None:
+    """It never reaches a limit of one per replica: without its own limit, a shared overload did not end."""
+    world = overloaded_gateway(late_replicas=range(1, 21))
+    sent = [len(world.sent_to(world.arrive(number))) for number in range(101, 121)]
+    limit = math.ceil(world.balancer.limits.gateway.limit)
+    assert limit < 20 and sent == [1] * limit + [0] * (20 - limit), (
+        "at most that many requests wait for a first token"
+    )
+
+
+def test_streams_that_outlast_an_overload_do_not_delay_requests() -> None:
+    """Streams take seconds: a limit lowered to a few of them queued requests long after the overload."""
+    world = overloaded_gateway(late_replicas=range(1, 21))
+    assert sum(request.is_streaming for request in world.requests.values()) == 20
+    for number in range(101, 131):  # first tokens are timely again, but no answer ends
+        world.arrive(number, time_remaining=60 * SECOND)
+        world.advance_time(50 * MS)
+        for request, attempt in world.attempts_in_progress():
+            if not world.requests[request].is_streaming:
+                world.first_token(request, attempt)
+    assert [number for number, request in world.requests.items() if len(request.attempts) != 1] == []
+
+
+def test_one_slow_replica_of_many_does_not_lower_the_gateways_limit() -> None:
+    world = overloaded_gateway(late_replicas=(3,))
+    assert world.sent_to(world.arrive(101))
+
+
+def test_one_overloaded_replica_does_not_lower_the_gateways_limit() -> None:
+    """Its quick rejections outnumber all other signals: counted as late ones, they limited all requests."""
+    world = World(settings(max_attempts=6), replicas=(1, 2, 3))
+    for number in range(1, 31):
+        world.arrive(number)
+        if world.requests[number].attempts[-1].replica == 1:
+            world.end_attempt(number, Outcome.OVERLOADED)
+        world.advance_time(MS)
+    assert world.balancer.limits.gateway.limit == math.inf
+
+
+def test_an_uncached_prompt_may_take_twice_as_long_before_it_counts_as_late() -> None:
+    """Long prompts looked like an overload, and concurrency limits were lowered on an idle fleet."""
+    limits = []
+    for cached_tokens in (0.0, 1000.0):
+        world = World(replicas=(1,))
+        if cached_tokens:
+            world.balancer.replicas[1].cached[5] = cached_tokens
+        world.arrive(1, session=5)
+        world.advance_time(300 * MS)
+        world.first_token(1)
+        limits.append(world.balancer.replicas[1].concurrency.limit)
+    assert limits == [math.inf, 1.0]
--- a/tests/balancing/test_breaker.py
+++ b/tests/balancing/test_breaker.py
@@ -1,4 +1,4 @@
-"""Each transition of the breaker, on the class alone and through the balancer."""
+"""The transitions of the circuit breaker: of the class alone, and within the balancer."""
 
 from __future__ import annotations
 
@@ -17,11 +17,15 @@
     Trial,
 )
 from lockspoke.balancing.concurrency_limit import INITIAL_LIMIT
-from lockspoke.balancing.events import EndpointListKind, Outcome
-from tests.balancing.helpers import MS, SECOND, World, ready, settings
+from lockspoke.balancing.events import (
+    EndpointListKind,
+    Outcome,
+    RequestArrived,
+)
+from tests.balancing.helpers import MS, SECOND, ClientRequest, World, ready_entries, settings
 
 
-def opened(now: int = 0) -> Breaker:
+def open_breaker(now: int = 0) -> Breaker:
     breaker = Breaker()
     for _ in range(FAILURE_THRESHOLD):
         breaker.record_failure(now, may_open=True)
@@ -29,7 +33,7 @@
     return breaker
 
 
-def test_closed_opens_only_after_failures_in_a_row() -> None:
+def test_closed_breaker_opens_only_after_consecutive_failures() -> None:
     breaker = Breaker()
     for _ in range(3):
         for _ in range(FAILURE_THRESHOLD - 1):
@@ -41,25 +45,25 @@
     assert breaker.refresh(0) is BreakerState.OPEN
 
 
-def test_closed_stays_closed_when_it_may_not_open() -> None:
+def test_closed_breaker_stays_closed_when_it_may_not_open() -> None:
     breaker = Breaker()
     for _ in range(10 * FAILURE_THRESHOLD):
         breaker.record_failure(0, may_open=False)
     assert breaker.refresh(0) is BreakerState.CLOSED
 
 
-def test_open_half_opens_after_the_recovery_since_the_last_failure() -> None:
-    breaker = opened(now=0)
+def test_open_breaker_half_opens_after_recovery_since_the_last_failure() -> None:
+    breaker = open_breaker(now=0)
     breaker.record_failure(INITIAL_RECOVERY - 1, may_open=True)  # a late outcome restarts the timer
     assert breaker.refresh(INITIAL_RECOVERY) is BreakerState.OPEN
     assert breaker.refresh(2 * INITIAL_RECOVERY - 2) is BreakerState.OPEN
     assert breaker.refresh(2 * INITIAL_RECOVERY - 1) is BreakerState.HALF_OPEN
 
 
-def test_half_open_closes_after_successes_in_a_row_of_its_own_trials() -> None:
-    breaker = opened()
+def test_half_open_breaker_closes_after_consecutive_successful_trials() -> None:
+    breaker = open_breaker()
     breaker.refresh(INITIAL_RECOVERY)
-    breaker.record_success()  # of an attempt sent before it opened: no verdict
+    breaker.record_success()  # of an attempt sent before it opened: does not count
     breaker.record_success(Trial(0))  # of a trial that is not the current one
     assert breaker.refresh(INITIAL_RECOVERY) is BreakerState.HALF_OPEN
     for count in range(SUCCESS_THRESHOLD):
@@ -68,21 +72,21 @@
     assert breaker.refresh(INITIAL_RECOVERY) is BreakerState.CLOSED
 
 
-def test_half_open_reopens_on_any_failure_and_waits_twice_as_long_up_to_a_bound() -> None:
-    breaker, now, waits = opened(), 0, []
+def test_half_open_breaker_reopens_on_any_failure_with_doubled_recovery() -> None:
+    breaker, now, recoveries = open_breaker(), 0, []
     for _ in range(6):
-        wait = breaker.recovery
-        assert breaker.refresh(now + wait - 1) is BreakerState.OPEN
-        now += wait
+        recovery = breaker.recovery
+        assert breaker.refresh(now + recovery - 1) is BreakerState.OPEN
+        now += recovery
         assert breaker.refresh(now) is BreakerState.HALF_OPEN
         breaker.record_failure(now, may_open=True)
-        waits.append(wait)
-    assert waits[:3] == [INITIAL_RECOVERY, 2 * INITIAL_RECOVERY, 4 * INITIAL_RECOVERY]
-    assert waits[-1] == MAX_RECOVERY
+        recoveries.append(recovery)
+    assert recoveries[:3] == [INITIAL_RECOVERY, 2 * INITIAL_RECOVERY, 4 * INITIAL_RECOVERY]
+    assert recoveries[-1] == MAX_RECOVERY
 
 
 def test_a_stale_trial_frees_its_slot() -> None:
-    breaker = opened()
+    breaker = open_breaker()
     breaker.refresh(INITIAL_RECOVERY)
     breaker.begin_trial(INITIAL_RECOVERY)
     breaker.refresh(INITIAL_RECOVERY + TRIAL_TIMEOUT - 1)
@@ -92,7 +96,7 @@
 
 
 def test_a_trial_without_a_verdict_frees_its_slot() -> None:
-    breaker = opened()
+    breaker = open_breaker()
     breaker.refresh(INITIAL_RECOVERY)
     trial = breaker.begin_trial(INITIAL_RECOVERY)
     breaker.release_trial(None)
@@ -102,45 +106,45 @@
     assert breaker.trial is None and breaker.refresh(INITIAL_RECOVERY) is BreakerState.HALF_OPEN
 
 
-def fail_on(world: World, replica: int, outcome: Outcome, base: int) -> None:
-    """Let every request sent to `replica` end so, until its breaker opens; others answer."""
-    number = base
+def fail_until_open(world: World, replica: int, outcome: Outcome, previous_number: int) -> None:
+    """End every attempt at `replica` with this outcome until its breaker opens; other replicas answer."""
+    number = previous_number
     while world.balancer.replicas[replica].breaker.state is BreakerState.CLOSED:
         number += 1
-        assert number < base + 200, "never opened"
+        assert number < previous_number + 200, "its breaker never opened"
         actions = world.arrive(number)
         while world.sent_to(actions) == [replica]:
-            actions = world.end(number, outcome)
+            actions = world.end_attempt(number, outcome)
         if world.sent_to(actions):
             world.first_token(number)
-            world.end(number, Outcome.OK)
-        world.pass_time(10 * MS)
+            world.end_attempt(number, Outcome.OK)
+        world.advance_time(10 * MS)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT])
-def test_counted_outcomes_open_and_the_replica_gets_no_sends(outcome: Outcome) -> None:
+def test_failures_open_the_breaker_and_the_replica_gets_no_requests(outcome: Outcome) -> None:
     world = World(replicas=(1, 2, 3, 4))
-    fail_on(world, 2, outcome, 0)
+    fail_until_open(world, 2, outcome, 0)
     for number in range(1000, 1050):
         assert world.sent_to(world.arrive(number)) != [2]
         world.first_token(number)
-        world.end(number, Outcome.OK)
+        world.end_attempt(number, Outcome.OK)
 
 
-def test_full_never_opens() -> None:
-    world = World(replicas=(1,), given=settings(max_attempts=50))
+def test_overloaded_outcomes_never_open_the_breaker() -> None:
+    world = World(replicas=(1,), given_settings=settings(max_attempts=50))
     for number in range(40):
         world.arrive(number)
-        if world.calls[number].attempts:
-            world.end(number, Outcome.OVERLOADED)
-        world.pass_time(SECOND)
+        if world.requests[number].attempts:
+            world.end_attempt(number, Outcome.OVERLOADED)
+        world.advance_time(SECOND)
     assert world.balancer.replicas[1].breaker.state is BreakerState.CLOSED
 
 
 def test_one_trial_at_a_time_and_it_succeeds_at_its_first_token() -> None:
     world = World(replicas=(1, 2, 3, 4))
-    fail_on(world, 2, Outcome.RESET, 0)
-    world.pass_time(INITIAL_RECOVERY)
+    fail_until_open(world, 2, Outcome.RESET, 0)
+    world.advance_time(INITIAL_RECOVERY)
     assert world.sent_to(world.arrive(500)) == [2]
     assert world.sent_to(world.arrive(501)) != [2]
     world.first_token(500)
@@ -149,61 +153,112 @@
     assert world.balancer.replicas[2].breaker.state is BreakerState.CLOSED
 
 
-def test_a_replica_that_was_open_returns_with_a_low_limit() -> None:
-    """All gateways find a returned replica empty at once; it must earn its share."""
+def test_a_replica_whose_breaker_opened_returns_with_a_low_concurrency_limit() -> None:
+    """All gateways find a recovered replica idle at the same time and would overload it together."""
     world = World(replicas=(1, 2, 3, 4))
-    fail_on(world, 2, Outcome.RESET, 0)
+    fail_until_open(world, 2, Outcome.RESET, 0)
     assert world.balancer.replicas[2].concurrency.limit == INITIAL_LIMIT
 
 
-def test_shared_time_outs_open_half_the_fleet_at_most() -> None:
+def test_shared_timeouts_open_the_breakers_of_at_most_half_the_fleet() -> None:
     world = World(replicas=range(1, 9))
     for number in range(400):
         world.arrive(number, time_remaining=SECOND)
-        world.pass_time(50 * MS)
-    world.pass_time(SECOND)
+        world.advance_time(50 * MS)
+    world.advance_time(SECOND)
     states = [replica.breaker.state for replica in world.balancer.replicas.values()]
     assert 1 <= sum(state is not BreakerState.CLOSED for state in states) <= 4
 
 
-def test_connection_failures_open_past_half_the_fleet() -> None:
-    """With a zone cut off, half the fleet is open; further unreachable replicas must open too."""
+def test_connection_failures_open_breakers_of_more_than_half_the_fleet() -> None:
+    """With a zone cut off, half of the breakers are open; those of other unreachable replicas open too."""
     world = World(replicas=range(1, 5))
     for number in range(100):
         world.arrive(number)
-        while not world.calls[number].final and world.calls[number].attempts:
-            world.end(number, Outcome.CONNECT_FAILED)
-        world.pass_time(10 * MS)
+        while not world.requests[number].final_answer and world.requests[number].attempts:
+            world.end_attempt(number, Outcome.CONNECT_FAILED)
+        world.advance_time(10 * MS)
     assert all(replica.breaker.state is BreakerState.OPEN for replica in world.balancer.replicas.values())
 
 
-def test_a_restart_under_the_same_id_closes_the_breaker() -> None:
+def test_a_restart_under_the_same_number_closes_the_breaker() -> None:
     world = World(replicas=(1, 2, 3, 4))
-    fail_on(world, 2, Outcome.RESET, 0)
-    world.update_endpoint_list(EndpointListKind.DELTA, ready(2, started_at=world.now))
+    fail_until_open(world, 2, Outcome.RESET, 0)
+    world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(2, started_at=world.now))
     assert world.balancer.replicas[2].breaker.state is BreakerState.CLOSED
 
 
 def test_two_failed_connections_open_a_breaker() -> None:
-    """A gateway among many seldom meets a dead replica: with five each it is asked for many seconds."""
+    """One gateway of many seldom sends to a dead replica: five failures each would take many seconds."""
     world = World(replicas=(1,))
     for number in (1, 2):
         world.arrive(number)
         assert world.balancer.replicas[1].breaker.state is BreakerState.CLOSED
-        world.end(number, Outcome.CONNECT_FAILED)
+        world.end_attempt(number, Outcome.CONNECT_FAILED)
     assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
 
 
-def test_a_refused_client_is_told_when_a_replica_may_have_room() -> None:
-    """Sooner it would meet the same jam; and it is told at once, never held until then."""
+def test_retry_after_of_a_rejection_is_when_a_replica_may_have_capacity() -> None:
+    """An earlier retry would meet the same overload. The rejection itself is sent at once."""
     world = World(replicas=())
     assert world.arrive(1)[0] == Reject(1, INITIAL_RECOVERY)
     world = World(replicas=(1,))
     for request in range(1, 6):
         actions = world.arrive(request)
         if world.sent_to(actions):
-            actions = world.end(request, Outcome.CONNECT_FAILED)
-    refused = [action for action in actions if isinstance(action, Reject)]
-    assert [action.retry_after for action in refused] == [INITIAL_RECOVERY]
+            actions = world.end_attempt(request, Outcome.CONNECT_FAILED)
+    rejections = [action for action in actions if isinstance(action, Reject)]
+    assert [action.retry_after for action in rejections] == [INITIAL_RECOVERY]
     world.now += INITIAL_RECOVERY - MIN_RETRY_AFTER // 2
     assert world.arrive(9)[0] == Reject(9, MIN_RETRY_AFTER)
+
+
+def test_a_fleet_that_was_unreachable_recovers_within_the_maximum_recovery() -> None:
+    world = World(replicas=(1, 2, 3))
+    number = 0
+    for _ in range(600):  # a minute in which all connections fail
+        number += 1
+        world.arrive(number)
+        while not world.requests[number].final_answer:
+            world.end_attempt(number, Outcome.CONNECT_FAILED)
+        world.advance_time(100 * MS)
+    for _ in range(180):  # all replicas answer again
+        number += 1
+        world.arrive(number)
+        if not world.requests[number].final_answer:
+            world.first_token(number)
+            world.end_attempt(number, Outcome.OK)
+        world.advance_time(100 * MS)
+    assert {replica.breaker.state for replica in world.balancer.replicas.values()} == {BreakerState.CLOSED}
+
+
+def test_with_all_breakers_open_simultaneous_requests_are_rejected_at_once() -> None:
+    world = World(replicas=(1,))
+    for number in range(1, 7):
+        world.arrive(number)
+        if world.requests[number].attempts:
+            world.end_attempt(number, Outcome.CONNECT_FAILED)
+    assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
+    for number in (11, 12, 13):
+        world.requests[number] = ClientRequest(
+            RequestArrived(number, 5 * SECOND), world.settings.classes[0], world.now
+        )
+    world.step(*(RequestArrived(number, 5 * SECOND) for number in (11, 12, 13)))
+    assert [world.requests[number].final_answer for number in (11, 12, 13)] == ["Reject"] * 3
+
+
+def test_an_overloaded_half_open_replica_does_not_get_every_request() -> None:
+    """A rejected trial frees its slot at once: 99% of all attempts went to that one replica."""
+    world = World(replicas=(1, 2))
+    for number in range(1, 9):
+        world.arrive(number, time_remaining=60 * SECOND)
+        if world.requests[number].attempts[-1].replica == 1:
+            world.end_attempt(number, Outcome.CONNECT_FAILED)
+    assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
+    world.advance_time(3 * SECOND)
+    trials = 0
+    for number in range(101, 121):
+        if world.sent_to(world.arrive(number)) == [1]:
+            trials += 1
+            world.end_attempt(number, Outcome.OVERLOADED)
+    assert trials == 1
--- /dev/null
+++ b/tests/balancing/test_discovery_polling.py
@@ -0,0 +1,101 @@
+"""When gateways poll discovery for the endpoint list."""
+
+from __future__ import annotations
+
+import pytest
+
+from lockspoke.balancing.actions import WatchEndpointList
+from lockspoke.balancing.events import (
+    EndpointListKind,
+)
+from tests.balancing.helpers import MS, SECOND, World, ready_entries, settings
+
+MAX_REQUEST_TIME = 1_500 * MS  # the longest that the first poll, which is sent at once, can take
+MAX_CONNECT_AND_REQUEST_TIME = 2_500 * MS  # the longest that a poll on a new connection can take
+
+
+def time_until_poll(world: World, step: int = 20 * MS) -> int:
+    """Return the time from now until the gateway polls the endpoint list."""
+    start = world.now
+    while WatchEndpointList(True) not in world.actions_taken:
+        world.advance_time(step)
+    return world.now - start
+
+
+def test_the_endpoint_list_is_polled_at_the_start_and_not_again_after_its_arrival() -> None:
+    world = World(settings(polls_endpoint_list=True))
+    assert WatchEndpointList(True) in world.actions_taken
+    world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2))
+    world.actions_taken.clear()
+    world.advance_time(60 * SECOND)
+    assert WatchEndpointList(True) not in world.actions_taken
+
+
+@pytest.mark.parametrize("gateways", [1, 2, 6])
+def test_few_gateways_retry_polls_within_a_second_after_any_number_of_failures(
+    gateways: int,
+) -> None:
+    """Backoff grew to 3.5 s: with one more failure after discovery recovered, changes arrived after 6 s."""
+    world = World(settings(polls_endpoint_list=True, gateway_count=gateways))
+    for _ in range(8):
+        world.actions_taken.clear()
+        world.update_endpoint_list(EndpointListKind.FAILED, ())
+        assert 500 * MS <= time_until_poll(world) <= SECOND
+
+
+def test_two_hundred_gateways_that_start_together_all_poll_in_time_for_changes() -> None:
+    """The last of them polled after 5 s and had its answer after 6 s, when it has to know changes."""
+    for index in range(0, 200, 9):
+        world = World(settings(polls_endpoint_list=True, gateway_count=200, gateway_index=index), seed=index)
+        assert time_until_poll(world) <= 6 * SECOND - MAX_REQUEST_TIME
+
+
+def test_forty_gateways_that_start_together_stagger_their_polls() -> None:
+    """Discovery serves polls one by one: of 28 together 19 failed and had no list for 15 s."""
+    poll_delays = []
+    for index in range(40):
+        world = World(settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index)
+        poll_delays.append(time_until_poll(world))
+    poll_delays.sort()
+    assert poll_delays[0] == 0 and poll_delays[-1] <= 5 * SECOND, "every gateway has polled within 5 s"
+    most_in_a_second = max(
+        sum(when <= other < when + SECOND for other in poll_delays) for when in poll_delays
+    )
+    assert most_in_a_second <= 13, "a dozen per second, not forty at once"
+
+
+def test_gateways_whose_polls_failed_together_do_not_retry_together() -> None:
+    retry_delays = []
+    for index in range(40):
+        world = World(settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index)
+        world.advance_time(5 * SECOND)
+        world.actions_taken.clear()
+        world.update_endpoint_list(EndpointListKind.FAILED, ())
+        retry_delays.append(time_until_poll(world))
+    assert max(sum(when <= other < when + SECOND for other in retry_delays) for when in retry_delays) <= 24
+    assert max(retry_delays) <= 5 * SECOND
+
+
+@pytest.mark.parametrize("gateways", [1, 5, 25, 200, 1024])
+@pytest.mark.parametrize("poll_interval", [2 * SECOND, 10 * SECOND, 60 * SECOND])
+def test_after_any_number_of_failures_the_next_poll_is_in_time_for_changes(
+    gateways: int, poll_interval: int
+) -> None:
+    """Backoff grew to 7.5 s with many gateways; they have to know changes 6 s after discovery recovers."""
+    for index in range(0, gateways, max(1, gateways // 12)):
+        given = settings(
+            polls_endpoint_list=True, gateway_count=gateways, gateway_index=index, poll_interval=poll_interval
+        )
+        world = World(given, seed=index)
+        world.advance_time(5 * SECOND)
+        for _ in range(8):
+            world.actions_taken.clear()
+            world.update_endpoint_list(EndpointListKind.FAILED, ())
+            assert time_until_poll(world) <= 6 * SECOND - MAX_CONNECT_AND_REQUEST_TIME
+
+
+def test_an_unanswered_poll_is_repeated() -> None:
+    world = World(settings(polls_endpoint_list=True))
+    world.actions_taken.clear()
+    world.advance_time(6 * SECOND)
+    assert WatchEndpointList(True) in world.actions_taken
--- a/tests/balancing/test_moving_statistics.py
+++ b/tests/balancing/test_moving_statistics.py
@@ -1,4 +1,4 @@
-"""What the balancer remembers, on its own."""
+"""The statistics that weigh recent observations most."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
     assert total.value(1_030 * SECOND) == pytest.approx(1.25)
 
 
-def test_a_steady_pace_is_told_as_its_rate() -> None:
+def test_rate_of_a_steady_stream() -> None:
     total = DecayingSum(10 * SECOND)
     for second in range(200):
         total.add(second * SECOND, 3.0)
     assert total.rate(200 * SECOND) == pytest.approx(3.0, rel=0.05)
 
 
-def test_bands_tell_the_share_sent_by_length_and_of_all() -> None:
+def test_bands_return_the_share_sent_by_length_and_of_all() -> None:
     bands = PromptBands(30 * SECOND)
-    assert bands.share_sent() == bands.share_sent(900.0) == 1.0, "none is known"
+    assert bands.share_sent() == bands.share_sent(900.0) == 1.0, "no request is known"
     for number in range(10):
         bands.record(number, 900.0, sent=True)
         bands.record(number, 9_000.0, sent=number < 2)
-    assert bands.share_sent(1_000.0) == 1.0, "of about the same length"
+    assert bands.share_sent(1_000.0) == 1.0, "prompts of about the same length"
     assert bands.share_sent(8_500.0) == pytest.approx(0.2)
     assert bands.share_sent(100.0) == 1.0
     assert bands.share_sent() == pytest.approx(0.6)
 
 
 @pytest.mark.parametrize("gap", [60 * SECOND, (MAX_AGE_IN_HALF_LIVES + 1) * 30 * SECOND, 10**7 * SECOND])
-def test_bands_forget_what_is_long_past_however_long(gap: int) -> None:
+def test_bands_forget_old_requests_after_any_gap(gap: int) -> None:
     bands = PromptBands(30 * SECOND)
     for _ in range(8):
         bands.record(SECOND, 900.0, sent=False)
@@ -45,14 +45,14 @@
     assert bands.share_sent(900.0) == pytest.approx(8 / (8 + 8 * 0.5 ** (gap / (30 * SECOND))))
 
 
-def test_bands_keep_their_shares_when_their_weights_begin_anew() -> None:
+def test_bands_keep_their_shares_when_weights_are_rebased() -> None:
     bands = PromptBands(30 * SECOND)
     for second in range(0, 3 * MAX_AGE_IN_HALF_LIVES * 30, 10):
         bands.record(second * SECOND, 900.0, sent=second % 20 == 0)
     assert bands.share_sent(900.0) == pytest.approx(0.5, abs=0.1)
 
 
-def test_keys_share_among_the_latest_requests_and_few_are_judged_as_more() -> None:
+def test_share_of_a_key_among_recent_requests_and_at_least_so_many() -> None:
     recent = RecentKeys(4)
     recent.add(7)
     assert recent.share(7, at_least=16) == pytest.approx(1 / 16)
@@ -61,4 +61,4 @@
     assert [recent.share(key, at_least=1) for key in (7, 8, 9, 5)] == [0.25, 0.5, 0.25, 0.0]
     for _ in range(4):
         recent.add(5)
-    assert len(recent._counts) == 1, "what is forgotten leaves nothing behind"
+    assert len(recent._counts) == 1, "forgotten keys take no memory"
--- a/tests/balancing/test_overload.py
+++ b/tests/balancing/test_overload.py
@@ -1,4 +1,4 @@
-"""Who is answered, with room for all and without: the decisions on a few simulated workers."""
+"""Which requests are answered with and without enough capacity, on a few simulated replicas."""
 
 from __future__ import annotations
 
@@ -21,107 +21,124 @@
     TimerFired,
 )
 from lockspoke.balancing.settings import RequestClass
-from tests.balancing.helpers import MS, SECOND, ready, settings
+from tests.balancing.helpers import MS, SECOND, ready_entries, settings
 
-WORKERS, SLOTS, READ = 6, 8, 10_000.0  # a worker reads so many prompt tokens a second, one prompt at a time
-DEADLINE = 4 * SECOND
-ALL_NEW = 1 << 40  # sessions: so many that none comes twice
+REPLICAS = 6
+SLOTS_PER_REPLICA = 8
+PROMPT_TOKENS_PER_SECOND = 10_000.0  # that a replica reads, one prompt after the other
+MEAN_PROMPT_TOKENS = 1_665
+MEAN_SLOT_SECONDS = 2.3  # that a request occupies a slot
+CLIENT_TIMEOUT = 4 * SECOND
+ALL_SESSIONS_DISTINCT = 1 << 40  # a number of sessions so large that none occurs twice
 
 
-class Day:
-    """Requests at a pace for a minute; one in ten has a long prompt. Each is answered or not."""
+class OverloadSimulation:
+    """Sends requests at a steady rate for a minute, one in ten of them with a long prompt."""
 
-    def __init__(self, load: float, seed: int, sessions: int = ALL_NEW) -> None:
-        kinds = (RequestClass(latency_objective=SECOND, latency_objective_per_token=30_000.0),)
-        given = settings(classes=kinds, hedging_allowed=True, utilization_field=0)
-        self.balancer, self.draw = Balancer(given, seed), random.Random(seed)
+    def __init__(self, load: float, seed: int, sessions: int = ALL_SESSIONS_DISTINCT) -> None:
+        classes = (RequestClass(latency_objective=SECOND, latency_objective_per_token=30_000.0),)
+        balancer_settings = settings(classes=classes, hedging_allowed=True, utilization_field=0)
+        self.balancer, self.random_source = Balancer(balancer_settings, seed), random.Random(seed)
         self.now, self.queue = 1_000 * SECOND, list[tuple[int, int, Callable[[], None]]]()
-        self.taken, self.read_until = [0] * WORKERS, [0] * WORKERS
+        self.slots_in_use, self.reading_until = [0] * REPLICAS, [0] * REPLICAS
         self.prompts, self.sessions = dict[int, float](), dict[int, int]()
         self.session_count = sessions
-        self.cached = dict[tuple[int, int], float]()  # tokens, by worker, session
+        self.cached = dict[tuple[int, int], float]()  # prompt tokens by replica and session
         self.deadlines = dict[int, int]()
-        self.over, self.answered = set[int](), set[int]()
+        self.not_served, self.answered = set[int](), set[int]()
         self.attempts = dict[int, int]()
-        self._tell(EndpointListUpdate(EndpointListKind.CACHED, ready(*range(WORKERS))))
-        when, pace = self.now, load * WORKERS * min(READ / 1_665, SLOTS / 2.3)
-        while (when := when + int(self.draw.expovariate(pace) * SECOND)) < self.now + 60 * SECOND:
-            self._at(when, self._arrive)
+        self._deliver(EndpointListUpdate(EndpointListKind.CACHED, ready_entries(*range(REPLICAS))))
+        capacity = min(PROMPT_TOKENS_PER_SECOND / MEAN_PROMPT_TOKENS, SLOTS_PER_REPLICA / MEAN_SLOT_SECONDS)
+        when, request_rate = self.now, load * REPLICAS * capacity
+        while (
+            when := when + int(self.random_source.expovariate(request_rate) * SECOND)
+        ) < self.now + 60 * SECOND:
+            self._schedule(when, self._arrive)
         while self.queue:
-            self.now, _, happens = heapq.heappop(self.queue)
-            happens()
+            self.now, _, callback = heapq.heappop(self.queue)
+            callback()
 
-    def _at(self, when: int, happens: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (when, self.draw.getrandbits(60), happens))
+    def _schedule(self, when: int, callback: Callable[[], None]) -> None:
+        heapq.heappush(self.queue, (when, self.random_source.getrandbits(60), callback))
 
     def _arrive(self) -> None:
         number = len(self.prompts)
-        long = self.draw.random() < 0.1
-        prompt = self.prompts[number] = self.draw.uniform(*((6_000, 12_000) if long else (200, 1_500)))
-        session = self.sessions[number] = 1 + self.draw.randrange(self.session_count)
-        self.deadlines[number], self.attempts[number] = self.now + DEADLINE, 0
-        self._tell(RequestArrived(number, DEADLINE, session=session, prompt_tokens=prompt))
-
-    def _tell(self, event: Event) -> None:
+        is_long = self.random_source.random() < 0.1
+        shortest, longest = (6_000, 12_000) if is_long else (200, 1_500)
+        prompt = self.prompts[number] = self.random_source.uniform(shortest, longest)
+        session = self.sessions[number] = 1 + self.random_source.randrange(self.session_count)
+        self.deadlines[number], self.attempts[number] = self.now + CLIENT_TIMEOUT, 0
+        self._deliver(RequestArrived(number, CLIENT_TIMEOUT, session=session, prompt_tokens=prompt))
+
+    def _deliver(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, [event]):
-            self._do(action)
+            self._carry_out(action)
 
-    def _do(self, action: Action) -> None:
+    def _carry_out(self, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self._at(self.now + action.delay, lambda: self._tell(TimerFired(action.token)))
+            self._schedule(self.now + action.delay, lambda: self._deliver(TimerFired(action.token)))
         elif isinstance(action, Reject | Fail):
-            self.over.add(action.request)
+            self.not_served.add(action.request)
         elif isinstance(action, SendAttempt):
             self._send(action.request, action.replica)
 
-    def _send(self, number: int, worker: int) -> None:
-        attempt, sent = self.attempts[number], self.now
+    def _send(self, number: int, replica: int) -> None:
+        attempt, sent_at = self.attempts[number], self.now
         self.attempts[number] += 1
 
-        def end(outcome: Outcome) -> None:
-            self.taken[worker] -= outcome is not Outcome.OVERLOADED
-            closed, report = outcome is Outcome.OK or number in self.over, (self.taken[worker] / SLOTS,)
-            self._tell(AttemptEnded(number, attempt, worker, outcome, self.now - sent, closed, 0, report))
+        def end_attempt(outcome: Outcome) -> None:
+            self.slots_in_use[replica] -= outcome is not Outcome.OVERLOADED
+            answered = outcome is Outcome.OK or number in self.not_served
+            load_report = (self.slots_in_use[replica] / SLOTS_PER_REPLICA,)
+            elapsed = self.now - sent_at
+            self._deliver(AttemptEnded(number, attempt, replica, outcome, elapsed, answered, 0, load_report))
 
-        def first() -> None:
-            if number in self.over or self.now > self.deadlines[number]:
-                return end(Outcome.TIMEOUT)
+        def begin_answer() -> None:
+            if number in self.not_served or self.now > self.deadlines[number]:
+                return end_attempt(Outcome.TIMEOUT)
             self.answered.add(number)
-            self._tell(FirstToken(number, attempt, worker, self.now - sent))
-            return self._at(self.now + int(self.draw.uniform(1, 3) * SECOND), lambda: end(Outcome.OK))
-
-        if self.taken[worker] >= SLOTS:
-            return self._at(self.now + 2 * MS, lambda: end(Outcome.OVERLOADED))
-        self.taken[worker] += 1
-        held = worker, self.sessions[number]
-        reading = int(max(0.0, self.prompts[number] - self.cached.get(held, 0.0)) / READ * SECOND)
-        self.cached[held] = self.prompts[number]
-        self.read_until[worker] = max(self.now, self.read_until[worker]) + reading
-        return self._at(self.read_until[worker] + 5 * MS, first)
-
-    def share(self, begin: float, end: float) -> float:
-        """Of the requests between two parts of them by the length of their prompts, the share answered."""
-        order = sorted(self.prompts, key=self.prompts.__getitem__)
-        some = order[int(begin * len(order)) : int(end * len(order))]
-        return sum(number in self.answered for number in some) / len(some)
+            self._deliver(FirstToken(number, attempt, replica, self.now - sent_at))
+            answer_time = int(self.random_source.uniform(1, 3) * SECOND)
+            return self._schedule(self.now + answer_time, lambda: end_attempt(Outcome.OK))
+
+        if self.slots_in_use[replica] >= SLOTS_PER_REPLICA:
+            return self._schedule(self.now + 2 * MS, lambda: end_attempt(Outcome.OVERLOADED))
+        self.slots_in_use[replica] += 1
+        cache_key = replica, self.sessions[number]
+        uncached = max(0.0, self.prompts[number] - self.cached.get(cache_key, 0.0))
+        reading_time = int(uncached / PROMPT_TOKENS_PER_SECOND * SECOND)
+        self.cached[cache_key] = self.prompts[number]
+        self.reading_until[replica] = max(self.now, self.reading_until[replica]) + reading_time
+        return self._schedule(self.reading_until[replica] + 5 * MS, begin_answer)
+
+    def share_answered(self, begin: float, end: float) -> float:
+        """Return the share answered of the requests between two quantiles of the prompt lengths."""
+        by_length = sorted(self.prompts, key=self.prompts.__getitem__)
+        selected = by_length[int(begin * len(by_length)) : int(end * len(by_length))]
+        return sum(number in self.answered for number in selected) / len(selected)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_with_room_for_all_no_session_is_refused_and_long_prompts_are_answered(seed: int) -> None:
-    day = Day(load=0.5, seed=seed, sessions=40)
-    assert day.share(0.0, 1.0) > 0.99
-    assert day.share(0.9, 1.0) > 2 / 3 * day.share(0.0, 1.0)
-    assert {day.sessions[number] for number in day.answered} == set(day.sessions.values())
+def test_with_enough_capacity_every_session_and_long_prompts_are_answered(seed: int) -> None:
+    simulation = OverloadSimulation(load=0.5, seed=seed, sessions=40)
+    assert simulation.share_answered(0.0, 1.0) > 0.99
+    assert simulation.share_answered(0.9, 1.0) > 2 / 3 * simulation.share_answered(0.0, 1.0)
+    assert {simulation.sessions[number] for number in simulation.answered} == set(
+        simulation.sessions.values()
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_at_the_limit_the_longest_prompts_get_half_of_what_all_get(seed: int) -> None:
-    day = Day(load=1.0, seed=seed)
+def test_at_full_load_the_longest_prompts_are_answered_at_half_the_mean_share(seed: int) -> None:
+    simulation = OverloadSimulation(load=1.0, seed=seed)
     for begin, end in ((0.9, 1.0), (0.7, 0.9)):
-        assert day.share(begin, end) > day.share(0.0, 1.0) / 2
+        assert simulation.share_answered(begin, end) > simulation.share_answered(0.0, 1.0) / 2
 
 
-def test_in_an_overload_that_lasts_the_longest_prompts_get_half_of_what_all_get() -> None:
-    days = [Day(load=1.5, seed=seed) for seed in (1, 2, 3)]
+def test_in_lasting_overload_the_longest_prompts_are_answered_at_half_the_mean_share() -> None:
+    simulations = [OverloadSimulation(load=1.5, seed=seed) for seed in (1, 2, 3)]
     for begin, end in ((0.9, 1.0), (0.7, 0.9)):
-        assert all(day.share(begin, end) > day.share(0.0, 1.0) / 2 for day in days)
+        assert all(
+            simulation.share_answered(begin, end) > simulation.share_answered(0.0, 1.0) / 2
+            for simulation in simulations
+        )
--- a/tests/balancing/test_limits.py
+++ b/tests/balancing/test_package_rules.py
@@ -1,4 +1,4 @@
-"""The limits of the decision package itself: no I/O, no clock, no shared random source, small modules."""
+"""Rules for the modules of the balancing package: small, without I/O, clocks or a shared random source."""
 
 from __future__ import annotations
 
--- /dev/null
+++ b/tests/balancing/test_replica_selection.py
@@ -0,0 +1,203 @@
+"""The selection of replicas: capacity, cached prompts, zones and earlier attempts."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterable
+from typing import Any
+
+from lockspoke.balancing.events import (
+    EndpointListEntry,
+    EndpointListKind,
+    Outcome,
+)
+from tests.balancing.helpers import World, ready_entries, settings
+
+
+def test_work_is_distributed_by_listed_capacity() -> None:
+    world = World(replicas=())
+    world.update_endpoint_list(
+        EndpointListKind.FULL, ready_entries(1, 2, weight=1.0) + ready_entries(3, 4, weight=3.0)
+    )
+    sent = Counter(replica for n in range(200) for replica in world.sent_to(world.arrive(n)))
+    assert 2.2 < (sent[3] + sent[4]) / (sent[1] + sent[2]) < 3.8
+
+
+def test_a_long_prompt_counts_for_more_than_a_short_one() -> None:
+    world = World(replicas=(1, 2))
+    long = world.sent_to(world.arrive(1, prompt_tokens=20_000.0))[0]
+    sent = Counter(replica for n in range(2, 12) for replica in world.sent_to(world.arrive(n)))
+    assert sent[long] == 0
+
+
+def test_after_the_first_token_only_the_answer_counts_as_work() -> None:
+    world = World(replicas=(1, 2))
+    long = world.sent_to(world.arrive(1, prompt_tokens=20_000.0))[0]
+    world.first_token(1)
+    sent = Counter(replica for n in range(2, 12) for replica in world.sent_to(world.arrive(n)))
+    assert sent[long] >= 3
+
+
+def test_a_session_goes_to_the_replica_that_has_its_prompt_cached() -> None:
+    world = World(replicas=range(1, 11))
+    holders = {}
+    for session in range(1, 21):
+        holders[session] = world.sent_to(world.arrive(session, session=session, prompt_tokens=4000.0))[0]
+        world.first_token(session)
+        world.end_attempt(session, Outcome.OK)
+    for session, holder in holders.items():
+        number = 100 + session
+        assert world.sent_to(world.arrive(number, session=session, prompt_tokens=4300.0)) == [holder]
+        world.first_token(number)
+        world.end_attempt(number, Outcome.OK)
+
+
+def replicas_chosen_for(prefix: int, seeds: range, earlier_prefixes: Iterable[int]) -> Counter[int]:
+    """Return where gateways, each with the same earlier requests, send one more request."""
+    holders: Counter[int] = Counter()
+    for seed in seeds:
+        world = World(replicas=range(1, 11), seed=seed)
+        for number, other in enumerate(earlier_prefixes):
+            world.arrive(number, prefix=other, prefix_tokens=3000.0, prompt_tokens=3500.0)
+            world.first_token(number)
+            world.end_attempt(number, Outcome.OK)
+        holders.update(
+            world.sent_to(world.arrive(999, prefix=prefix, prefix_tokens=3000.0, prompt_tokens=3500.0))
+        )
+    return holders
+
+
+def test_gateways_choose_the_same_replica_for_a_prefix_without_any_exchange() -> None:
+    """The preferred replica must also win at a gateway that has never sent this prefix."""
+    for prefix in range(70, 80):
+        assert len(replicas_chosen_for(prefix, range(6), range(100, 130))) == 1
+
+
+def test_a_prefix_of_many_requests_is_held_by_many_replicas() -> None:
+    """With a single holder for all gateways, that replica had seven times the mean load of a fleet."""
+    holders = replicas_chosen_for(70, range(40), [70, 71, 70, 72] * 8)
+    assert len(holders) >= 6 and max(holders.values()) <= 16
+
+
+def test_requests_of_a_session_reach_the_same_replica_through_any_gateway() -> None:
+    """Each request came through another gateway, went to another holder of the prefix, and was read again."""
+    replicas, same_replica = range(1, 92), 0
+    for session in range(1, 11):
+        replicas_chosen = Counter[int]()
+        for gateway in range(12):
+            world = World(settings(gateway_count=200, gateway_index=gateway), replicas=replicas, seed=gateway)
+            for number in range(30):  # each gateway has seen different traffic
+                world.arrive(number, prefix=100 + (gateway + number) % 25, prefix_tokens=3000.0)
+                world.first_token(number)
+                world.end_attempt(number, Outcome.OK)
+            session_request: dict[str, Any] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
+            replicas_chosen.update(
+                world.sent_to(world.arrive(999, prompt_tokens=9000.0 + 1000.0 * gateway, **session_request))
+            )
+        same_replica += replicas_chosen.most_common(1)[0][1]
+    assert same_replica >= 0.7 * 10 * 12
+
+
+def test_sessions_of_a_prefix_are_spread_over_its_holders() -> None:
+    sent: Counter[int] = Counter()
+    for session in range(1, 201):
+        world = World(settings(gateway_count=200), replicas=range(1, 92), seed=session)
+        session_request: dict[str, Any] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
+        sent.update(world.sent_to(world.arrive(1, prompt_tokens=9000.0, **session_request)))
+    assert len(sent) >= 8 and max(sent.values()) <= 60
+
+
+def test_a_session_stays_in_the_gateways_zone_if_crossing_zones_has_a_cost() -> None:
+    """With its first holder in another zone, its requests alternated between that and local replicas."""
+    stayed_local = 0
+    for session in range(1, 201):
+        world = World(settings(gateway_count=200, cross_zone_cost=0.08, zone=0), replicas=(), seed=session)
+        entries = tuple(EndpointListEntry(number, zone=number % 3) for number in range(1, 91))
+        world.update_endpoint_list(EndpointListKind.FULL, entries)
+        session_request: dict[str, Any] = {
+            "session": session,
+            "prefix": 1000 + session,
+            "prefix_tokens": 9000.0,
+        }
+        stayed_local += world.sent_to(world.arrive(1, prompt_tokens=15_000.0, **session_request))[0] % 3 == 0
+    assert stayed_local >= 145
+
+
+def test_one_of_few_requests_does_not_make_its_prefix_a_frequent_one() -> None:
+    """One request is a large share of a new gateway's few: each prefix was read by the whole fleet."""
+    holders = Counter[int]()
+    for seed in range(200):
+        world = World(settings(gateway_count=200), replicas=range(1, 92), seed=seed)
+        holders.update(world.sent_to(world.arrive(1, prefix=100, prefix_tokens=3000.0, prompt_tokens=3500.0)))
+    assert len(holders) <= 15
+
+
+def test_idle_replicas_are_sampled_by_listed_capacity() -> None:
+    """With many gateways own load is mostly zero: only listed weights show what others have sent."""
+    sent: Counter[int] = Counter()
+    for seed in range(80):
+        world = World(replicas=(), seed=seed)
+        world.update_endpoint_list(
+            EndpointListKind.FULL, ready_entries(1, 2, 3, 4, weight=0.25) + ready_entries(5, weight=3.0)
+        )
+        sent.update(world.sent_to(world.arrive(1)))
+    assert sent[5] >= 45 and sent.total() - sent[5] >= 5
+
+
+def test_own_load_stands_for_that_of_all_gateways() -> None:
+    """Two own requests at one of many gateways stand for many: crossing zones costs less than that load."""
+    crossed = Counter[int]()
+    for gateways in (1, 16):
+        for seed in range(20):
+            gateway_settings = settings(cross_zone_cost=0.08, zone=0, gateway_count=gateways)
+            world = World(gateway_settings, replicas=(), seed=seed)
+            world.update_endpoint_list(
+                EndpointListKind.FULL, ready_entries(1, 2, 3, 4, zone=1) + ready_entries(5, 6, 7, 8, zone=0)
+            )
+            sent = [replica for n in range(24) for replica in world.sent_to(world.arrive(n))]
+            crossed[gateways] += sum(replica < 5 for replica in sent)
+    assert 2 * crossed[1] < crossed[16]
+
+
+def test_a_small_replica_is_not_left_idle_beside_a_loaded_large_one() -> None:
+    """Costs that were divided by capacity kept small replicas idle while large ones were overloaded."""
+    world = World(settings(gateway_count=4), replicas=())
+    world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, weight=4.0) + ready_entries(2, 3, 4))
+    sent = Counter(replica for n in range(28) for replica in world.sent_to(world.arrive(n)))
+    assert min(sent[2], sent[3], sent[4]) >= 2
+
+
+def test_a_restart_of_a_replica_clears_its_cache_records() -> None:
+    world = World(replicas=(1, 2))
+    holder = world.sent_to(world.arrive(1, session=5))[0]
+    assert world.balancer.replicas[holder].cached
+    world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(holder, started_at=world.now))
+    assert not world.balancer.replicas[holder].cached
+
+
+def local_share(local_weight: float) -> float:
+    """Return the share of light traffic that stays in the gateway's zone, by the weight listed there."""
+    stayed_local = 0
+    for seed in range(100):
+        world = World(settings(cross_zone_cost=0.08, zone=0), replicas=(), seed=seed)
+        world.update_endpoint_list(
+            EndpointListKind.FULL,
+            ready_entries(1, 2, zone=1) + ready_entries(3, 4, zone=0, weight=local_weight),
+        )
+        stayed_local += world.sent_to(world.arrive(1))[0] >= 3
+    return stayed_local / 100
+
+
+def test_cost_of_crossing_zones_keeps_most_traffic_local_unless_local_capacity_is_low() -> None:
+    """A sample of local replicas alone kept all of it in a zone that had lost a third of its replicas."""
+    assert local_share(local_weight=1.0) > 0.8
+    assert 0.25 < local_share(local_weight=0.15) < 0.75
+
+
+def test_a_request_never_returns_to_a_replica_that_could_not_be_reached() -> None:
+    world = World(settings(max_attempts=6), replicas=(1, 2, 3))
+    world.arrive(1)
+    while not world.requests[1].final_answer:
+        world.end_attempt(1, Outcome.CONNECT_FAILED)
+    replicas = [attempt.replica for attempt in world.requests[1].attempts]
+    assert len(set(replicas)) == len(replicas) == 3
--- a/tests/balancing/test_settings_reader.py
+++ b/tests/balancing/test_settings_reader.py
@@ -10,11 +10,11 @@
 from lockspoke.balancing.settings import DeduplicationScope, Idempotency, Tenant
 from lockspoke.balancing.settings_reader import SettingsError
 from lockspoke.simulator.decoder import decode_settings
-from tests.simulator.test_codec import GOOD
+from tests.simulator.test_codec import MINIMAL_SETTINGS
 
 
 def with_value(path: str, value: Any) -> bytes:
-    settings = json.loads(json.dumps(GOOD))
+    settings = json.loads(json.dumps(MINIMAL_SETTINGS))
     *parents, key = path.split(".")
     parent = settings
     for step in parents:
@@ -66,18 +66,11 @@
     full["weights"], full["peersTotal"], full["prices"] = "live", 4, {"crossZone": 0.02}
     settings = decode_settings(json.dumps(full).encode())
     request_class = settings.classes[0]
-    assert (
-        request_class.idempotency,
-        request_class.deduplication_scope,
-        request_class.deduplication_window,
-    ) == (
-        Idempotency.IDEMPOTENT_WITH_KEY,
-        DeduplicationScope.CELL,
-        9,
-    )
-    assert (
-        request_class.latency_objective_per_token == 60_000.0
-    )  # 60,000 us per 1,000 tokens are as many ns per token
+    assert request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+    assert request_class.deduplication_scope is DeduplicationScope.CELL
+    assert request_class.deduplication_window == 9
+    # 60,000 us per 1,000 tokens are as many ns per token.
+    assert request_class.latency_objective_per_token == 60_000.0
     assert settings.polls_endpoint_list and settings.poll_interval == 10_000
     assert settings.tenants == (Tenant(0.5),)
     assert settings.utilization_field is None
--- /dev/null
+++ b/tests/balancing/test_slow_start.py
@@ -0,0 +1,198 @@
+"""The work that replicas in slow start get from one gateway and from all together."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import replace
+
+import pytest
+
+from lockspoke.balancing.events import (
+    AttemptEnded,
+    EndpointListKind,
+    Outcome,
+)
+from tests.balancing.helpers import MS, SECOND, World, ready_entries, settings
+
+
+@pytest.mark.parametrize("gateways", [1, 3, 8, 40])
+def test_all_gateways_together_do_not_overload_a_replica_in_slow_start(gateways: int) -> None:
+    """Each gateway uses its own part of the budget; the sum stays below the bound without any exchange."""
+    given_settings = settings(gateway_count=gateways)
+    worlds = [
+        World(settings(gateway_count=gateways, gateway_index=n), replicas=range(1, 6), seed=n)
+        for n in range(gateways)
+    ]
+    rng, number, request_rate = random.Random(3), 0, 20.0
+    sent_times: list[int] = []
+    started = worlds[0].now + 20 * SECOND
+    for tick in range(300):
+        for world in worlds:
+            world.advance_time(100 * MS)
+            if tick == 200:
+                world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(9, started_at=started))
+        for _ in range(int(request_rate / 10)):
+            number += 1
+            world = rng.choice(worlds)
+            if world.sent_to(world.arrive(number)) == [9]:
+                sent_times.append(world.now)
+            world.first_token(number)
+        for world in worlds:
+            for request, _ in world.attempts_in_progress():
+                if world.now - world.requests[request].attempts[0].sent_at >= SECOND:
+                    world.end_attempt(request, Outcome.OK)
+    warm_rate = request_rate / 5  # requests per second of a warm replica, from all gateways together
+    assert sent_times, "a replica in slow start must get some work"
+    for when in sent_times:
+        window = [time for time in sent_times if when <= time < when + given_settings.overload_duration]
+        capacity_share = 0.2 + 0.8 * (when - started) / given_settings.slow_start_duration
+        allowed = (
+            given_settings.overload_multiple
+            * capacity_share
+            * warm_rate
+            * given_settings.overload_duration
+            / SECOND
+        )
+        assert len(window) <= allowed + 1
+
+
+@pytest.mark.parametrize(("gateways", "requests_per_tick"), [(40, 9), (200, 30)])
+def test_replaced_replicas_carry_their_part_of_the_load_during_slow_start(
+    gateways: int, requests_per_tick: int
+) -> None:
+    """No gateway's part of a budget was as large as one request, and each alone sees few requests."""
+    fleet = settings(
+        slow_start_initial_share=0.13,
+        slow_start_duration=24 * SECOND,
+        overload_duration=1_500 * MS,
+        gateway_count=gateways,
+    )
+    worlds = [World(replace(fleet, gateway_index=n), range(1, 17), seed=n) for n in range(gateways)]
+    started = worlds[0].now + 10 * SECOND
+    rng, number = random.Random(4), 0
+    sends: dict[int, list[int]] = {replica: [] for replica in range(101, 125)}
+    for tick in range(160):  # ten seconds before the replicas are replaced, and six after
+        for world in worlds:
+            world.advance_time(100 * MS)
+            if tick == 100:
+                world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(*sends, started_at=started))
+        for _ in range(requests_per_tick):
+            number += 1
+            world = rng.choice(worlds)
+            for replica in world.sent_to(world.arrive(number, prompt_tokens=3000.0)):
+                if replica > 100:
+                    sends[replica].append(world.now)
+            world.first_token(number)
+            world.end_attempt(number, Outcome.OK)
+    warm_rate = requests_per_tick * 10 / 16  # requests per second of a warm replica
+    expected = sum(warm_rate * (0.13 + 0.87 * second / 24) for second in range(6))
+    assert sum(map(len, sends.values())) >= 0.4 * expected * len(sends), (
+        "the capacity that they have by now is used"
+    )
+    for times in sends.values():
+        for when in times:
+            capacity_share = 0.13 + 0.87 * (when - started) / fleet.slow_start_duration
+            allowed = fleet.overload_multiple * capacity_share * warm_rate * fleet.overload_duration / SECOND
+            assert sum(when <= other < when + fleet.overload_duration for other in times) <= allowed + 1
+
+
+def test_restarted_gateways_send_little_to_a_zone_in_slow_start() -> None:
+    """They know the throughput of no warm replica: they still serve requests and overload no replica."""
+    fleet = settings(
+        slow_start_initial_share=0.13,
+        slow_start_duration=24 * SECOND,
+        overload_duration=1_500 * MS,
+        gateway_count=40,
+    )
+    worlds = [World(replace(fleet, gateway_index=n), (), seed=n) for n in range(40)]
+    started, rng, number = worlds[0].now, random.Random(6), 0
+    sends: dict[int, list[int]] = {}
+    for world in worlds:
+        world.update_endpoint_list(EndpointListKind.CACHED, ready_entries(*range(1, 14), started_at=started))
+    for _ in range(60):
+        for world in worlds:
+            world.advance_time(100 * MS)
+        for _ in range(9):
+            number += 1
+            world = rng.choice(worlds)
+            for replica in world.sent_to(world.arrive(number, prompt_tokens=3000.0)):
+                sends.setdefault(replica, []).append(world.now)
+                world.first_token(number)
+                world.end_attempt(number, Outcome.OK)
+    assert len(sends) >= 10, "nearly all of them get work, though no gateway knows a warm one"
+    for times in sends.values():
+        most_in_window = max(
+            sum(when <= other < when + fleet.overload_duration for other in times) for when in times
+        )
+        assert most_in_window <= 4, (
+            "in two adjacent windows: a request each, and what the capacity at that age allows"
+        )
+
+
+def test_an_overload_does_not_raise_the_slow_start_budget() -> None:
+    """Requests are retried in an overload; only completed work may determine the budget."""
+    world = World(settings(max_attempts=6), replicas=(1, 2, 3, 4))
+    for number in range(1, 2000):
+        world.arrive(number, time_remaining=SECOND)
+        world.advance_time(5 * MS)
+    world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(9, started_at=world.now))
+    assert not [r for n in range(3000, 3100) for r in world.sent_to(world.arrive(n)) if r == 9]
+
+
+def test_a_restart_and_a_flapping_list_do_not_reset_the_slow_start_budget() -> None:
+    world = World(replicas=(1, 2, 3, 4))
+    for number in range(200):
+        world.arrive(number)
+        world.first_token(number)
+        world.end_attempt(number, Outcome.OK)
+        world.advance_time(20 * MS)
+    started, sent = world.now, 0
+    for number in range(1000, 1100):
+        world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2, 3, 4))
+        world.update_endpoint_list(
+            EndpointListKind.FULL, ready_entries(1, 2, 3, 4) + ready_entries(9, started_at=started)
+        )
+        sent += world.sent_to(world.arrive(number)) == [9]
+    assert sent
+    per_replica = 200 / 4 / 4  # 50 requests per second over four replicas, for four seconds
+    assert sent <= 3.0 * 0.2 * per_replica * 2 + 1
+
+
+def sent_during_slow_start(cached_tokens: int, weight: float) -> int:
+    """Return how many requests a replica that has just started gets beside warm replicas."""
+    world = World(replicas=())
+    world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2, 3, weight=4.0))
+    number = 0
+    for _ in range(300):
+        number += 1
+        world.arrive(number, prompt_tokens=4000.0)
+        world.first_token(number)
+        replica, sent_at = world.requests[number].attempts[-1]
+        world.requests[number].outcomes[0] = Outcome.OK
+        world.requests[number].final_answer = "outcome"
+        world.step(AttemptEnded(number, 0, replica, Outcome.OK, world.now - sent_at, True, cached_tokens))
+        world.advance_time(10 * MS)
+    world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(4, weight=weight, started_at=world.now))
+    sent_to_new = 0
+    for _ in range(200):
+        number += 1
+        sent_to_new += world.sent_to(world.arrive(number, prompt_tokens=4000.0)).count(4)
+        if world.requests[number].attempts:
+            world.first_token(number)
+            world.end_attempt(number, Outcome.OK)
+        world.advance_time(10 * MS)
+    return sent_to_new
+
+
+def test_the_slow_start_budget_follows_completed_uncached_work() -> None:
+    """Warm replicas with cached prompts read little: budgets by complete prompts overloaded a new replica."""
+    uncached = sent_during_slow_start(cached_tokens=0, weight=4.0)
+    cached = sent_during_slow_start(cached_tokens=3800, weight=4.0)
+    assert uncached > 2 * cached
+
+
+def test_a_small_replica_in_slow_start_gets_less_than_a_large_one() -> None:
+    """The mean warm replica may be several times larger than the one in slow start."""
+    large = sent_during_slow_start(cached_tokens=0, weight=4.0)
+    small = sent_during_slow_start(cached_tokens=0, weight=1.0)
+    assert large > 2 * small
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The decoder and encoder against bytes written field by field from the protocol's tables."""
+"""The decoder and encoder, against bytes written out field by field from the protocol's specification."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from lockspoke.simulator.framing import WireError
 from lockspoke.simulator.messages import Teardown
 
-GOOD: dict[str, Any] = {
+MINIMAL_SETTINGS: dict[str, Any] = {
     "contract": {
         "answerSlack": 20,
         "coldShare": 0.12,
@@ -39,7 +39,7 @@
 }
 
 
-def frame(*records: str, now: int = 5, number: int = 1) -> bytes:
+def batch_body(*records: str, now: int = 5, number: int = 1) -> bytes:
     body = bytes.fromhex("".join(records).replace(" ", ""))
     return (
         len(records).to_bytes(4, "little") + now.to_bytes(8, "little") + number.to_bytes(4, "little") + body
@@ -47,20 +47,20 @@
 
 
 def decode_one(record: str) -> Any:
-    now, number, records = decode_batch(frame(record))
+    now, number, records = decode_batch(batch_body(record))
     assert (now, number, len(records)) == (5, 1, 1)
     assert records[0][0] == 3
     return records[0][1]
 
 
-REQUEST = (
+REQUEST_RECORD = (
     "fc03 0300 c4913a5d 0000 0000 640ad2557c3bf091 001c4e0e00000000 001bb70000000000 107cf3d901648e2b"
     "0000e144 00009644 00008043 01"
 )
 
 
 def test_request() -> None:
-    event = decode_one(REQUEST)
+    event = decode_one(REQUEST_RECORD)
     assert event == RequestArrived(
         request=0x5D3A91C4,
         time_remaining=240_000_000,
@@ -77,7 +77,7 @@
 
 
 def test_request_flags() -> None:
-    event = decode_one(REQUEST[:-2] + "02")
+    event = decode_one(REQUEST_RECORD[:-2] + "02")
     assert event.client_retry and event.cost_hint == 0
 
 
@@ -87,9 +87,9 @@
         "00 074a1203 00 0000803f 0000000000000000 0000 01"
         "02 f211902c 01 0000c03f 009d966b01000000 0500 02"
     )
-    one = EndpointListEntry(0x03124A07, ReplicaState.READY, 0, 0, 1.0, 0)
-    two = EndpointListEntry(0x2C9011F2, ReplicaState.DRAINING, 1, 5, 1.5, 6_100_000_000, machine_kind=2)
-    assert event == EndpointListUpdate(EndpointListKind.CACHED, (one, two))
+    ready = EndpointListEntry(0x03124A07, ReplicaState.READY, 0, 0, 1.0, 0)
+    draining = EndpointListEntry(0x2C9011F2, ReplicaState.DRAINING, 1, 5, 1.5, 6_100_000_000, machine_kind=2)
+    assert event == EndpointListUpdate(EndpointListKind.CACHED, (ready, draining))
 
 
 def test_first_token() -> None:
@@ -106,10 +106,10 @@
     )
 
 
-def test_results_that_this_balancer_never_asks_for_are_skipped() -> None:
-    probed = "2e04 0300 f211902c c05c150000000000 0000 03 0000e0400000404000000c43"
-    peer = "3804 0300 0200 0400 68692037"
-    _, _, records = decode_batch(frame(probed, peer, "4204 0300"))
+def test_health_checks_and_peer_messages_are_skipped() -> None:
+    health_check = "2e04 0300 f211902c c05c150000000000 0000 03 0000e0400000404000000c43"
+    peer_message = "3804 0300 0200 0400 68692037"
+    _, _, records = decode_batch(batch_body(health_check, peer_message, "4204 0300"))
     assert records == [(3, Teardown())]
 
 
@@ -120,7 +120,7 @@
 
 
 def test_provision() -> None:
-    text = json.dumps(GOOD).encode()
+    text = json.dumps(MINIMAL_SETTINGS).encode()
     record = "e803 0300 0700000000000000" + len(text).to_bytes(4, "little").hex() + text.hex()
     event = decode_one(record)
     assert event.seed == 7 and event.settings.max_attempts == 3
@@ -131,7 +131,7 @@
     record = (
         f"1a04 0300 192b6f0e 1004 0300 c4913a5d a0491a0100000000 00000000 074a1203 0000 {code:02x}00 00 00"
     )
-    _, _, records = decode_batch(frame(record[:22], record[22:]))
+    _, _, records = decode_batch(batch_body(record[:22], record[22:]))
     assert isinstance(records[1][1], AttemptEnded) and records[1][1].outcome is outcome
 
 
@@ -156,7 +156,7 @@
     assert encode_reply(1, [b"ab"]) == bytes.fromhex("06000000 01000000".replace(" ", "")) + b"ab"
 
 
-def test_a_timer_delay_beyond_the_protocols_bound_is_limited_to_it() -> None:
+def test_a_timer_delay_is_limited_to_the_maximum_of_the_protocol() -> None:
     record = encode_action(0, SetTimer(10**15, 1))
     assert int.from_bytes(record[4:12], "little") == MAX_TIMER_DELAY
 
@@ -165,14 +165,14 @@
     ("body", "message"),
     [
         (b"\0" * 15, "shorter than its header"),
-        (frame("1a04 0300 192b"), "batch 1: record 0 at byte 16: cut short"),
-        (frame("ffff 0300"), "batch 1: record 0 at byte 16: unknown record code 65535"),
-        (frame("4204 0300", "4204"), "batch 1: record 1 at byte 20: cut short"),
-        (frame("4204 0300") + b"xy", "2 bytes left after record 0"),
-        (frame("f203 0300 2900000000000000 09 00000000"), "unknown list kind 9"),
-        (frame("2e04 0300 f211902c c05c150000000000 6300 00"), "unknown outcome 99"),
+        (batch_body("1a04 0300 192b"), "batch 1: record 0 at byte 16: cut short"),
+        (batch_body("ffff 0300"), "batch 1: record 0 at byte 16: unknown record code 65535"),
+        (batch_body("4204 0300", "4204"), "batch 1: record 1 at byte 20: cut short"),
+        (batch_body("4204 0300") + b"xy", "2 bytes left after record 0"),
+        (batch_body("f203 0300 2900000000000000 09 00000000"), "unknown list kind 9"),
+        (batch_body("2e04 0300 f211902c c05c150000000000 6300 00"), "unknown outcome 99"),
     ],
 )
-def test_errors_of_malformed_frames_name_the_fault_and_its_place(body: bytes, message: str) -> None:
+def test_errors_of_malformed_frames_name_the_fault_and_its_position(body: bytes, message: str) -> None:
     with pytest.raises(WireError, match=message):
         decode_batch(body)
--- a/tests/simulator/test_program.py
+++ b/tests/simulator/test_program.py
@@ -1,4 +1,4 @@
-"""The simulator as a process: framing, flushing, bad input, and equal actions in any split of instances."""
+"""The simulator as a process: framing, flushing, malformed input, and independence of its instances."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from lockspoke.simulator.encoder import encode_crash
 from lockspoke.simulator.messages import InstanceRecord
 from lockspoke.simulator.program import SimulatedGateways
-from tests.simulator.test_codec import GOOD
+from tests.simulator.test_codec import MINIMAL_SETTINGS
 
 ROOT = Path(__file__).resolve().parent.parent.parent
 COMMAND = [sys.executable, "-m", "lockspoke.simulator"]
@@ -27,7 +27,7 @@
 
 
 def provision(instance: int, **changes: object) -> bytes:
-    text = json.dumps(GOOD | changes).encode()
+    text = json.dumps(MINIMAL_SETTINGS | changes).encode()
     return struct.pack("<HHQI", 1000, instance, 100 + instance, len(text)) + text
 
 
@@ -45,9 +45,15 @@
     return struct.pack("<HHIQIIHHBB", 1040, instance, request, 10**7, 0, replica, 0, code, closed, 0)
 
 
-def run_simulator(stream: bytes, **env: str) -> subprocess.CompletedProcess[bytes]:
+def run_simulator(stream: bytes, **environment: str) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        COMMAND, check=False, input=stream, capture_output=True, cwd=ROOT, env=os.environ | env, timeout=60
+        COMMAND,
+        check=False,
+        input=stream,
+        capture_output=True,
+        cwd=ROOT,
+        env=os.environ | environment,
+        timeout=60,
     )
 
 
@@ -62,7 +68,7 @@
 
 
 def traffic(instances: list[int]) -> bytes:
-    """A deterministic stretch of traffic for the given instances; the same for each in any company."""
+    """Return deterministic traffic for the given instances; that of each does not depend on the others."""
     rngs = {instance: random.Random(instance) for instance in instances}
     number, now = 1, 10**9
     stream = batch_frame(0, now, [])
@@ -85,7 +91,7 @@
 
 
 def actions_by_instance(output: bytes) -> dict[int, list[bytes]]:
-    """Each instance's actions; only fixed-size records occur here."""
+    """Return the encoded actions of each instance."""
     sizes = {1000: 20, 1010: 16, 1020: 8, 1040: 16, 1100: 5}
     found: dict[int, list[bytes]] = {}
     for reply in split_replies(output):
@@ -98,16 +104,16 @@
     return found
 
 
-def test_same_actions_in_one_process_or_several_and_with_any_hash_seed() -> None:
-    together = run_simulator(traffic([1, 2, 3]), PYTHONHASHSEED="1")
-    assert together.returncode == 0 and together.stderr == b""
-    assert together.stdout == run_simulator(traffic([1, 2, 3]), PYTHONHASHSEED="99").stdout
-    alone = {i: actions_by_instance(run_simulator(traffic([i])).stdout)[i] for i in (1, 2, 3)}
-    assert actions_by_instance(together.stdout) == alone
-    assert all(len(actions) > 60 for actions in alone.values())
+def test_actions_are_the_same_in_one_process_or_several_and_with_any_hash_seed() -> None:
+    one_process = run_simulator(traffic([1, 2, 3]), PYTHONHASHSEED="1")
+    assert one_process.returncode == 0 and one_process.stderr == b""
+    assert one_process.stdout == run_simulator(traffic([1, 2, 3]), PYTHONHASHSEED="99").stdout
+    separate_processes = {i: actions_by_instance(run_simulator(traffic([i])).stdout)[i] for i in (1, 2, 3)}
+    assert actions_by_instance(one_process.stdout) == separate_processes
+    assert all(len(actions) > 60 for actions in separate_processes.values())
 
 
-def test_each_reply_is_flushed_and_the_end_of_input_ends_it() -> None:
+def test_each_reply_is_flushed_and_the_process_ends_with_its_input() -> None:
     with subprocess.Popen(COMMAND, stdin=subprocess.PIPE, stdout=subprocess.PIPE, cwd=ROOT) as process:
         assert process.stdin and process.stdout
         for number in range(3):
@@ -118,30 +124,32 @@
         assert process.wait(30) == 0
 
 
-def test_teardown_and_provision_in_one_batch_start_empty() -> None:
-    stop = struct.pack("<HH", 1090, 1)
+def test_teardown_and_provision_in_one_batch_start_an_instance_with_empty_state() -> None:
+    teardown = struct.pack("<HH", 1090, 1)
     stream = batch_frame(1, 5, [provision(1), endpoint_list(1, 11), request_record(1, 7)])
     stream += batch_frame(
         2,
         6,
-        [request_record(1, 8), stop, provision(1), endpoint_list(1, 12), outcome_record(1, 7, 11, 10, 0)],
+        [request_record(1, 8), teardown, provision(1), endpoint_list(1, 12), outcome_record(1, 7, 11, 10, 0)],
     )
     stream += batch_frame(3, 7, [request_record(1, 9)])
     replies = split_replies(run_simulator(stream).stdout)
-    assert len(replies[1]) == 4, "requests from before the kill must not be named"
+    assert len(replies[1]) == 4, "requests from before the teardown must not be named"
     assert struct.pack("<HHII", 1000, 1, 9, 12) in replies[2]
 
 
 def test_events_of_unknown_instances_and_requests_are_ignored() -> None:
-    left = struct.pack("<HHI", 1050, 1, 999)
-    odd = [
+    client_disconnected = struct.pack("<HHI", 1050, 1, 999)
+    unknown = [
         outcome_record(1, 999, 11, 0, 1),
-        left,
+        client_disconnected,
         outcome_record(9, 1, 1, 0, 1),
         struct.pack("<HHIHIQ", 1030, 1, 999, 0, 11, 5),
     ]
-    done = run_simulator(batch_frame(1, 5, [provision(1), endpoint_list(1, 11)]) + batch_frame(2, 6, odd))
-    assert done.returncode == 0 and len(split_replies(done.stdout)[1]) == 4
+    process = run_simulator(
+        batch_frame(1, 5, [provision(1), endpoint_list(1, 11)]) + batch_frame(2, 6, unknown)
+    )
+    assert process.returncode == 0 and len(split_replies(process.stdout)[1]) == 4
 
 
 def test_a_failure_of_one_instance_is_reported_as_its_crash() -> None:
@@ -150,31 +158,33 @@
             raise IndexError("out of range")
 
     gateways = SimulatedGateways()
-    gateways.balancers[3] = Broken()  # type: ignore[assignment]  # stands in for a balancer with a fault
+    gateways.balancers[3] = Broken()  # type: ignore[assignment]  # a balancer that raises an exception
     records = [InstanceRecord(3, TimerFired(1))]
     assert gateways.handle(5, records) == [encode_crash(3, "IndexError: out of range")]
 
 
-def assert_fails(stream: bytes, *words: bytes) -> None:
-    done = run_simulator(stream)
-    assert done.returncode != 0
-    assert done.stderr.count(b"\n") == 1
-    for word in words:
-        assert word in done.stderr
-    split_replies(done.stdout)
+def assert_fails(stream: bytes, *expected: bytes) -> None:
+    process = run_simulator(stream)
+    assert process.returncode != 0
+    assert process.stderr.count(b"\n") == 1
+    for word in expected:
+        assert word in process.stderr
+    split_replies(process.stdout)
 
 
-def test_bad_input_ends_it_with_one_line_and_complete_replies_only() -> None:
-    good = batch_frame(1, 5, [provision(1), endpoint_list(1, 11)])
-    assert_fails(good + b"\x01\x02", b"frame length cut short")
-    assert_fails(good + batch_frame(2, 6, [request_record(1, 7)])[:-3], b"frame cut short")
-    assert_fails(good + struct.pack("<I", 50), b"frame cut short")
+def test_malformed_input_ends_the_process_with_one_line_after_complete_replies() -> None:
+    valid = batch_frame(1, 5, [provision(1), endpoint_list(1, 11)])
+    assert_fails(valid + b"\x01\x02", b"frame length cut short")
+    assert_fails(valid + batch_frame(2, 6, [request_record(1, 7)])[:-3], b"frame cut short")
+    assert_fails(valid + struct.pack("<I", 50), b"frame cut short")
     assert_fails(
-        good + batch_frame(2, 6, [struct.pack("<HH", 4242, 1)]), b"batch 2", b"unknown record code 4242"
+        valid + batch_frame(2, 6, [struct.pack("<HH", 4242, 1)]), b"batch 2", b"unknown record code 4242"
     )
     assert_fails(batch_frame(1, 5, [provision(1, limits={})]), b"limits.attemptsCap")
-    broken = b"{no json"
-    assert_fails(batch_frame(1, 5, [struct.pack("<HHQI", 1000, 1, 1, len(broken)) + broken]), b"not JSON")
+    malformed = b"{no json"
+    assert_fails(
+        batch_frame(1, 5, [struct.pack("<HHQI", 1000, 1, 1, len(malformed)) + malformed]), b"not JSON"
+    )
 
 
 def test_renaming_every_label_changes_no_action() -> None:
