--- a/tests/golden/fleet.py
+++ b/tests/golden/fleet.py
@@ -1,6 +1,6 @@
 """A seeded, simulated fleet: clients and replicas that react to the actions of one instance.
 
-It speaks in rows (see `decision_codec.py`) and knows nothing of the decision module's types.
+Events and actions are rows (see `decision_codec.py`): it does not depend on the types of the balancer.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NEVER_SENT, REJECTED = range(9)
-DELTA, WHOLE, CACHED, LIST_FAILED = range(4)
-GONE, READY, DRAINING = range(3)
-FAULTS = ("unreachable", "resetting", "failing", "slow", "sheds slowly", "rejecting")
+OK, ERROR, OVERLOADED, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NEVER_SENT, INVALID_REQUEST = range(9)
+DELTA, FULL, CACHED, FAILED = range(4)
+REMOVED, READY, DRAINING = range(3)
+FAULTS = ("unreachable", "resetting", "failing", "slow", "rejects slowly", "finds requests invalid")
 
 
 @dataclass(frozen=True)
 class Traffic:
-    """What the fleet and its clients are like."""
+    """The properties of a fleet and its clients."""
 
     classes: int = 1
     tenants: int = 0
     zones: int = 1
     replicas: int = 6
     slots: int = 8  # of each replica
-    rate: float = 30.0  # requests a second; three times as many in the middle third
+    rate: float = 30.0  # requests per second; three times as many in the middle third
     duration: int = 12 * SECOND
-    report_size: int = 0  # numbers in a load report; the last is the share of busy slots
-    subscribe: bool = False
-    whole_interface: bool = False  # also what the simulator's wire can't carry
-    crashes: bool = False  # events that make the decisions fail
-    calm: bool = False  # no faults
+    report_size: int = 0  # numbers in a load report; the last is the utilization
+    polls_endpoint_list: bool = False
+    full_interface: bool = False  # also events that the simulator's protocol cannot carry
+    crashes: bool = False  # events that make the balancer raise an exception
+    without_faults: bool = False
 
 
 @dataclass
@@ -45,7 +45,7 @@
     number: int
     zone: int
     cell: int
-    machine: int
+    machine_kind: int
     weight: float
     state: int = READY
     started_at: int = 0
@@ -55,7 +55,7 @@
 
     def entry(self) -> Row:
         place = (self.number, self.state, self.zone, self.cell)
-        return [*place, self.weight, self.started_at, self.machine]
+        return [*place, self.weight, self.started_at, self.machine_kind]
 
 
 @dataclass
@@ -63,11 +63,11 @@
     arrived: Row
     deadline: int
     attempts: int = 0
-    closed: bool = False  # the client has its final answer or has gone
+    is_answered: bool = False  # the client has its final answer or has disconnected
 
 
 class Fleet:
-    """Produces the events of one instance and takes its actions."""
+    """Produces the events of one instance and reacts to its actions."""
 
     def __init__(self, traffic: Traffic, seed: int, start: int) -> None:
         self.traffic = traffic
@@ -79,12 +79,12 @@
         self.requests: dict[int, Request] = {}
         self.next_request = self.random.randrange(1, 1 << 30)
         self.replicas: dict[int, Replica] = {}
-        self.watching = not traffic.subscribe
+        self.watching = not traffic.polls_endpoint_list
         for _ in range(traffic.replicas):
             self._add_replica(0)
-        self._at(start, lambda now: [self._list(CACHED if traffic.subscribe else WHOLE)])
-        self._at(start + MS, self._arrival)
-        self._at(start + 500 * MS, self._change)
+        self._schedule(start, lambda now: [self._list(CACHED if traffic.polls_endpoint_list else FULL)])
+        self._schedule(start + MS, self._arrive)
+        self._schedule(start + 500 * MS, self._change_fleet)
 
     # Time
 
@@ -94,46 +94,57 @@
     def due(self, now: int) -> list[Row]:
         rows: list[Row] = []
         while self.queue and self.queue[0][0] <= now:
-            when, _, occur = heapq.heappop(self.queue)
-            rows += occur(when)
+            when, _, callback = heapq.heappop(self.queue)
+            rows += callback(when)
         return rows
 
-    def _at(self, when: int, occur: Callable[[int], list[Row]]) -> None:
+    def _schedule(self, when: int, callback: Callable[[int], list[Row]]) -> None:
         self.serial += 1
-        heapq.heappush(self.queue, (when, self.serial, occur))
+        heapq.heappush(self.queue, (when, self.serial, callback))
 
     # Clients
 
-    def _arrival(self, now: int) -> list[Row]:
+    def _arrive(self, now: int) -> list[Row]:
         if now >= self.end:
             return []
         third = 3 * (now - self.start) // self.traffic.duration
         rate = self.traffic.rate * (3.0 if third == 1 else 1.0)
-        self._at(now + int(self.random.expovariate(rate) * SECOND) + 1, self._arrival)
-        return self._request(now, retry=False)
+        self._schedule(now + int(self.random.expovariate(rate) * SECOND) + 1, self._arrive)
+        return self._request_row(now, retry=False)
 
-    def _request(self, now: int, retry: bool) -> list[Row]:
+    def _request_row(self, now: int, retry: bool) -> list[Row]:
         draw, traffic = self.random, self.traffic
         number, self.next_request = self.next_request, self.next_request + 1
-        time_left = draw.choice((300 * MS, 2 * SECOND, 5 * SECOND, 5 * SECOND))
+        time_remaining = draw.choice((300 * MS, 2 * SECOND, 5 * SECOND, 5 * SECOND))
         session = draw.choice((0, draw.randrange(1, 40), draw.randrange(1, 1 << 63)))
         prefix = draw.choice((0, 1_000_003 * draw.randrange(1, 6)))
         prompt = float(int(draw.lognormvariate(6.5, 1.2)))
-        shared = float(int(prompt * draw.random())) if prefix else 0.0
-        kind, tenant = draw.randrange(traffic.classes), draw.randrange(max(1, traffic.tenants))
-        hint = draw.choice((0, 5 * MS))
-        most_tokens = float(draw.randrange(16, 400))
-        row = ["arrived", number, time_left, kind, tenant, session, prefix, prompt, shared, most_tokens]
-        row += [hint, retry]
-        self.requests[number] = Request(row, now + time_left)
+        prefix_tokens = float(int(prompt * draw.random())) if prefix else 0.0
+        request_class, tenant = draw.randrange(traffic.classes), draw.randrange(max(1, traffic.tenants))
+        cost_hint = draw.choice((0, 5 * MS))
+        max_tokens = float(draw.randrange(16, 400))
+        row = [
+            "arrived",
+            number,
+            time_remaining,
+            request_class,
+            tenant,
+            session,
+            prefix,
+            prompt,
+            prefix_tokens,
+            max_tokens,
+        ]
+        row += [cost_hint, retry]
+        self.requests[number] = Request(row, now + time_remaining)
         if draw.random() < 0.05:
-            self._at(now + draw.randrange(1, 3 * SECOND), lambda when: self._client_leaves(number))
+            self._schedule(now + draw.randrange(1, 3 * SECOND), lambda when: self._disconnect_client(number))
         return [row]
 
-    def _client_leaves(self, number: int) -> list[Row]:
-        if self.requests[number].closed:
+    def _disconnect_client(self, number: int) -> list[Row]:
+        if self.requests[number].is_answered:
             return []
-        self.requests[number].closed = True
+        self.requests[number].is_answered = True
         return [["client_left", number]]
 
     # Actions
@@ -144,16 +155,16 @@
                 case ["send", number, replica, *_]:
                     self._send(now, number, replica)
                 case ["reject", number, retry_after]:
-                    self.requests[number].closed = True
+                    self.requests[number].is_answered = True
                     if now < self.end and self.random.random() < 0.4:
-                        self._at(now + retry_after, lambda when: self._request(when, retry=True))
+                        self._schedule(now + retry_after, lambda when: self._request_row(when, retry=True))
                 case ["fail", number]:
-                    self.requests[number].closed = True
+                    self.requests[number].is_answered = True
                 case ["timer", delay, token]:
-                    self._at(now + delay, partial(self._timer, token))
+                    self._schedule(now + delay, partial(self._timer, token))
                 case ["watch", enable]:
                     if enable:
-                        self._at(now + self.random.randrange(5 * MS, 80 * MS), self._watch_answer)
+                        self._schedule(now + self.random.randrange(5 * MS, 80 * MS), self._watch_answer)
 
     @staticmethod
     def _timer(token: int, when: int) -> list[Row]:
@@ -168,17 +179,17 @@
             def occur(when: int) -> list[Row]:
                 return self._ended(request, attempt, replica, outcome, when - now, streaming)
 
-            self._at(now + delay, occur)
+            self._schedule(now + delay, occur)
 
         chance = draw.random()
-        if request.closed:
+        if request.is_answered:
             ends(NEVER_SENT, 0)
         elif (failed := self._outcome_of_fault(replica, chance)) is not None:
             ends(*failed)
         elif replica.in_flight > self.traffic.slots:
-            ends(FULL, draw.randrange(MS, 5 * MS))
-        elif self.traffic.whole_interface and (number % 23 == 0 or replica.fault == "rejecting"):
-            ends(REJECTED, draw.randrange(2 * MS, 30 * MS))
+            ends(OVERLOADED, draw.randrange(MS, 5 * MS))
+        elif self.traffic.full_interface and (number % 23 == 0 or replica.fault == "finds requests invalid"):
+            ends(INVALID_REQUEST, draw.randrange(2 * MS, 30 * MS))
         elif chance < 0.01:
             ends(CANCELLED, draw.randrange(MS, 100 * MS))
         elif chance < 0.02:
@@ -189,59 +200,71 @@
     def _outcome_of_fault(self, replica: Replica, chance: float) -> tuple[int, int] | None:
         """Return the outcome that a replica's fault leads to, and after how many nanoseconds."""
         draw = self.random
-        if replica.state == GONE or replica.fault == "unreachable":
+        if replica.state == REMOVED or replica.fault == "unreachable":
             return CONNECT_FAILED, draw.choice((MS, 400 * MS))
         if replica.fault == "resetting":
             return RESET, draw.randrange(5 * MS, 200 * MS)
         if replica.fault == "failing" and chance < 0.8:
             return ERROR, draw.randrange(5 * MS, 50 * MS)
-        if replica.fault == "sheds slowly":
-            return FULL, draw.randrange(120 * MS, 600 * MS)
+        if replica.fault == "rejects slowly":
+            return OVERLOADED, draw.randrange(120 * MS, 600 * MS)
         return None
 
     def _serve(
         self, now: int, request: Request, attempt: int, replica: Replica, ends: Callable[..., None]
     ) -> None:
         draw, row = self.random, request.arrived
-        session, prefix, prompt, shared, most_tokens = row[5:10]
-        read = prompt if session not in replica.cached else 0.1 * prompt
-        read -= shared if prefix in replica.cached and read > shared else 0.0
+        session, prefix, prompt, prefix_tokens, max_tokens = row[5:10]
+        uncached = prompt if session not in replica.cached else 0.1 * prompt
+        uncached -= prefix_tokens if prefix in replica.cached and uncached > prefix_tokens else 0.0
         replica.cached |= {session, prefix}
         slowness = (1.0 + 3.0 * replica.in_flight / self.traffic.slots) / replica.weight
         slowness *= 12.0 if replica.fault == "slow" else 1.0
-        to_first = int((10 * MS + read * 40_000) * slowness * draw.uniform(0.7, 1.5))
-        to_end = to_first + int(most_tokens * draw.random() * 2 * MS * slowness)
-        if now + to_first >= request.deadline:
+        first_token_after = int((10 * MS + uncached * 40_000) * slowness * draw.uniform(0.7, 1.5))
+        end_after = first_token_after + int(max_tokens * draw.random() * 2 * MS * slowness)
+        if now + first_token_after >= request.deadline:
             ends(TIMEOUT, max(0, request.deadline - now))
             return
-        if draw.random() < 0.1:  # a short answer: its end is all that is seen of it
-            ends(OK, to_first)
+        if draw.random() < 0.1:  # a short answer: its first token is not reported
+            ends(OK, first_token_after)
             return
 
         def first_token(when: int) -> list[Row]:
             rows = [["first_token", row[1], attempt, replica.number, when - now]]
             return rows * 2 if draw.random() < 0.01 else rows
 
-        self._at(now + to_first, first_token)
+        self._schedule(now + first_token_after, first_token)
         outcome = draw.choice((ERROR, RESET, CANCELLED)) if draw.random() < 0.03 else OK
-        ends(outcome, to_end, streaming=True)
+        ends(outcome, end_after, streaming=True)
 
     def _ended(
         self, request: Request, attempt: int, replica: Replica, outcome: int, elapsed: int, streaming: bool
     ) -> list[Row]:
         draw, prompt = self.random, request.arrived[7]
-        request.closed = request.closed or streaming or outcome == OK
-        busy = min(1.0, replica.in_flight / self.traffic.slots)
+        request.is_answered = request.is_answered or streaming or outcome == OK
+        utilization = min(1.0, replica.in_flight / self.traffic.slots)
         replica.in_flight -= 1
-        report: list[float] = []
-        if self.traffic.report_size and outcome in (OK, FULL, ERROR) and draw.random() < 0.8:
-            report = [float(draw.randrange(9)) for _ in range(self.traffic.report_size - 1)] + [busy]
-        if report and self.traffic.crashes and draw.random() < 0.01:
-            report.pop()
+        load_report: list[float] = []
+        if self.traffic.report_size and outcome in (OK, OVERLOADED, ERROR) and draw.random() < 0.8:
+            load_report = [float(draw.randrange(9)) for _ in range(self.traffic.report_size - 1)] + [
+                utilization
+            ]
+        if load_report and self.traffic.crashes and draw.random() < 0.01:
+            load_report.pop()
         cached = int(prompt * draw.random()) if outcome == OK and draw.random() < 0.5 else 0
-        reused = self.traffic.whole_interface and outcome in (OK, RESET, ERROR) and draw.random() < 0.6
+        reused = self.traffic.full_interface and outcome in (OK, RESET, ERROR) and draw.random() < 0.6
         number = request.arrived[1]
-        ended = ["ended", number, attempt, replica.number, outcome, elapsed, request.closed, cached, report]
+        ended = [
+            "ended",
+            number,
+            attempt,
+            replica.number,
+            outcome,
+            elapsed,
+            request.is_answered,
+            cached,
+            load_report,
+        ]
         rows = [[*ended, reused]]
         return rows * 2 if draw.random() < 0.01 else rows
 
@@ -255,39 +278,41 @@
         self.replicas[number] = replica
         return replica
 
-    def _list(self, kind: int, entries: list[Row] | None = None, answers: bool = True) -> Row:
+    def _list(self, kind: int, entries: list[Row] | None = None, completes_poll: bool = True) -> Row:
         if entries is None:
-            entries = [replica.entry() for replica in self.replicas.values() if replica.state != GONE]
-        return ["list", kind, entries, answers]
+            entries = [replica.entry() for replica in self.replicas.values() if replica.state != REMOVED]
+        return ["list", kind, entries, completes_poll]
 
     def _watch_answer(self, now: int) -> list[Row]:
         chance = self.random.random()
         if chance < 0.1:
             return []
         if chance < 0.4:
-            return [self._list(LIST_FAILED, [])]
+            return [self._list(FAILED, [])]
         self.watching = True
-        return [self._list(WHOLE)]
+        return [self._list(FULL)]
 
-    def _changed(self, replica: Replica) -> list[Row]:
+    def _list_change(self, replica: Replica) -> list[Row]:
         return [self._list(DELTA, [replica.entry()])] if self.watching else []
 
-    def _change(self, now: int) -> list[Row]:
+    def _change_fleet(self, now: int) -> list[Row]:
         if now >= self.end:
             return []
         draw = self.random
-        self._at(now + draw.randrange(100 * MS, 700 * MS), self._change)
+        self._schedule(now + draw.randrange(100 * MS, 700 * MS), self._change_fleet)
         replica = draw.choice(list(self.replicas.values()))
         changes = [
             self._drain,
             self._restart,
             self._remove,
-            self._grow,
-            self._reweigh,
-            self._relist,
-            self._relist,
+            self._start_replica,
+            self._change_weight,
+            self._send_list,
+            self._send_list,
         ]
-        changes += [self._stray, self._stray] + [self._fault] * (0 if self.traffic.calm else 6)
+        changes += [self._unmatched_event, self._unmatched_event] + [self._fault] * (
+            0 if self.traffic.without_faults else 6
+        )
         return draw.choice(changes)(now, replica)
 
     def _fault(self, now: int, replica: Replica) -> list[Row]:
@@ -297,44 +322,44 @@
             replica.fault = ""
             return []
 
-        self._at(now + self.random.randrange(SECOND, 6 * SECOND), recovers)
+        self._schedule(now + self.random.randrange(SECOND, 6 * SECOND), recovers)
         return []
 
     def _drain(self, now: int, replica: Replica) -> list[Row]:
         replica.state = DRAINING
-        self._at(now + SECOND, lambda when: self._restart(when, replica))
-        return self._changed(replica)
+        self._schedule(now + SECOND, lambda when: self._restart(when, replica))
+        return self._list_change(replica)
 
     def _restart(self, now: int, replica: Replica) -> list[Row]:
         replica.state, replica.started_at, replica.cached = READY, now, set()
-        return self._changed(replica)
+        return self._list_change(replica)
 
     def _remove(self, now: int, replica: Replica) -> list[Row]:
         if sum(one.state == READY for one in self.replicas.values()) > 2:
-            replica.state = GONE
-            self._at(now + 3 * SECOND, lambda when: self._restart(when, replica))
-        return self._changed(replica)
+            replica.state = REMOVED
+            self._schedule(now + 3 * SECOND, lambda when: self._restart(when, replica))
+        return self._list_change(replica)
 
-    def _grow(self, now: int, replica: Replica) -> list[Row]:
-        return self._changed(self._add_replica(now) if len(self.replicas) < 40 else replica)
+    def _start_replica(self, now: int, replica: Replica) -> list[Row]:
+        return self._list_change(self._add_replica(now) if len(self.replicas) < 40 else replica)
 
-    def _reweigh(self, now: int, replica: Replica) -> list[Row]:
+    def _change_weight(self, now: int, replica: Replica) -> list[Row]:
         replica.weight = self.random.choice((0.25, 0.5, 1.0, 2.0))
-        return self._changed(replica)
-
-    def _relist(self, now: int, replica: Replica) -> list[Row]:
-        if self.traffic.whole_interface and self.random.random() < 0.5:
-            return [self._list(DELTA, [replica.entry()], answers=False)]
-        kind = self.random.choice((WHOLE, CACHED, LIST_FAILED))
-        if kind == LIST_FAILED:
-            self.watching = not self.traffic.subscribe
-        return [self._list(kind, [] if kind == LIST_FAILED else None)]
-
-    def _stray(self, now: int, replica: Replica) -> list[Row]:
-        """An event that names nothing that is held."""
+        return self._list_change(replica)
+
+    def _send_list(self, now: int, replica: Replica) -> list[Row]:
+        if self.traffic.full_interface and self.random.random() < 0.5:
+            return [self._list(DELTA, [replica.entry()], completes_poll=False)]
+        kind = self.random.choice((FULL, CACHED, FAILED))
+        if kind == FAILED:
+            self.watching = not self.traffic.polls_endpoint_list
+        return [self._list(kind, [] if kind == FAILED else None)]
+
+    def _unmatched_event(self, now: int, replica: Replica) -> list[Row]:
+        """Return an event of a request, attempt or timer that does not exist."""
         draw = self.random
         known = draw.choice(list(self.requests)) if self.requests else 5
-        strays: list[Row] = [
+        unmatched: list[Row] = [
             ["ended", 4_000_000_000, 0, replica.number, draw.randrange(8), MS, True, 0, [], False],
             ["ended", known, 60, replica.number, OK, MS, True, 0, [], False],
             ["first_token", known, 60, replica.number, MS],
@@ -344,5 +369,5 @@
         ]
         if self.traffic.crashes:
             arrived = ["arrived", 4_000_000_001, SECOND, 999, 0, 0, 0, 10.0, 0.0, 10.0, 0, False]
-            strays += [arrived, arrived]
-        return [draw.choice(strays)]
+            unmatched += [arrived, arrived]
+        return [draw.choice(unmatched)]
--- a/tests/golden/record_decisions.py
+++ b/tests/golden/record_decisions.py
@@ -74,13 +74,13 @@
         ({"tenants": SHARES, "loadInfo": BUSY}, Traffic(tenants=4, report_size=3, slots=4, rate=12.0)),
         (
             {"discovery": "subscribe", "contract": SUBSCRIBE, "profiles": PROFILES, "limits": DUPLICATES},
-            Traffic(classes=5, subscribe=True, zones=2, rate=14.0),
+            Traffic(classes=5, polls_endpoint_list=True, zones=2, rate=14.0),
         ),
         (
             {"zone": 1, "prices": {"crossZone": 0.02}, "peersTotal": 4, "index": 2, "loadInfo": BUSY},
             Traffic(zones=3, replicas=12, report_size=3, rate=15.0),
         ),
-        ({"contract": COLD, "peersTotal": 3}, Traffic(replicas=8, calm=True, rate=20.0)),
+        ({"contract": COLD, "peersTotal": 3}, Traffic(replicas=8, without_faults=True, rate=20.0)),
     ],
     "overload": [
         (
@@ -108,7 +108,7 @@
                 tenants=4,
                 zones=2,
                 replicas=30,
-                subscribe=True,
+                polls_endpoint_list=True,
                 report_size=1,
                 rate=12.0,
                 crashes=True,
@@ -244,7 +244,7 @@
 RUNS: dict[str, tuple[Phases, Traffic, int]] = {
     "plain": (
         [[FREE, 3, False, *COLD_START, [], 0, 1, 0, False, 10 * SECOND, 0.0, None]],
-        Traffic(whole_interface=True, rate=15.0),
+        Traffic(full_interface=True, rate=15.0),
         11,
     ),
     "classes": (
@@ -253,7 +253,7 @@
             [EFFECTS, 4, True, *COLD_START, TENANT_SHARES[:2], 1, 2, 1, False, 10 * SECOND, 0.01, None],
             [EFFECTS[::-1], 2, False, *SLOW_START, [], 0, 1, 0, False, 10 * SECOND, 0.0, None],
         ],
-        Traffic(classes=5, tenants=4, zones=3, replicas=8, whole_interface=True, rate=20.0),
+        Traffic(classes=5, tenants=4, zones=3, replicas=8, full_interface=True, rate=20.0),
         22,
     ),
     "reports": (
@@ -262,7 +262,9 @@
             [EFFECTS, 3, False, *COLD_START, TENANT_SHARES, 0, 4, 1, True, 4 * SECOND, 0.02, None],
             [EFFECTS, 3, True, *SLOW_START, TENANT_SHARES, 2, 6, 3, True, 2 * SECOND, 0.0, 2],
         ],
-        Traffic(5, 4, 3, 10, 5, 20.0, report_size=3, subscribe=True, whole_interface=True, crashes=True),
+        Traffic(
+            5, 4, 3, 10, 5, 20.0, report_size=3, polls_endpoint_list=True, full_interface=True, crashes=True
+        ),
         33,
     ),
     "overload": (
@@ -270,12 +272,12 @@
             [EFFECTS, 3, False, *COLD_START, TENANT_SHARES, 0, 1, 0, True, 4 * SECOND, 0.0, 0],
             [EFFECTS, 5, True, *COLD_START, TENANT_SHARES, 0, 1, 0, False, 4 * SECOND, 0.0, 0],
         ],
-        Traffic(5, 4, 1, 3, 2, 12.0, report_size=1, subscribe=True, whole_interface=True),
+        Traffic(5, 4, 1, 3, 2, 12.0, report_size=1, polls_endpoint_list=True, full_interface=True),
         44,
     ),
     "gateways": (
         [[EFFECTS, 3, False, *SLOW_START, TENANT_SHARES, 1, 200, 123, True, 4 * SECOND, 0.005, None]],
-        Traffic(5, 4, 2, 30, 8, 15.0, subscribe=True, whole_interface=True),
+        Traffic(5, 4, 2, 30, 8, 15.0, polls_endpoint_list=True, full_interface=True),
         55,
     ),
 }
