--- a/tests/balancing/test_limits.py
+++ b/tests/balancing/test_limits.py
@@ -9,6 +9,7 @@
 
 BALANCING = Path(__file__).resolve().parents[2] / "lockspoke" / "balancing"
 MODULES = sorted(BALANCING.glob("*.py"))
+ALLOWED_PLAIN_IMPORTS = {"heapq", "math", "random"}
 ALLOWED_IMPORTS = {
     "__future__",
     "collections",
@@ -28,7 +29,17 @@
 def test_a_module_is_at_most_490_lines_of_110_characters(path: Path) -> None:
     lines = path.read_text().splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 490
-    assert max(map(len, lines), default=0) <= 110
+    assert max(map(len, lines)) <= 110
+    assert lines[0].startswith('"""')
+
+
+def uses_of_random(tree: ast.AST) -> set[str]:
+    """The names that a module takes from the module random."""
+    return {
+        node.attr
+        for node in ast.walk(tree)
+        if isinstance(node, ast.Attribute) and getattr(node.value, "id", "") == "random"
+    }
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
@@ -36,8 +47,13 @@
     tree = ast.parse(path.read_text())
     nodes = list(ast.walk(tree))
     imported = {alias.name for node in nodes if isinstance(node, ast.Import) for alias in node.names}
+    assert imported <= ALLOWED_PLAIN_IMPORTS
     imported |= {node.module or "" for node in nodes if isinstance(node, ast.ImportFrom) and not node.level}
     assert imported <= ALLOWED_IMPORTS
     assert all(node.level <= 1 for node in nodes if isinstance(node, ast.ImportFrom))
-    uses = {n.attr for n in nodes if isinstance(n, ast.Attribute) and getattr(n.value, "id", "") == "random"}
-    assert uses <= {"Random"}
+    assert uses_of_random(tree) <= {"Random"}
+
+
+def test_the_package_draws_from_random_sources_of_its_own() -> None:
+    uses = [uses_of_random(ast.parse(path.read_text())) for path in MODULES]
+    assert set().union(*uses) == {"Random"}
