--- a/bench/address.py
+++ b/bench/address.py
@@ -29,7 +29,7 @@
 from tests.address.cluster import Cluster, overlaps
 from tests.address.simulation import Counts, InvariantError, Simulation, describe, random_schedule, shrink
 
-SCHEDULES_PER_JOB = 250  # schedules a task
+SCHEDULES_PER_JOB = 250  # schedules per task of the process pool
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 
 
@@ -44,7 +44,7 @@
 
 
 async def cause_failure(cluster: Cluster, what: str) -> float:
-    """Bring one failure about; gives the seconds until a client was answered again by another holder."""
+    """Cause one failure; return the seconds until another holder answered a client."""
     await cluster.wait_until_voting()
     holder = cluster.holder or ""
     await cluster.wait_until_answered()
@@ -57,10 +57,10 @@
     else:
         began = time.monotonic()
         cluster.relay.cut(holder, one_way=what == "cut_one_way")
-    while cluster.holder in (None, holder):  # one that is cut off may answer until its lease ends
+    while cluster.holder in (None, holder):  # a partitioned holder may answer until its lease ends
         await cluster.wait_until_answered()
         await asyncio.sleep(0)
-    # what surely came from the other; a little late, at most
+    # the first answer that certainly came from the new holder; the gap may be slightly too long
     gap = await cluster.wait_until_answered() - began
     cluster.relay.heal()
     if holder not in cluster.programs:
@@ -69,7 +69,7 @@
 
 
 async def measure_cluster(what: str, runs: int) -> tuple[list[float], int, list[str], list[float]]:
-    """One cluster through so many failures: gaps, claims, what must not be, and gaps between claims."""
+    """Run one cluster through `runs` failures; return gaps, claims, violations and times between claims."""
     gaps = []
     async with Cluster() as cluster:
         for run in range(runs):
@@ -83,7 +83,7 @@
 
 
 def run_cluster(job: tuple[str, int]) -> tuple[list[float], int, list[str], list[float]]:
-    """In a process of its own, so that one cluster's client doesn't wait for another's."""
+    """Measure in a process of its own, so that one cluster's client doesn't wait for another's."""
     tests.standins.WAIT_TIMEOUT = 60.0
     return asyncio.run(measure_cluster(*job))
 
@@ -98,13 +98,13 @@
             parts = pool.map(run_cluster, [(what, count) for count in share if count], 1)
         gaps = [gap for part in parts for gap in part[0]]
         between = [gap for part in parts for gap in part[3]]
-        told = [text for part in parts for text in part[2]]
+        violations = [text for part in parts for text in part[2]]
         found[what] = {
             "until_answered": percentiles(gaps),
             "claims": sum(part[1] for part in parts),
             "nobody_claims": percentiles(between),
             "shortest_between_claims_ms": round(min(between) * 1000, 3),
-            "two_holders_or_old_tokens": told,
+            "two_holders_or_old_tokens": violations,
         }
         print(json.dumps({what: found[what]}), flush=True)
     return found
@@ -121,7 +121,7 @@
 
 
 def schedules(options: argparse.Namespace) -> dict[str, Any]:
-    """Random schedules on all cores; a failing one is shrunk and told."""
+    """Random schedules on all cores; a failing one is shrunk and printed."""
     began = time.monotonic()
     found: dict[str, Any] = {}
     for name, count, sizes in (
@@ -166,12 +166,12 @@
             await asyncio.sleep(seconds)
             took = time.monotonic() - began
             used = {name: (_cpu(pid) - cpu[name]) / took for name, pid in pids.items()}
-            told = {name: (cluster.status(name)["sent"] - sent[name]) / took for name in cluster.names}
+            messages = {name: (cluster.status(name)["sent"] - sent[name]) / took for name in cluster.names}
             holder = cluster.holder or ""
     others = [name for name in cluster.names if name != holder]
     return {
         "members": size,
-        "messages_a_second": round(sum(told.values()), 1),
+        "messages_a_second": round(sum(messages.values()), 1),
         "holder_cpu_share": round(used[holder], 4),
         "other_cpu_share": round(sum(used[name] for name in others) / len(others), 4),
         "gateway_without_cpu_share": round(used["without"], 4),
--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -70,8 +70,8 @@
                 await asyncio.sleep(GRACE + 0.1)
                 found = [one for one in program.logs[mark:] if one.get("action") == "remove"]
                 assert [one["host"] for one in found] == [f"w{out}"], found
-                told = datetime.fromisoformat(found[0]["timestamp"]).timestamp()
-                decided.append(told - wall)
+                decided_at = datetime.fromisoformat(found[0]["timestamp"]).timestamp()
+                decided.append(decided_at - wall)
                 last.append(max(0.0, fleet[out].times[-1] - when))
                 strays += sum(one > when + GRACE for one in fleet[out].times)
                 place(path, text)
--- a/lockspoke/address/control.py
+++ b/lockspoke/address/control.py
@@ -25,7 +25,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen; raises OSError. A socket that a process of before has left behind is replaced."""
+        """Listen; raises OSError. A socket file that an earlier process has not removed is replaced."""
         if self.path.exists():
             self._remove_stale_socket()
         previous_umask = os.umask(ONLY_OWNER_UMASK)
--- a/lockspoke/address/health.py
+++ b/lockspoke/address/health.py
@@ -38,7 +38,7 @@
     min_requests: int = 20  # with fewer requests the failure share is not significant
     max_descriptor_share: float = 0.95
     max_memory_share: float = 0.95
-    unhealthy_after: int = 300_000_000  # a limit must be exceeded for so long: one late timer is harmless
+    unhealthy_after: int = 300_000_000  # a limit must be exceeded for this long: one late timer is harmless
     healthy_after: int = 2_000_000_000
     penalty_per_loss: float = 1_000.0
     suppress_threshold: float = 1_500.0
--- a/lockspoke/address/measurements.py
+++ b/lockspoke/address/measurements.py
@@ -72,7 +72,7 @@
 
 
 def descriptor_share(gateway: GatewayConfig) -> float:
-    """The share of file descriptors in use by the process; 0 if the system does not tell."""
+    """The share of file descriptors in use by the process; 0 if the system does not report it."""
     try:
         used = len(os.listdir("/proc/self/fd"))
     except OSError:
@@ -81,7 +81,7 @@
 
 
 def memory_share(gateway: GatewayConfig) -> float:
-    """The share of its memory in use by the process; 0 if the system does not tell."""
+    """The share of its memory in use by the process; 0 if the system does not report it."""
     try:
         pages = int(Path("/proc/self/statm").read_text().split()[1])
     except (OSError, IndexError, ValueError):
--- a/lockspoke/address/term_record.py
+++ b/lockspoke/address/term_record.py
@@ -74,7 +74,7 @@
     def write(self, term: int, generation: int) -> None:
         """Replace the record atomically. Blocks until the disk has it, so call it off the event loop.
 
-        A disk that is full or gone doesn't end a lease: `write_error` is set, and the next call tries again.
+        A disk that is full or missing doesn't end a lease: `write_error` is set, and the next call retries.
         """
         recorded_term = max(self.term, term + TERMS_AHEAD)
         content = json.dumps({"name": self.name, "term": recorded_term, "generation": generation})
--- a/lockspoke/batch/contents.py
+++ b/lockspoke/batch/contents.py
@@ -59,7 +59,7 @@
         """Fsync a scratch file and move it to its final path.
 
         Raises:
-            StoreError: The disk refused it.
+            StoreError: The file could not be fsynced or moved.
         """
 
         def sync_and_rename() -> None:
--- a/lockspoke/batch/input_lines.py
+++ b/lockspoke/batch/input_lines.py
@@ -12,7 +12,7 @@
 from lockspoke.wire.http.parser import BODY_LIMIT
 
 MAX_ID_LENGTH = 512  # characters of a `custom_id` and of other members that name something
-MAX_REPORTED_ERRORS = 100  # a check stops at so many invalid lines
+MAX_REPORTED_ERRORS = 100  # a check stops after this many invalid lines
 READ_LIMIT = 2 * BODY_LIMIT  # bytes read at a time; a longer line comes in pieces, each of them too large
 
 
--- a/lockspoke/batch/line_runner.py
+++ b/lockspoke/batch/line_runner.py
@@ -77,7 +77,7 @@
             core: Takes the requests.
             lines: Builds requests and results.
             slots: Bounds the lines in flight.
-            max_attempts: After so many failed attempts a line has failed; rejections do not count.
+            max_attempts: Failed attempts after which a line has failed; rejections do not count.
             now: Gives the Unix time in seconds.
         """
         self.store = store
--- a/lockspoke/batch/messages.py
+++ b/lockspoke/batch/messages.py
@@ -34,7 +34,7 @@
         return None
 
     async def discard(self) -> None:
-        """Read to the end and drop what comes."""
+        """Read to the end and discard the bytes."""
         while await self.read() is not None:
             pass
 
--- a/lockspoke/batch/runner.py
+++ b/lockspoke/batch/runner.py
@@ -42,7 +42,7 @@
             core: Takes the requests of lines.
             lines: Reads input files.
             concurrency: The most lines in flight.
-            max_attempts: After so many failed attempts a line has failed.
+            max_attempts: The number of failed attempts after which a line has failed.
             now: Gives the Unix time in seconds.
         """
         self.store = store
--- a/lockspoke/batch/slots.py
+++ b/lockspoke/batch/slots.py
@@ -7,7 +7,7 @@
 from lockspoke.core.core import Core
 from lockspoke.units import SECOND
 
-# No line starts for so long after an interactive request was rejected, in nanoseconds.
+# No line starts for this long after an interactive request was rejected, in nanoseconds.
 PAUSE_AFTER_REJECTION = SECOND
 # Lines in flight or backing off, as a multiple of the concurrency, above which no new line starts: a long
 # overload must not start every line of a file and leave them all backing off.
@@ -23,7 +23,7 @@
         self.in_flight = 0
         self.backing_off = 0  # lines that wait for their next attempt without a slot
         self.stopping = False
-        self.changed = asyncio.Event()  # something that the scheduler has to look at
+        self.changed = asyncio.Event()  # set when the scheduler has something to examine
 
     @property
     def backlog_full(self) -> bool:
--- a/lockspoke/batch/subsystem.py
+++ b/lockspoke/batch/subsystem.py
@@ -58,7 +58,7 @@
         self.descriptors = settings.connections
 
     def attach(self, core: Core, clients: ClientFront) -> None:  # noqa: ARG002  lines need no client front
-        """Open the store and put the parts together; raises ConfigError if the store cannot be opened."""
+        """Open the store and connect runner and front; raises ConfigError if the store cannot be opened."""
         settings = self.settings
         try:
             self.store = BatchStore(Path(settings.store), time.time)
--- a/lockspoke/batch/tasks.py
+++ b/lockspoke/batch/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks whose failures are logged, and writes that are repeated until the disk takes them."""
+"""Background tasks whose failures are logged, and writes that are retried until they succeed."""
 
 from __future__ import annotations
 
--- a/lockspoke/inventory/__init__.py
+++ b/lockspoke/inventory/__init__.py
@@ -1,1 +1,1 @@
-"""Lists of workers from files: read, checked, explained, and brought to the replica set step by step."""
+"""Lists of replicas in files: reads and checks them, and applies their changes to the replica set."""
--- a/lockspoke/inventory/decision_log.py
+++ b/lockspoke/inventory/decision_log.py
@@ -13,7 +13,7 @@
 from .problems import Problem
 
 MAX_LINES = 40  # log lines of one kind for one snapshot; the rest are only counted
-MAX_RECENT = 100  # decisions that are remembered
+MAX_RECENT = 100  # decisions that are retained for the status document
 
 _LEVELS = {
     Action.GUARD: logging.ERROR,
--- a/lockspoke/inventory/field_parsers.py
+++ b/lockspoke/inventory/field_parsers.py
@@ -19,7 +19,7 @@
 MAX_QUOTED_CHARS = 60
 MAX_PORT = 65535
 MAX_WEIGHT = 1000
-SIMILARITY = 0.5  # of a known name that is suggested for an unknown one
+SIMILARITY = 0.5  # least similarity of a known name that is suggested for an unknown one
 BROADCAST = "255.255.255.255"
 
 _DNS_NAME = re.compile(
@@ -43,7 +43,7 @@
 
 
 def parse_host(text: str, allow_names: bool) -> str:
-    """An IP address in its normal form, or a DNS name in small letters."""
+    """An IP address in its normal form, or a DNS name in lower case."""
     try:
         address = ipaddress.ip_address(text)
     except ValueError:
--- a/lockspoke/inventory/file_watcher.py
+++ b/lockspoke/inventory/file_watcher.py
@@ -138,7 +138,7 @@
                 return
 
     async def _existing_folders(self) -> list[Path]:
-        """The folders of the files, and the one in which the command line leaves its messages."""
+        """The folders of the files, and the one to which the command line writes its messages."""
         folders = await self._source_folders()
         if self.settings.keep and Path(self.settings.keep).is_dir():  # noqa: ASYNC240 - one stat, local disk
             folders.append(Path(self.settings.keep))
--- a/lockspoke/inventory/merging.py
+++ b/lockspoke/inventory/merging.py
@@ -101,7 +101,7 @@
 
 
 class _HostMerger:
-    """Merges what is said of one host."""
+    """Merges the values that sources give for one host."""
 
     __slots__ = ("graph", "group_vars", "groups", "name", "occurrences", "problems", "rules", "values")
 
--- a/lockspoke/inventory/reconciler.py
+++ b/lockspoke/inventory/reconciler.py
@@ -1,6 +1,6 @@
 """The reconciler: turns snapshots of the files into changes of the replica set, each with its reason.
 
-It does no I/O and has no clock. Hosts are added with caution and taken away promptly: a host that the files
+It does no I/O and has no clock. Hosts are added with caution and removed promptly: a host that the files
 no longer name, or mark as draining, gets no new request, whatever is wrong with other rows. A host whose own
 row is invalid keeps its last valid state, or stays out if it has none. Two kinds of absence remove no host:
 one that an unfinished file may explain, and one of many hosts at once (see `removal_guard`).
@@ -280,7 +280,7 @@
     if requested_state == "removed":
         return Target(Action.REMOVE, None, _REMOVED_BY_FILE)
     if requested_state == "draining" and record.state == "up":
-        # The other values of the row don't matter for a host that is to get nothing more.
+        # The other values of the row don't matter for a host that is to get no further request.
         draining = replace(record, state="draining")
         return Target(Action.DRAIN, draining, "from up to draining", hold_reason=reason)
     return Target.hold(record, reason)
--- a/lockspoke/inventory/removal_guard.py
+++ b/lockspoke/inventory/removal_guard.py
@@ -1,6 +1,6 @@
 """Holds back the removal of many hosts at once, until it has settled or an operator accepts it.
 
-Only hosts that the files no longer name count: a removal that a row asks for is never held back.
+Only hosts that the files no longer name count: a removal that a row requests is never held back.
 """
 
 from __future__ import annotations
--- a/lockspoke/inventory/schema.py
+++ b/lockspoke/inventory/schema.py
@@ -10,7 +10,7 @@
 FIELDS = frozenset(
     {"name", "endpoint", "host", "port", "zone", "kind", "cell", "weight", "state", "labels", "groups"}
 )
-# Ansible's names of a host's address and port: they count where our own are not given.
+# Ansible's names of a host's address and port: used where the schema's own are not given.
 FALLBACKS = MappingProxyType({"host": "ansible_host", "port": "ansible_port"})
 LABEL_PREFIXES = ("label.", "label_")
 STATES = MappingProxyType(
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What the settings say of replicas; empty `zones` or `kinds` allow any."""
+    """The settings that concern replicas; empty `zones` or `kinds` allow any."""
 
     zones: tuple[str, ...] = ()
     kinds: Mapping[str, float] = field(default_factory=dict)  # the weight of each kind
--- a/lockspoke/inventory/snapshot_loader.py
+++ b/lockspoke/inventory/snapshot_loader.py
@@ -32,7 +32,7 @@
 
     def load_first(self, settings: InventorySettings, zones: tuple[str, ...]) -> Snapshot:
         """Load a snapshot before the event loop runs."""
-        # The cache isn't kept: that of a large inventory belongs into the parser process.
+        # The cache is discarded: that of a large inventory belongs in the parser process.
         options = settings.read_options(zones)
         snapshot = take_snapshot(read_files(_paths(settings)), options).snapshot
         if not settings.lookups:
--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -193,7 +193,7 @@
                 await asyncio.sleep(self.settings.poll)
 
     async def _refresh(self) -> None:
-        """Load the files if they have changed, and reconcile; also for a time that has been reached."""
+        """Load the files if they have changed, and reconcile; also when it is time to do so again."""
         await self._take_accepted_fingerprint()
         current = await self._watcher.current_signature()
         unchanged = current == self._watcher.signature
@@ -265,7 +265,7 @@
         )
 
     async def _take_accepted_fingerprint(self) -> None:
-        """Take up what `lockspoke inventory accept` has written."""
+        """Accept the mass removal whose fingerprint `lockspoke inventory accept` has written."""
         if not self.settings.keep:
             return
         folder = Path(self.settings.keep)
--- a/lockspoke/inventory/subsystem.py
+++ b/lockspoke/inventory/subsystem.py
@@ -35,7 +35,7 @@
             raise ConfigError(str(error)) from None
 
     def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
-        """Take up the zones of the new configuration."""
+        """Use the zones of the new configuration."""
         self.zones_changed(config.zones, needs_complete_list)
 
 
@@ -53,7 +53,7 @@
         """Nothing to do: the program connects the source and the core."""
 
     def start(self) -> None:
-        """Watch the files, also where the core would not ask for that."""
+        """Watch the files, even if the core would not request it."""
         self.inventory.watch(True)
 
     def run_periodic_checks(self) -> None:
--- a/lockspoke/inventory/unterminated_sources.py
+++ b/lockspoke/inventory/unterminated_sources.py
@@ -14,7 +14,7 @@
         self._seen_terminated: set[str] = set()
 
     def update(self, snapshot: Snapshot, now_ms: int, policy: ReconcilePolicy) -> None:
-        """Take up the state of a new snapshot."""
+        """Update from a new snapshot."""
         for file in snapshot.unterminated_sources:
             self._since_ms.setdefault(file, now_ms)
         for file in list(self._since_ms):
@@ -22,7 +22,7 @@
                 del self._since_ms[file]
         for files in set(snapshot.files.values()):
             self._seen_terminated.update(file for file in files if file not in snapshot.unterminated_sources)
-        # A file that stays without a newline is one that its writer leaves so.
+        # If a file stays without a final newline, its writer does not write one.
         settled = [file for file, since in self._since_ms.items() if now_ms >= since + policy.unfinished_ms]
         self._seen_terminated.difference_update(settled)
 
--- a/tests/address/cluster.py
+++ b/tests/address/cluster.py
@@ -56,7 +56,7 @@
             await asyncio.gather(*(self.start(name) for name in self.names))
             await until(lambda: self.holder is not None)
         except BaseException:
-            await self.__aexit__()  # no process stays behind
+            await self.__aexit__()  # no process is left running
             raise
         return self
 
--- a/tests/address/network.py
+++ b/tests/address/network.py
@@ -44,12 +44,12 @@
         offset, rate = self.clocks[name]
         return offset + int(self.now * rate)
 
-    def call_at(self, time: int, call: Callable[[], None]) -> None:
+    def call_at(self, time: int, callback: Callable[[], None]) -> None:
         self.count += 1
-        heapq.heappush(self.queue, (time, self.count, call))
+        heapq.heappush(self.queue, (time, self.count, callback))
 
     def start(self, name: str) -> None:
-        self.wall_clock += 1_000_000  # the wall clock at a start: far past any term of before
+        self.wall_clock += 1_000_000  # the wall clock at a start: far above any earlier term
         election = Election(
             name, self.config, self.clock(name), first_term=self.wall_clock, random=self.random.random
         )
@@ -96,8 +96,8 @@
     def run(self, span: int) -> None:
         end = self.now + span
         while self.queue and self.queue[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.queue)
-            call()
+            self.now, _, callback = heapq.heappop(self.queue)
+            callback()
         self.now = end
 
     @property
--- a/tests/address/simulation.py
+++ b/tests/address/simulation.py
@@ -173,10 +173,10 @@
         if self.tracing:
             self.trace.append(f"{self.now / MS:9.2f} ms  {text}")
 
-    def call_at(self, when: int, call: Callable[[], None]) -> None:
+    def call_at(self, when: int, callback: Callable[[], None]) -> None:
         """Schedule a callback at a true time."""
         self.count += 1
-        heapq.heappush(self.queue, (when, self.count, call))
+        heapq.heappush(self.queue, (when, self.count, callback))
 
     def join(self, name: str) -> None:
         """Add a member with the latest list."""
@@ -294,8 +294,8 @@
         """Run for a duration in nanoseconds."""
         end = self.now + span
         while self.queue and self.queue[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.queue)
-            call()
+            self.now, _, callback = heapq.heappop(self.queue)
+            callback()
         self.now = end
 
     @property
@@ -524,9 +524,9 @@
 ) -> str:
     """The trace of a schedule as text."""
     played = Simulation(schedule, election_type, config, trace=True)
-    told = "nothing is violated"
+    outcome = "nothing is violated"
     try:
         played.play()
     except InvariantError as error:
-        told = str(error)
-    return "\n".join([f"seed {schedule.seed}, {schedule.size} members", *played.trace, told])
+        outcome = str(error)
+    return "\n".join([f"seed {schedule.seed}, {schedule.size} members", *played.trace, outcome])
--- a/tests/address/test_channel.py
+++ b/tests/address/test_channel.py
@@ -61,7 +61,7 @@
         hello = received.reply
     assert a.open(hello, MEMBERS) == Received("b", None, None)  # and its sender learns of the restart by it
     assert again.open(a.seal("b", PREVOTE), MEMBERS).message == PREVOTE
-    # The other way round: a's datagrams from before its restart are not taken once the new start is known.
+    # The other way round: a's datagrams from before its restart are rejected once the new start is known.
     old = a.seal("b", PREVOTE)
     newer = DatagramChannel("a", 400, KEYS[:1])
     exchange_epochs(newer, again)
@@ -83,7 +83,7 @@
     assert rejection_reason(b, DatagramChannel("a", 1, KEYS[1:]).seal("b", PREVOTE)) == "unknown_key"
     for at in range(8, len(data)):
         assert rejection_reason(b, data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]) == "forged"
-    assert b.open(data, MEMBERS).message == PREVOTE  # none of it stood in the way of the true one
+    assert b.open(data, MEMBERS).message == PREVOTE  # none of them prevents the genuine one
 
 
 def test_keys_rotate_without_a_gap() -> None:
--- a/tests/address/test_command_announcer.py
+++ b/tests/address/test_command_announcer.py
@@ -53,10 +53,10 @@
         command.claim(9, lambda: 10**12)
         await command.wait_idle()
         assert command.failures >= 1
-        gone = CommandAnnouncer([str(tmp_path / "nothing")], "a", 1.0, lambda: 0)
-        gone.withdraw("it stops")
-        await gone.wait_idle()
-        assert gone.failures == 1
+        missing = CommandAnnouncer([str(tmp_path / "nothing")], "a", 1.0, lambda: 0)
+        missing.withdraw("it stops")
+        await missing.wait_idle()
+        assert missing.failures == 1
 
     asyncio.run(play())
     with pytest.raises(ValueError, match="command is empty"):
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -81,16 +81,16 @@
             await cluster.kill(holder)
         elif round_ == 1:
             cluster.relay.cut(holder)
-        elif round_ == 2:  # it hears all and reaches nobody
+        elif round_ == 2:  # it receives all datagrams and can send none
             cluster.relay.cut(holder, one_way=True)
-        else:  # one member alone sees both others
+        else:  # only one member is connected to both others
             cluster.relay.cut(holder, others[:1])
         if round_ < 3:
             new = await cluster.wait_until_moved(holder)
             await cluster.wait_until_answered()
             assert new in others
         else:
-            # A majority still sees the holder: nothing moves.
+            # A majority still reaches the holder: nothing moves.
             await wait_until_received(cluster, holder, 20)
             assert cluster.holder == holder
         cluster.relay.heal()
@@ -150,7 +150,7 @@
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD + chunk(EVENTS[0]))
         with contextlib.suppress(ConnectionError):
-            while True:  # it goes on and on
+            while True:  # an endless stream
                 await asyncio.sleep(0.2)
                 writer.write(chunk(EVENTS[1]))
                 await writer.drain()
@@ -277,7 +277,7 @@
                 assert (await kept.request(request_bytes(1)))[0] == 200
                 program.process.send_signal(signal.SIGSTOP)
                 new = await cluster.wait_until_moved(holder)
-                # While it is paused, one comes to its backlog and one asks on a connection of before.
+                # While it is paused, one client is put in its backlog and one sends on an earlier connection.
                 late = await asyncio.open_connection(*ports[holder])
                 late[1].write(request_bytes(2))
                 kept.writer.write(request_bytes(3))
@@ -343,7 +343,7 @@
             try:
 
                 def votes() -> bool:
-                    try:  # the socket that the killed one has left is there, and nobody listens
+                    try:  # the killed process's socket file still exists, and nobody listens
                         return bool(cluster.status("w")["role"] == "following")
                     except OSError:
                         return False
@@ -351,7 +351,7 @@
                 await until(votes)
                 await cluster.wait_until_voting()
                 holder = cluster.holder or ""
-                cluster.relay.cut("a", ["b"])  # the witness alone sees both
+                cluster.relay.cut("a", ["b"])  # only the witness reaches both
                 await wait_until_received(cluster, "w", 30)
                 assert cluster.holder == holder
                 cluster.relay.heal()
--- a/tests/address/test_health.py
+++ b/tests/address/test_health.py
@@ -1,4 +1,4 @@
-"""Health and flap damping: what makes an instance unfit, and for how long."""
+"""Health and flap damping: what makes an instance unhealthy, and for how long."""
 
 from __future__ import annotations
 
--- a/tests/inventory/test_cli.py
+++ b/tests/inventory/test_cli.py
@@ -24,7 +24,7 @@
 
 
 def code(result: Result) -> Any:
-    """What the process would exit with: commands give it back as their value."""
+    """The exit code of the process: commands return it as their value."""
     return result.exception.exit_code if isinstance(result.exception, ClickException) else result.return_value
 
 
@@ -138,7 +138,7 @@
     )
     done = process("config", "check", "--edge", edge)
     assert done.returncode == 1
-    for told in (
+    for message in (
         f"{edge}:3: inventory.selekt is unknown; did you mean select?",
         f"{edge}:4: inventory.poll is 'often': expected float, got str",
         f"{edge}:7: inventory.guard.removed_share is 1.5: expected float <= 1.0",
@@ -146,8 +146,8 @@
         f"{edge}:9: batch.store is missing",
         f"{edge}:11: batch.concurrency is 0: expected int >= 1",
     ):
-        assert told in done.stderr, done.stderr
-    for text, told in (
+        assert message in done.stderr, done.stderr
+    for text, message in (
         ("[inventory]\npaths = []\n", f"{edge}:2: inventory.paths is empty"),
         ('[inventory]\npaths = ["a"]\nselect = "["\n', f"{edge}:3: inventory.select is wrong"),
         ('[inventory]\npaths = ["a"]\nnames = {a = "b"}\n', f"{edge}:3: inventory.names maps to 'b'"),
@@ -156,7 +156,7 @@
     ):
         edge.write_text(text)
         done = process("config", "check", "--edge", edge)
-        assert done.returncode == 1 and told in done.stderr, done.stderr
+        assert done.returncode == 1 and message in done.stderr, done.stderr
     assert process("config", "check", "--edge", ROOT / "deploy" / "edge.toml").returncode == 0
     assert process("config", "check").returncode == 2
 
--- a/tests/inventory/test_problems.py
+++ b/tests/inventory/test_problems.py
@@ -1,4 +1,4 @@
-"""Every code, brought about by planted errors in an inventory of 22 hosts, each told with its line."""
+"""Every code, caused by planted errors in an inventory of 22 hosts, each reported with its line."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 GOOD = [f"w{n:02},10.0.0.{n},5000,lis-1,gen-a,1,up,," for n in range(1, 23)]
 HEADER = "name,host,port,zone,kind,weight,state,labels,endpoint"
 
-# Each line of a 22-host file that is spoilt, and the codes that it must bring, with its own line.
+# Each malformed line of a 22-host file, and the codes that it must cause, with its own line.
 PLANTED = {
     2: ("w02,10.0.0.2,5000,lis-1,gen-a,1", "INV204"),
     3: ("w[9:3],10.0.0.3,5000,lis-1,gen-a,1,up,,", "INV208"),
@@ -56,7 +56,7 @@
     )
 
 
-# Other files, each with the codes that it must bring and their lines.
+# Other files, each with the codes that it must cause and their lines.
 FILES: dict[str, tuple[str | bytes, list[tuple[str, int]]]] = {
     "columns.csv": ("name,host,colour,host\nx1,10.1.0.1,red,10.1.0.1\n", [("INV201", 1), ("INV203", 1)]),
     "nameless.csv": ("host,port\n10.1.0.1,5000\n", [("INV202", 1)]),
@@ -104,12 +104,12 @@
 def test_every_code_is_reported_with_its_line(tmp_path: Path) -> None:
     (tmp_path / "a.csv").write_text(planted())
     report = take_snapshot(read_files([tmp_path / "a.csv"]), ReadOptions(RULES))
-    told = {(one.code.id, one.place.line) for one in report.snapshot.problems}
+    reported = {(one.code.id, one.place.line) for one in report.snapshot.problems}
     want = {(code, line + 1) for line, (_, code) in PLANTED.items() if code is not None}
     want |= {("INV402", 23), ("INV402", 25)}  # w22 and w24 share an address; w11's own row is wrong
-    assert told == want
+    assert reported == want
     assert list(report.snapshot.replicas) == ["w23"]
-    seen = {code for code, _ in told}
+    seen = {code for code, _ in reported}
 
     folder = tmp_path / "folder"
     for name, (text, _) in FILES.items():
@@ -159,7 +159,7 @@
 
 
 def test_codes_keep_their_names() -> None:
-    """A code once given stays: this list is only ever added to."""
+    """A published code never changes: entries are only added to this list."""
     assert catalogue.CODES["INV403"].name == "two-kinds" and catalogue.CODES["INV104"].name == "syntax"
     assert len({code.name for code in CODES.values()}) == len(CODES) == 43
     warnings = {ident for ident, code in CODES.items() if code.severity is Severity.WARNING}
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -1,4 +1,4 @@
-"""Readers: what each form gives, Ansible's precedence and ranges, hostile files, and garbage."""
+"""Readers: what each format gives, Ansible's precedence and ranges, hostile files, and garbage."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
     report = read(text.replace(",", mark) if mark != "," else text, "a.csv", rules)
     one = report.snapshot.replicas["w1"]
     assert (one.address, one.zone, one.kind, one.weight) == (("10.0.0.1", 5001), "lis-1", "gen-a", 0.7)
-    # The two of the range have one address: each is told, on its line behind the quoted newline.
+    # The two hosts of the range share an address: each is reported, on its line after the quoted newline.
     assert codes(report) == [("INV201", 2), ("INV402", 6)]
     assert set(report.snapshot.invalid_hosts) == {"w2", "w3"}
 
@@ -113,17 +113,17 @@
 def test_variables_follow_ansibles_documented_precedence(tmp_path: Path) -> None:
     report = take_snapshot(read_files([folder(tmp_path, ANSIBLE)]), ReadOptions(RULES))
     assert not report.snapshot.problems
-    workers = report.snapshot.replicas
+    replicas = report.snapshot.replicas
     # group_vars/all before groups in the source, host_vars before all, a child before its parent.
-    assert [(workers[w].cell, workers[w].weight) for w in ("w1", "w2", "w3")] == [
+    assert [(replicas[w].cell, replicas[w].weight) for w in ("w1", "w2", "w3")] == [
         (5, 3.0),
         (4, 3.0),
         (9, 3.0),
     ]
-    assert workers["w1"].labels == (("rack", "r1"),) and workers["w1"].address == ("10.0.0.1", 5001)
+    assert replicas["w1"].labels == (("rack", "r1"),) and replicas["w1"].address == ("10.0.0.1", 5001)
     (tmp_path / "group_vars/all.yml").unlink()
-    workers = take_snapshot(read_files([tmp_path]), ReadOptions(RULES)).snapshot.replicas
-    assert [workers[w].weight for w in ("w1", "w2", "w3")] == [1.0, 2.0, 5.0]
+    replicas = take_snapshot(read_files([tmp_path]), ReadOptions(RULES)).snapshot.replicas
+    assert [replicas[w].weight for w in ("w1", "w2", "w3")] == [1.0, 2.0, 5.0]
 
 
 INI = """# ours
@@ -150,9 +150,9 @@
 
 def test_ini_is_read_line_by_line_and_each_fault_reported() -> None:
     report = read(INI, "hosts")
-    workers = report.snapshot.replicas
-    assert workers["w1"].port == 5001 and dict(workers["w1"].labels) == {"rack": "r1", "row": "2"}
-    assert (workers["w4"].zone, workers["w4"].kind, workers["w4"].cell) == ("lis-2", "gen-b", 7)
+    replicas = report.snapshot.replicas
+    assert replicas["w1"].port == 5001 and dict(replicas["w1"].labels) == {"rack": "r1", "row": "2"}
+    assert (replicas["w4"].zone, replicas["w4"].kind, replicas["w4"].cell) == ("lis-2", "gen-b", 7)
     assert codes(report) == [("INV402", 5), ("INV211", 7), ("INV104", 8), ("INV210", 12), ("INV104", 18)]
     assert set(report.snapshot.invalid_hosts) == {"w2", "w3", "w5", "w6"}
     assert set(report.snapshot.incomplete_sources) == {"hosts"}  # whose hosts [odd:things] names is not known
@@ -276,7 +276,7 @@
     take_snapshot(files, ReadOptions(RULES))
 
 
-WORKERS = st.lists(
+REPLICAS = st.lists(
     st.builds(
         ReplicaRecord,
         name=st.from_regex(r"[a-z][a-z0-9.-]{0,8}[a-z0-9]", fullmatch=True),
@@ -302,11 +302,11 @@
 
 
 @reproducible
-@given(WORKERS, st.sampled_from(FORMATS))
-def test_written_inventories_read_back_equal(workers: list[ReplicaRecord], form: str) -> None:
-    report = read(write_inventory(workers, form), f"a.{form}", Rules())
+@given(REPLICAS, st.sampled_from(FORMATS))
+def test_written_inventories_read_back_equal(replicas: list[ReplicaRecord], form: str) -> None:
+    report = read(write_inventory(replicas, form), f"a.{form}", Rules())
     assert not [one for one in report.snapshot.problems if one.is_error]
-    assert list(report.snapshot.replicas.values()) == workers
+    assert list(report.snapshot.replicas.values()) == replicas
 
 
 def test_the_parse_cache_changes_no_result() -> None:
--- a/tests/inventory/test_reconciler.py
+++ b/tests/inventory/test_reconciler.py
@@ -42,7 +42,7 @@
     return {one.host: one.action for one in step.decisions}
 
 
-def test_a_removed_host_goes_although_other_rows_are_invalid() -> None:
+def test_a_host_missing_from_the_files_is_removed_although_other_rows_are_invalid() -> None:
     reconciler = started()
     bad = ["w1,300.1.1.1,gen-a,up", "w2,10.0.0.2,gen-z,up", "w3", *rows(10, 1, 2, 3, 7)]
     step = reconciler.step(snapshot(*bad), 10)
@@ -141,10 +141,10 @@
         "w10"
     ]  # the file stays without a newline
     reconciler = started(10)
-    spoilt = take_snapshot(
+    malformed = take_snapshot(
         [FileText("a.csv", ("name,host,kind\n" + "w1,10.0.0.1,gen-a\n" + '"w2,').encode())], READING
     ).snapshot
-    assert not reconciler.step(spoilt, 10).entries and not reconciler.step(spoilt, 3_600_000).entries
+    assert not reconciler.step(malformed, 10).entries and not reconciler.step(malformed, 3_600_000).entries
 
 
 def test_a_row_without_a_name_holds_the_host_with_its_address() -> None:
--- a/tests/inventory/test_source.py
+++ b/tests/inventory/test_source.py
@@ -45,9 +45,9 @@
     return "--edge", str(path)
 
 
-def rows(*workers: FakeReplica, **states: str) -> str:
+def rows(*replicas: FakeReplica, **states: str) -> str:
     lines = [
-        f"w{at},127.0.0.1,{worker.port},{states.get(f'w{at}', 'up')}" for at, worker in enumerate(workers)
+        f"w{at},127.0.0.1,{replica.port},{states.get(f'w{at}', 'up')}" for at, replica in enumerate(replicas)
     ]
     return "\n".join(["name,host,port,state", *lines]) + "\n"
 
@@ -72,7 +72,7 @@
         await super().answer(request, writer)
 
 
-async def workers(stack: AsyncExitStack, count: int) -> list[Timed]:
+async def start_replicas(stack: AsyncExitStack, count: int) -> list[Timed]:
     return [await stack.enter_async_context(Timed()) for _ in range(count)]
 
 
@@ -91,17 +91,17 @@
         self.statuses: list[tuple[int, bytes, bool]] = []
         self.number = 0
         self.ending = False
-        self.tasks = [asyncio.ensure_future(self._ask(port)) for _ in range(clients)]
+        self.tasks = [asyncio.ensure_future(self._send_requests(port)) for _ in range(clients)]
 
-    async def _ask(self, port: int) -> None:
+    async def _send_requests(self, port: int) -> None:
         async with Client(port) as client:
-            whole = True
-            # A connection that has ended would be asked without a pause; and a flag, not a cancel, ends it:
-            # `wait_for` loses one that comes together with the answer.
-            while whole and not self.ending:
+            complete = True
+            # A closed connection would be used without a pause. A flag ends the client, not a cancellation:
+            # `wait_for` loses one that arrives together with the response.
+            while complete and not self.ending:
                 self.number += 1
-                status, _, body, whole = await client.request(request_bytes(self.number))
-                self.statuses.append((status, body, whole))
+                status, _, body, complete = await client.request(request_bytes(self.number))
+                self.statuses.append((status, body, complete))
 
     async def end(self) -> None:
         self.ending = True
@@ -121,7 +121,7 @@
     """bench/inventory.py measures 500 removals; this is a short form of it."""
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
-        fleet = await workers(stack, 5)
+        fleet = await start_replicas(stack, 5)
         place(path, rows(*fleet))
         program = await stack.enter_async_context(Program(options=edge(folder)))
         load = Load(program.port, 6)
@@ -170,8 +170,8 @@
                     assert (await second.request(request_bytes(number)))[0] == 200
                 assert len(slow.seen) == 1 and len(other.seen) == 7
                 go.set()
-                status, _, body, whole = await asyncio.wait_for(first.read_response(), 30)
-                assert (status, body, whole) == (200, WHOLE, True)
+                status, _, body, complete = await asyncio.wait_for(first.read_response(), 30)
+                assert (status, body, complete) == (200, WHOLE, True)
             assert await program.terminate() == 0
 
 
@@ -179,11 +179,11 @@
 async def test_a_replica_removed_and_added_again_at_once_goes_on_serving(folder: Path) -> None:
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
-        fleet = await workers(stack, 2)
+        fleet = await start_replicas(stack, 2)
         place(path, rows(*fleet))
         program = await stack.enter_async_context(Program(options=edge(folder)))
         load = Load(program.port, 3)
-        await until(lambda: all(worker.seen for worker in fleet))
+        await until(lambda: all(replica.seen for replica in fleet))
         for cycle in range(1, 6):
             place(path, rows(fleet[0]))
             await until(decided(program, "remove", "w1", cycle))
@@ -199,7 +199,7 @@
 async def test_a_file_truncated_and_written_again_removes_no_replica(folder: Path) -> None:
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
-        fleet = await workers(stack, 4)
+        fleet = await start_replicas(stack, 4)
         text = rows(*fleet)
         place(path, text)
         program = await stack.enter_async_context(
@@ -213,7 +213,7 @@
                 seen = len(load.statuses)
                 await until(lambda seen=seen: len(load.statuses) > seen)  # type: ignore[misc]
         await until(lambda: program.log("inventory_problem", code="INV305") is not None)
-        # And one that is gone for a moment, and one halved for good.
+        # Then a file that is missing for a moment, and one that loses half of its rows for good.
         path.rename(folder / "away")
         seen = len(load.statuses)
         await until(lambda: len(load.statuses) > seen + 5)
@@ -229,7 +229,7 @@
 async def test_a_half_edited_file_keeps_the_last_valid_kind_and_a_swap_is_applied(folder: Path) -> None:
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
-        one, two = await workers(stack, 2)
+        one, two = await start_replicas(stack, 2)
         good = f"name,host,port,kind\nw0,127.0.0.1,{one.port},gen-a\nw1,127.0.0.1,{two.port},gen-b\n"
         place(path, good)
         options = edge(folder, **{"kinds.gen-a": 0.5, "kinds.gen-b": 1.0})
@@ -316,7 +316,7 @@
     path, keep = folder / "workers.csv", folder / "keep"
     keep.mkdir()
     async with AsyncExitStack() as stack:
-        fleet = await workers(stack, 8)
+        fleet = await start_replicas(stack, 8)
         place(path, rows(*fleet))
         program = await stack.enter_async_context(Program(options=edge(folder, keep=str(keep))))
         place(path, rows(*fleet[:4]))
@@ -369,7 +369,7 @@
 async def test_large_lists_survive_the_death_of_the_parser_process(folder: Path) -> None:
     path = folder / "workers.csv"
     async with AsyncExitStack() as stack:
-        fleet = await workers(stack, 3)
+        fleet = await start_replicas(stack, 3)
         place(path, rows(*fleet))
         program = await stack.enter_async_context(Program(options=edge(folder, inline_kb=0)))
         for cycle in range(1, 3):
@@ -434,7 +434,7 @@
             assert program.log("listening")["replicas"] == 9_901  # type: ignore[index]
             read = program.log("inventory_read")
             assert read is not None and read["problems"] == 100
-            # A removal is taken at once, beside all that is wrong.
+            # A removal is applied at once, despite the invalid rows.
             place(path, rows(one) + "\n".join([*hosts[:77], *hosts[78:]]) + "\n")
             await until(decided(program, "remove", "h77"))
             assert not [x for x in program.logs if x.get("action") == "remove" and x["host"] != "h77"]
