--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -78,7 +78,7 @@
                 # Wait until it is added again: two renames at once would be one change.
                 await until(lambda mark=mark: any(x.get("action") == "add" for x in program.logs[mark:]))  # type: ignore[misc]
             await load.end()
-            wrong = sum(status != 200 or not whole for status, _, whole in load.statuses)
+            wrong = sum(status != 200 or not complete for status, _, complete in load.statuses)
             return {
                 "removals": count,
                 "replicas": fleet_size,
--- a/lockspoke/address/actions.py
+++ b/lockspoke/address/actions.py
@@ -1,4 +1,4 @@
-"""What the election asks its driver to do."""
+"""The actions that the election returns to its driver."""
 
 from __future__ import annotations
 
--- a/lockspoke/address/election.py
+++ b/lockspoke/address/election.py
@@ -261,7 +261,7 @@
         if sender != succession.successor or message.serial != succession.serial or not self.holds(now):
             return
         if self.lease.is_transferred:
-            return  # only a lease with votes of its own can be transferred; the successor is asked again
+            return  # only a lease with votes of its own can be transferred; the successor is prepared again
         serial = self._next_serial(now)
         self.transfer = LeaseTransfer(sender, message.serial, self.lease.term, self.lease.until)
         is_shutting_down = succession.is_shutting_down
--- a/lockspoke/address/node.py
+++ b/lockspoke/address/node.py
@@ -1,4 +1,4 @@
-"""Drives the election of one member: datagrams, timers, and the actions that the election asks for."""
+"""Drives the election of one member: datagrams, timers, and the actions that the election returns."""
 
 from __future__ import annotations
 
--- a/lockspoke/batch/attempt.py
+++ b/lockspoke/batch/attempt.py
@@ -23,7 +23,7 @@
     """The result of one attempt."""
 
     outcome: AttemptOutcome
-    retry_after: int = 0  # nanoseconds that a rejection asked to wait; 0 if it named none
+    retry_after: int = 0  # nanoseconds that a rejection named as Retry-After; 0 if it named none
     body: dict[str, Any] = field(default_factory=dict)  # the response, if it was served
 
 
--- a/lockspoke/batch/chat_completion.py
+++ b/lockspoke/batch/chat_completion.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptSize:
-    """What a request body says about the work it asks for."""
+    """What a request body says about the work that it requests."""
 
     tokens: float
     shared_prefix: str  # the first message of a conversation, which conversations may have in common
--- a/lockspoke/batch/input_lines.py
+++ b/lockspoke/batch/input_lines.py
@@ -38,7 +38,7 @@
 
 
 def file_error(code: str, message: str) -> InvalidInputFileError:
-    """An error of the whole file instead of one of its lines."""
+    """An error of the file itself instead of one of its lines."""
     return InvalidInputFileError([LineError(code, message).as_object(None)])
 
 
--- a/lockspoke/batch/line_runner.py
+++ b/lockspoke/batch/line_runner.py
@@ -44,7 +44,7 @@
             self.consecutive_rejections = 0
 
     def retry_delay(self, retry_after: int) -> float:
-        """Seconds before the next attempt: as the rejection asked, else an exponential backoff."""
+        """Seconds before the next attempt: the Retry-After of the rejection, else an exponential backoff."""
         if retry_after:
             return retry_after / SECOND
         doublings = min(BACKOFF_MAX_DOUBLINGS, max(0, self.consecutive_rejections - 1))
--- a/lockspoke/batch/records.py
+++ b/lockspoke/batch/records.py
@@ -111,7 +111,7 @@
 
     @property
     def is_cancelling(self) -> bool:
-        """Whether a client has asked to cancel the batch and some lines have not ended."""
+        """Whether a client has requested to cancel the batch and some lines have not ended."""
         return self.status is BatchStatus.CANCELLING
 
     def is_open(self, line: int) -> bool:
--- a/lockspoke/inventory/decisions.py
+++ b/lockspoke/inventory/decisions.py
@@ -73,7 +73,7 @@
     action: Action
     record: ReplicaRecord | None
     reason: str
-    explicit: bool = True  # the files ask for it, rather than merely not naming the host
+    explicit: bool = True  # the files request it, rather than merely not naming the host
     hold_reason: str = ""
 
     @classmethod
--- a/lockspoke/inventory/reconciler.py
+++ b/lockspoke/inventory/reconciler.py
@@ -37,7 +37,7 @@
     record: ReplicaRecord
     removed_at_ms: int
     boot_ms: int
-    explicit: bool  # the files asked for it
+    explicit: bool  # the files requested it
 
 
 class Reconciler:
--- a/lockspoke/inventory/removal_guard.py
+++ b/lockspoke/inventory/removal_guard.py
@@ -16,7 +16,7 @@
 class PendingRemoval:
     """A mass removal that is held back."""
 
-    fingerprint: str  # of the snapshot that asks for it
+    fingerprint: str  # of the snapshot that requests it
     since_ms: int  # Unix time
     hosts: int
 
--- a/tests/address/cluster.py
+++ b/tests/address/cluster.py
@@ -154,8 +154,8 @@
             self.number += 1
             try:
                 async with asyncio.timeout(limit), Client(self.service[1]) as client:
-                    status, _, _, whole = await client.request(request_bytes(self.number))
-                    if status == 200 and whole:
+                    status, _, _, complete = await client.request(request_bytes(self.number))
+                    if status == 200 and complete:
                         return time.monotonic()
             except (OSError, TimeoutError):
                 pass
--- a/tests/address/simulation.py
+++ b/tests/address/simulation.py
@@ -349,8 +349,8 @@
 
     def restart_others(self, member: SimulatedMember, event: Event) -> None:
         """Restart up to all processes but the holder's, or `member`'s if nobody holds, at once."""
-        kept = self.holder or member.name
-        others = [name for name in sorted(self.members) if name != kept]
+        spared = self.holder or member.name
+        others = [name for name in sorted(self.members) if name != spared]
         count = 1 + event.argument % max(1, len(self.members) - 1)
         for name in others[:count]:
             self.kill(self.members[name])
@@ -404,7 +404,7 @@
         except ValueError as error:
             self.log(f"{member.name} refuses generation {config.generation}: {error}")
             return
-        self.log(f"{member.name} takes up generation {config.generation}: {''.join(config.members)}")
+        self.log(f"{member.name} adopts generation {config.generation}: {''.join(config.members)}")
         self.config = member.config = config
         for name in config.members:
             if name not in self.members:
@@ -419,7 +419,7 @@
             if "lacks" in str(error):
                 self.kill(member)
             return
-        self.log(f"{member.name} takes up generation {self.config.generation}")
+        self.log(f"{member.name} adopts generation {self.config.generation}")
         member.config = self.config
 
     def changed_config(self, argument: int) -> ElectionConfig:
--- a/tests/address/test_election.py
+++ b/tests/address/test_election.py
@@ -136,7 +136,7 @@
         votes = set().union(
             *(election.lease.voters for election in network.members.values() if election.holding)
         )
-        assert votes == {"a", "b", "c"} or len(votes) == 2  # a quorum is enough; the others are asked again
+        assert votes == {"a", "b", "c"} or len(votes) == 2  # a quorum is enough
         holder = network.holder or ""
         assert all(election.voter.voted_for == holder for election in network.members.values())
 
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -140,8 +140,8 @@
         assert await cluster.wait_until_moved(holder) == successor
         assert await asyncio.wait_for(idle.reader.read(), 10) == b""  # so that its client goes to the new one
         release.set()
-        status, _, body, whole = await request
-        assert (status, whole, body) == (200, True, b"".join([*EVENTS, STREAM_TAIL]))
+        status, _, body, complete = await request
+        assert (status, complete, body) == (200, True, b"".join([*EVENTS, STREAM_TAIL]))
         assert await asyncio.wait_for(client.reader.read(), 10) == b""
 
 
@@ -163,8 +163,8 @@
         request = asyncio.ensure_future(client.request(request_bytes(1, deadline=12000, kind="bulk")))
         await until(lambda: len(cluster.replica.seen) == 1)
         send_command(cluster.folder / f"{holder}.sock", {"do": "move", "to": successor})
-        status, _, body, whole = await request
-        assert (status, whole) == (200, False) and body.startswith(EVENTS[0])
+        status, _, body, complete = await request
+        assert (status, complete) == (200, False) and body.startswith(EVENTS[0])
 
 
 @with_cluster()
@@ -273,27 +273,27 @@
             await cluster.wait_until_voting()
             holder = cluster.holder or ""
             program = cluster.programs[holder]
-            async with Client(ports[holder][1]) as kept:
-                assert (await kept.request(request_bytes(1)))[0] == 200
+            async with Client(ports[holder][1]) as earlier_client:
+                assert (await earlier_client.request(request_bytes(1)))[0] == 200
                 program.process.send_signal(signal.SIGSTOP)
                 new = await cluster.wait_until_moved(holder)
                 # While it is paused, one client is put in its backlog and one sends on an earlier connection.
                 late = await asyncio.open_connection(*ports[holder])
                 late[1].write(request_bytes(2))
-                kept.writer.write(request_bytes(3))
+                earlier_client.writer.write(request_bytes(3))
                 seen = len(cluster.replica.seen)
                 program.process.send_signal(signal.SIGCONT)
                 with contextlib.suppress(ConnectionResetError):
                     assert await asyncio.wait_for(late[0].read(), 10) == b""  # closed unread
                 late[1].close()
-                status, headers, _, _ = await kept.read_response()
+                status, headers, _, _ = await earlier_client.read_response()
                 assert status in (0, 503) and (status == 0 or "retry-after" in headers)
                 assert len(cluster.replica.seen) == seen
             async with Client(ports[new][1]) as client:
                 assert (await client.request(request_bytes(4)))[0] == 200
             await until(lambda: f"{new} claim" in route.read_text())
             lines = [line.split() for line in route.read_text().splitlines()]
-            claims = [(int(token), name) for name, word, token in lines if word == "claim"]
+            claims = [(int(token), name) for name, action, token in lines if action == "claim"]
             assert claims == sorted(claims) and {name for _, name in claims} >= {holder, new}
             assert not overlaps(cluster.claims())
 
