--- a/tests/address/simulation.py
+++ b/tests/address/simulation.py
@@ -173,10 +173,10 @@
         if self.tracing:
             self.trace.append(f"{self.now / MS:9.2f} ms  {text}")
 
-    def call_at(self, when: int, call: Callable[[], None]) -> None:
+    def call_at(self, when: int, callback: Callable[[], None]) -> None:
         """Schedule a callback at a true time."""
         self.count += 1
-        heapq.heappush(self.queue, (when, self.count, call))
+        heapq.heappush(self.queue, (when, self.count, callback))
 
     def join(self, name: str) -> None:
         """Add a member with the latest list."""
@@ -294,8 +294,8 @@
         """Run for a duration in nanoseconds."""
         end = self.now + span
         while self.queue and self.queue[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.queue)
-            call()
+            self.now, _, callback = heapq.heappop(self.queue)
+            callback()
         self.now = end
 
     @property
@@ -349,8 +349,8 @@
 
     def restart_others(self, member: SimulatedMember, event: Event) -> None:
         """Restart up to all processes but the holder's, or `member`'s if nobody holds, at once."""
-        kept = self.holder or member.name
-        others = [name for name in sorted(self.members) if name != kept]
+        spared = self.holder or member.name
+        others = [name for name in sorted(self.members) if name != spared]
         count = 1 + event.argument % max(1, len(self.members) - 1)
         for name in others[:count]:
             self.kill(self.members[name])
@@ -404,7 +404,7 @@
         except ValueError as error:
             self.log(f"{member.name} refuses generation {config.generation}: {error}")
             return
-        self.log(f"{member.name} takes up generation {config.generation}: {''.join(config.members)}")
+        self.log(f"{member.name} adopts generation {config.generation}: {''.join(config.members)}")
         self.config = member.config = config
         for name in config.members:
             if name not in self.members:
@@ -419,7 +419,7 @@
             if "lacks" in str(error):
                 self.kill(member)
             return
-        self.log(f"{member.name} takes up generation {self.config.generation}")
+        self.log(f"{member.name} adopts generation {self.config.generation}")
         member.config = self.config
 
     def changed_config(self, argument: int) -> ElectionConfig:
@@ -524,9 +524,9 @@
 ) -> str:
     """The trace of a schedule as text."""
     played = Simulation(schedule, election_type, config, trace=True)
-    told = "nothing is violated"
+    outcome = "nothing is violated"
     try:
         played.play()
     except InvariantError as error:
-        told = str(error)
-    return "\n".join([f"seed {schedule.seed}, {schedule.size} members", *played.trace, told])
+        outcome = str(error)
+    return "\n".join([f"seed {schedule.seed}, {schedule.size} members", *played.trace, outcome])
