--- a/lockspoke/address/health.py
+++ b/lockspoke/address/health.py
@@ -1,9 +1,11 @@
-"""Whether an instance is fit to hold the address, and for how long it is held down: pure, time handed in.
+"""Whether an instance is healthy enough to hold the address, with flap damping.
 
-An instance that keeps failing must not keep taking the address back. Each time that it has to give it up adds
-a penalty that decays by half in each half-life, as route flap damping keeps it (RFC 2439); from a threshold
-on the instance is held down until the penalty is below a lower one. So it comes back late after many
-failures, soon after one, and some day for sure.
+An instance that keeps failing must not keep taking the address back. Each loss of the address for reasons of
+health adds a penalty, which decays by half in each half-life as in route flap damping (RFC 2439). Above one
+threshold the instance is suppressed until the penalty has decayed below a lower threshold. So it comes back
+late after many failures and soon after one.
+
+Times are in nanoseconds and passed in by the caller; shares are from 0 to 1.
 """
 
 from __future__ import annotations
@@ -11,108 +13,125 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
+SUPPRESSED_REASON = "held down after giving the address up too often"
+
 
 @dataclass(frozen=True, slots=True)
-class Vitals:
-    """How an instance is, as it measures itself; shares are from 0 to 1."""
+class HealthMetrics:
+    """What an instance measures of itself."""
 
-    ready_workers: int
-    loop_lag: float  # seconds by which timers fired late, of late
-    failing: float  # share of calls that failed or had an overload reply, of late
-    calls: int  # how many that share stands for
-    sockets: float  # share of the descriptors in use
-    memory: float  # share of the memory in use
+    ready_replicas: int
+    loop_lag: float  # seconds by which timers have fired late recently
+    failure_share: float  # of recent requests: failed or rejected for overload
+    requests: int  # the number of recent requests
+    descriptor_share: float  # of the file descriptors, in use
+    memory_share: float  # of the memory, in use
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
-    """From where on an instance is sick, and how it is held down. Times in nanoseconds."""
-
-    least_workers: int = 1
-    loop_lag: float = 0.25
-    failing: float = 0.5
-    calls_enough: int = 20  # fewer say nothing about a share that fails
-    sockets: float = 0.95
-    memory: float = 0.95
-    sick_after: int = 300_000_000  # a bound must be passed for so long: one late timer is no illness
-    well_after: int = 2_000_000_000  # and kept for so long
-    penalty: float = 1_000.0  # of each time that it gives the address up
-    hold_down: float = 1_500.0
-    stand_again: float = 750.0
+class HealthLimits:
+    """The limits of healthy metrics, and the parameters of flap damping."""
+
+    min_ready_replicas: int = 1
+    max_loop_lag: float = 0.25
+    max_failure_share: float = 0.5
+    min_requests: int = 20  # with fewer requests the failure share is not significant
+    max_descriptor_share: float = 0.95
+    max_memory_share: float = 0.95
+    unhealthy_after: int = 300_000_000  # a limit must be exceeded for so long: one late timer is harmless
+    healthy_after: int = 2_000_000_000
+    penalty_per_loss: float = 1_000.0
+    suppress_threshold: float = 1_500.0
+    reuse_threshold: float = 750.0
     half_life: int = 15_000_000_000
-    longest: int = 300_000_000_000  # that it is held down, whatever the penalty
+    max_suppress_time: int = 300_000_000_000
 
     def __post_init__(self) -> None:
-        """Check what would hold an instance down for ever, or never."""
-        if not 0 < self.stand_again < self.hold_down:
+        """Raise ValueError for values that would suppress an instance forever, or never."""
+        if not 0 < self.reuse_threshold < self.suppress_threshold:
             raise ValueError("stand_again is not between 0 and hold_down")
-        if self.half_life <= 0 or self.penalty <= 0:
+        if self.half_life <= 0 or self.penalty_per_loss <= 0:
             raise ValueError("half_life and penalty must be above 0")
-        if self.ceiling < self.hold_down:
+        if self.max_penalty < self.suppress_threshold:
             raise ValueError("longest is so short beside half_life that no penalty would reach hold_down")
 
     @property
-    def ceiling(self) -> float:
-        """The highest penalty: one that has decayed to `stand_again` after `longest` (RFC 2439, 4.2)."""
-        return float(self.stand_again * 2.0 ** (self.longest / self.half_life))
+    def max_penalty(self) -> float:
+        """The penalty that decays to the reuse threshold in `max_suppress_time` (RFC 2439, 4.2)."""
+        return float(self.reuse_threshold * 2.0 ** (self.max_suppress_time / self.half_life))
+
+    def exceeded_by(self, metrics: HealthMetrics) -> tuple[str, ...]:
+        """The limits that the metrics exceed, as texts for operators."""
+        reasons = []
+        if metrics.ready_replicas < self.min_ready_replicas:
+            reasons.append(f"{metrics.ready_replicas} ready workers, want {self.min_ready_replicas}")
+        if metrics.loop_lag > self.max_loop_lag:
+            reasons.append(f"timers fire {metrics.loop_lag:.2f} s late")
+        if metrics.requests >= self.min_requests and metrics.failure_share > self.max_failure_share:
+            reasons.append(f"{metrics.failure_share:.0%} of {metrics.requests} calls fail")
+        if metrics.descriptor_share > self.max_descriptor_share:
+            reasons.append(f"{metrics.descriptor_share:.0%} of the descriptors are in use")
+        if metrics.memory_share > self.max_memory_share:
+            reasons.append(f"{metrics.memory_share:.0%} of the memory is in use")
+        return tuple(reasons)
 
 
 @dataclass(slots=True)
-class Health:
-    """Judges vitals over time."""
-
-    bounds: Bounds = field(default_factory=Bounds)
-    fit: bool = False  # what the election is told
-    reasons: tuple[str, ...] = ()  # why it is not
-    held_down: bool = False
+class HealthTracker:
+    """Evaluates metrics over time.
+
+    Attributes:
+        limits: The limits in force.
+        healthy: Whether the instance may hold the address.
+        reasons: Why it may not, as texts for operators.
+        suppressed: Whether flap damping keeps it from holding the address.
+    """
+
+    limits: HealthLimits = field(default_factory=HealthLimits)
+    healthy: bool = False
+    reasons: tuple[str, ...] = ()
+    suppressed: bool = False
     _penalty: float = 0.0
     _penalty_at: int = 0
-    _since: int | None = None  # since when the vitals have said otherwise than `_well`
-    _well: bool = False
+    _differs_since: int | None = None  # since when the metrics contradict `_within_limits`
+    _within_limits: bool = False
 
     def penalty(self, now: int) -> float:
-        """The penalty as it has decayed until now."""
-        return float(self._penalty * 2.0 ** (-max(0, now - self._penalty_at) / self.bounds.half_life))
+        """The penalty, decayed until now."""
+        return float(self._penalty * 2.0 ** (-max(0, now - self._penalty_at) / self.limits.half_life))
 
-    def gave_up(self, now: int) -> None:
-        """The instance had the address and gave it up, or lost it, because it was sick."""
-        value = min(self.penalty(now) + self.bounds.penalty, self.bounds.ceiling)
+    def record_loss(self, now: int) -> None:
+        """Record that the instance has lost the address since it is unhealthy."""
+        value = min(self.penalty(now) + self.limits.penalty_per_loss, self.limits.max_penalty)
         self._penalty, self._penalty_at = value, now
-        self.held_down = self.held_down or value >= self.bounds.hold_down
-
-    def judge(self, vitals: Vitals, now: int) -> bool:
-        """Whether the instance is fit, by its vitals at this time; `reasons` says why not."""
-        found = _complaints(vitals, self.bounds)
-        well = not found
-        if well == self._well:
-            self._since = None
+        self.suppressed = self.suppressed or value >= self.limits.suppress_threshold
+
+    def update(self, metrics: HealthMetrics, now: int) -> bool:
+        """Evaluate new metrics; returns whether the instance is healthy."""
+        exceeded = self.limits.exceeded_by(metrics)
+        self._debounce(not exceeded, now)
+        if self.suppressed and self.penalty(now) < self.limits.reuse_threshold:
+            self.suppressed = False
+        self.healthy = self._within_limits and not self.suppressed
+        if not self._within_limits:
+            self.reasons = exceeded
+        elif self.suppressed:
+            self.reasons = (SUPPRESSED_REASON,)
         else:
-            self._since = now if self._since is None else self._since
-            if now - self._since >= (self.bounds.well_after if well else self.bounds.sick_after):
-                self._well, self._since = well, None
-        if self.held_down and self.penalty(now) < self.bounds.stand_again:
-            self.held_down = False
-        self.fit = self._well and not self.held_down
-        self.reasons = (
-            found if not self._well else ("held down after giving the address up too often",) * self.held_down
-        )
-        return self.fit
+            self.reasons = ()
+        return self.healthy
+
+    def _debounce(self, within_limits: bool, now: int) -> None:
+        """Change `_within_limits` only after the metrics have contradicted it for long enough."""
+        if within_limits == self._within_limits:
+            self._differs_since = None
+            return
+        if self._differs_since is None:
+            self._differs_since = now
+        wait = self.limits.healthy_after if within_limits else self.limits.unhealthy_after
+        if now - self._differs_since >= wait:
+            self._within_limits, self._differs_since = within_limits, None
 
     def status(self, now: int) -> Mapping[str, object]:
-        """As plain values, for operators."""
-        return {"fit": self.fit, "reasons": list(self.reasons), "penalty": round(self.penalty(now), 1)}
-
-
-def _complaints(vitals: Vitals, bounds: Bounds) -> tuple[str, ...]:
-    found = []
-    if vitals.ready_workers < bounds.least_workers:
-        found.append(f"{vitals.ready_workers} ready workers, want {bounds.least_workers}")
-    if vitals.loop_lag > bounds.loop_lag:
-        found.append(f"timers fire {vitals.loop_lag:.2f} s late")
-    if vitals.calls >= bounds.calls_enough and vitals.failing > bounds.failing:
-        found.append(f"{vitals.failing:.0%} of {vitals.calls} calls fail")
-    if vitals.sockets > bounds.sockets:
-        found.append(f"{vitals.sockets:.0%} of the descriptors are in use")
-    if vitals.memory > bounds.memory:
-        found.append(f"{vitals.memory:.0%} of the memory is in use")
-    return tuple(found)
+        """The state as JSON values."""
+        return {"fit": self.healthy, "reasons": list(self.reasons), "penalty": round(self.penalty(now), 1)}
--- a/lockspoke/batch/settings.py
+++ b/lockspoke/batch/settings.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from lockspoke.units import MEBIBYTE
-from lockspoke.wire.discovery.messages import EndpointListError, decode_address
+from lockspoke.wire.discovery.endpoint_list import EndpointListError, decode_address
 
 Count = Annotated[int, msgspec.Meta(ge=1)]
 
--- a/lockspoke/core/decision_loop.py
+++ b/lockspoke/core/decision_loop.py
@@ -60,6 +60,6 @@
             log.exception("decision_failed", event_type=type(event).__name__)
             self._decision_failed(event)
             # The balancer already counts the actions decided before the fault as done: carry them out.
-            actions = self._balancer.out
+            actions = self._balancer.latest_actions
         for action in actions:
             self._execute(action)
--- a/lockspoke/inventory/patterns.py
+++ b/lockspoke/inventory/patterns.py
@@ -1,8 +1,7 @@
-"""Ansible's language of host patterns: `lis-1:&gen_c:!w3`, wildcards, `~regex`, `group[0:3]`.
+"""Ansible's host patterns: `lis-1:&gen_c:!w3`, wildcards, `~regex`, `group[0:3]`.
 
-A pattern selects the part of an inventory that a gateway serves. The grammar stands below; lark parses it.
-Terms are put together as Ansible does: first all plain ones, then the intersections, then the exclusions,
-whatever their order; with no plain term, all hosts are taken to begin with.
+A pattern selects the hosts that a gateway serves. As in Ansible, plain terms are combined first, then the
+intersections, then the exclusions, whatever their order; without a plain term, all hosts are the base.
 """
 
 from __future__ import annotations
@@ -31,7 +30,7 @@
 
 
 class PatternError(ValueError):
-    """A text that is no pattern; `column` (from 1) tells where it breaks."""
+    """A text that is no pattern; `column` counts from 1."""
 
     def __init__(self, text: str, column: int) -> None:
         super().__init__(text)
@@ -40,22 +39,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """One part of a pattern: `sign` is empty, & or !; `cut` picks from what it matches, in order."""
+    """One term of a pattern: `sign` is empty, & or !; `subscript` selects from the matching hosts."""
 
     sign: str
     text: str
     matches: Callable[[str], bool]
-    cut: slice | int | None = None
+    subscript: slice | int | None = None
 
 
-class _Build(Transformer[Token, Any]):
-    """From the parse tree to terms."""
+class _TermBuilder(Transformer[Token, Any]):
+    """Builds terms from the parse tree."""
 
     def term(self, parts: list[Any]) -> Term:
         sign = ""
         if isinstance(parts[0], Token) and parts[0].type == "SIGN":
             sign = str(parts.pop(0))
-        text, cut = str(parts[0]), _cut(str(parts[1])) if len(parts) > 1 else None
+        text, cut = str(parts[0]), _parse_subscript(str(parts[1])) if len(parts) > 1 else None
         if text.startswith("~"):
             return Term(sign, text, re.compile(text[1:]).match, cut)  # type: ignore[arg-type]
         if any(letter in text for letter in "*?["):
@@ -66,8 +65,8 @@
         return tuple(parts)
 
 
-def _cut(text: str) -> slice | int:
-    """A subscript; both ends of a span count, as in Ansible."""
+def _parse_subscript(text: str) -> slice | int:
+    """The index or slice of a subscript; as in Ansible, the end of a slice is included."""
     first, colon, last = text[1:-1].partition(":") if ":" in text else text[1:-1].rpartition("-")
     if not colon or not (first or ":" in text):
         return int(text[1:-1])
@@ -81,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """A pattern that has been read."""
+    """A parsed pattern."""
 
     text: str
     terms: tuple[Term, ...]
@@ -102,10 +101,10 @@
                 if not inside or any(letter in term.text for letter in "*?[~"):
                     inside |= {name for name in order if term.matches(name)}
                 found = sorted((name for name in inside if name in place), key=place.__getitem__)
-            if isinstance(term.cut, slice):
-                return set(found[term.cut])
-            if term.cut is not None:
-                return {found[term.cut]} if -len(found) <= term.cut < len(found) else set()
+            if isinstance(term.subscript, slice):
+                return set(found[term.subscript])
+            if term.subscript is not None:
+                return {found[term.subscript]} if -len(found) <= term.subscript < len(found) else set()
             return set(found)
 
         plain = [term for term in self.terms if not term.sign]
@@ -119,13 +118,13 @@
         return [name for name in order if name in chosen]
 
 
-def read_pattern(text: str) -> Pattern:
-    """Read a pattern. Raises PatternError."""
+def parse_pattern(text: str) -> Pattern:
+    """Parse a pattern. Raises PatternError."""
     if len(text) > 4096:
         raise PatternError("the pattern is longer than 4096 characters", 4097)
     try:
         tree = _parser().parse(text)
-        return Pattern(text, _Build().transform(tree))
+        return Pattern(text, _TermBuilder().transform(tree))
     except UnexpectedInput as error:
         column = getattr(error, "column", None)
         column = column if isinstance(column, int) and column > 0 else len(text) + 1
--- a/lockspoke/inventory/problems.py
+++ b/lockspoke/inventory/problems.py
@@ -1,4 +1,4 @@
-"""What can be wrong with an inventory: a catalogue of stable codes, and problems that name their place."""
+"""The problems of inventories: the catalogue of their codes, and problems with their places."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 
 class Place(NamedTuple):
-    """Where something stands: a file and, from 1 on, the line and column there (0: the file as a whole)."""
+    """A place in a file: line and column count from 1; both are 0 for the file as a whole."""
 
     file: str
     line: int = 0
     column: int = 0
 
     def __str__(self) -> str:
-        """As compilers write it: file:line:column."""
+        """The place as compilers print it: file:line:column."""
         return ":".join([self.file, *(str(part) for part in (self.line, self.column) if part)])
 
 
 class Severity(Enum):
-    """How far a problem reaches."""
+    """How severe a problem is."""
 
-    ERROR = "error"  # what it concerns is not taken: a host is held back, or a file is not believed
-    WARNING = "warning"  # taken, but probably not what was meant
+    ERROR = "error"  # the host or file concerned is not used
+    WARNING = "warning"  # it is used, but probably not as intended
 
 
 @dataclass(frozen=True, slots=True)
 class Code:
-    """One kind of problem; `ident` never changes its meaning."""
+    """One kind of problem; an `id` never changes its meaning."""
 
-    ident: str
+    id: str
     name: str
     severity: Severity
-    says: str  # what it means and what becomes of the rows concerned
+    description: str  # what it means and what happens to the rows concerned
 
 
 def _error(ident: str, name: str, says: str) -> Code:
@@ -48,25 +48,27 @@
 UNREADABLE = _error("INV101", "unreadable", "A source is missing or can't be read; its hosts are held.")
 NOT_UTF8 = _error("INV102", "not-utf8", "A source isn't UTF-8 text; its hosts are held.")
 TOO_LARGE = _error("INV103", "too-large", "A source, line or value is past the size that is read.")
-SYNTAX = _error("INV104", "syntax", "The form is broken here, and what follows is not read.")
+SYNTAX_ERROR = _error("INV104", "syntax", "The form is broken here, and what follows is not read.")
 TOO_DEEP = _error("INV105", "too-deep", "Nesting, aliases or hosts beyond what is read.")
-UNKNOWN_FORM = _error("INV106", "unknown-form", "Neither the name nor the text tells which form it has.")
-NO_WORKERS = _error("INV107", "no-workers", "A source names no host at all.")
-SCRIPT = _warning("INV108", "script", "An executable inventory script is never run here; it is passed over.")
-ENCRYPTED = _warning("INV109", "encrypted", "A file under a vault key is passed over.")
+UNKNOWN_FORMAT = _error("INV106", "unknown-form", "Neither the name nor the text tells which form it has.")
+NO_REPLICAS = _error("INV107", "no-workers", "A source names no host at all.")
+INVENTORY_SCRIPT = _warning(
+    "INV108", "script", "An executable inventory script is never run here; it is passed over."
+)
+ENCRYPTED_FILE = _warning("INV109", "encrypted", "A file under a vault key is passed over.")
 # Structure
 UNKNOWN_COLUMN = _warning("INV201", "unknown-column", "A column that no setting names is not used.")
 NO_NAME_COLUMN = _error("INV202", "no-name-column", "A CSV file's header has no column for the name.")
 REPEATED_COLUMN = _error("INV203", "repeated-column", "Two columns of one header stand for the same thing.")
 CELL_COUNT = _error("INV204", "cell-count", "A row has more or fewer cells than the header.")
 GROUP_KEY = _error("INV205", "group-key", "A group holds hosts, children and vars, nothing else.")
-SHAPE = _error("INV206", "shape", "A mapping, a list or a plain value stands where another is wanted.")
+WRONG_TYPE = _error("INV206", "shape", "A mapping, a list or a plain value stands where another is wanted.")
 REPEATED_KEY = _error("INV207", "repeated-key", "One mapping has a key twice.")
-RANGE = _error("INV208", "range", "A host range that can't be expanded.")
+BAD_RANGE = _error("INV208", "range", "A host range that can't be expanded.")
 GROUP_LOOP = _error("INV209", "group-loop", "A group is its own ancestor.")
 UNDEFINED_GROUP = _error("INV210", "undefined-group", "A child group that is defined nowhere.")
-ASSIGNMENT = _error("INV211", "assignment", "Something that is no key=value where one is wanted.")
-PRIORITY = _error("INV212", "priority", "ansible_group_priority is no whole number.")
+BAD_ASSIGNMENT = _error("INV211", "assignment", "Something that is no key=value where one is wanted.")
+BAD_PRIORITY = _error("INV212", "priority", "ansible_group_priority is no whole number.")
 STRAY_VARS = _warning("INV213", "stray-vars", "Variables for a host or group that no source names.")
 # Values
 NO_NAME = _error("INV301", "no-name", "A row without a name.")
@@ -80,51 +82,51 @@
 BAD_NUMBER = _error("INV309", "bad-number", "A weight or cell that is no number in its range.")
 UNKNOWN_STATE = _error("INV310", "unknown-state", "A state other than up, draining or removed.")
 BAD_LABEL = _error("INV311", "bad-label", "Labels that are not name=value pairs.")
-TEMPLATE = _error("INV312", "template", "A value that needs templating, which is not done here.")
-VAULT = _error("INV313", "vault", "A value under a vault key.")
-MISSING = _error("INV314", "missing", "A value that the settings require.")
+TEMPLATE_VALUE = _error("INV312", "template", "A value that needs templating, which is not done here.")
+VAULT_VALUE = _error("INV313", "vault", "A value under a vault key.")
+MISSING_VALUE = _error("INV314", "missing", "A value that the settings require.")
 # Between rows
-TWICE = _error("INV401", "name-twice", "Two rows have one name.")
-SAME_ADDRESS = _error("INV402", "same-address", "Two workers have one address.")
-TWO_KINDS = _error("INV403", "two-kinds", "A host stands under two kinds.")
-TWO_ZONES = _error("INV404", "two-zones", "A host stands under two zones.")
-DISAGREE = _error("INV405", "sources-disagree", "Two sources give a host different values.")
-CONTRADICTS = _warning("INV406", "contradicts-group", "A host's own value goes against its group's.")
+DUPLICATE_NAME = _error("INV401", "name-twice", "Two rows have one name.")
+DUPLICATE_ADDRESS = _error("INV402", "same-address", "Two workers have one address.")
+CONFLICTING_KINDS = _error("INV403", "two-kinds", "A host stands under two kinds.")
+CONFLICTING_ZONES = _error("INV404", "two-zones", "A host stands under two zones.")
+SOURCES_DISAGREE = _error("INV405", "sources-disagree", "Two sources give a host different values.")
+CONTRADICTS_GROUP = _warning("INV406", "contradicts-group", "A host's own value goes against its group's.")
 NOTHING_SELECTED = _warning("INV501", "nothing-selected", "The pattern selects no host.")
 
-CODES = {code.ident: code for code in list(globals().values()) if isinstance(code, Code)}
+CODES = {code.id: code for code in list(globals().values()) if isinstance(code, Code)}
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong: where, what, what it clashes with, and what to write instead."""
+    """One problem: its place, a message, what to write instead, and the place that it conflicts with."""
 
     code: Code
     place: Place
     message: str
-    mend: str = ""
-    clash: Place | None = None
-    host: str = ""  # the worker concerned, where it has a name
+    suggestion: str = ""
+    related_place: Place | None = None
+    host: str = ""  # the host concerned, if it has a name
 
     @property
     def severity(self) -> Severity:
-        """As its code says."""
+        """The severity of its code."""
         return self.code.severity
 
     @property
     def is_error(self) -> bool:
-        """Whether something is not taken because of it."""
+        """Whether something is not used because of it."""
         return self.code.severity is Severity.ERROR
 
     def __str__(self) -> str:
-        """What is wrong, what it clashes with, and the mend."""
-        clash = f" (see {self.clash})" if self.clash is not None else ""
-        mend = f"; {self.mend}" if self.mend else ""
-        return f"{self.message}{clash}{mend}"
+        """The message, the related place and the suggestion."""
+        related_place = f" (see {self.related_place})" if self.related_place is not None else ""
+        suggestion = f"; {self.suggestion}" if self.suggestion else ""
+        return f"{self.message}{related_place}{suggestion}"
 
 
-class Problems:
-    """Collects problems in the order in which they are found, each once."""
+class ProblemCollector:
+    """Collects problems, each once, in the order in which they are found."""
 
     def __init__(self) -> None:
         self.found: dict[Problem, None] = {}
@@ -134,14 +136,14 @@
         code: Code,
         place: Place,
         message: str,
-        mend: str = "",
-        clash: Place | None = None,
+        suggestion: str = "",
+        related_place: Place | None = None,
         host: str = "",
     ) -> None:
-        """Note one."""
-        self.found.setdefault(Problem(code, place, message, mend, clash, host))
+        """Add a problem, unless it has been added before."""
+        self.found.setdefault(Problem(code, place, message, suggestion, related_place, host))
 
     def sorted(self) -> list[Problem]:
-        """By file, line and column; what holds for all hosts of one range is told once."""
-        told = {(one.place, one.code.ident, one.message): one for one in reversed(self.found)}
-        return [told[key] for key in sorted(told)]
+        """All problems by file, line and column; one that all hosts of a range share appears once."""
+        unique = {(one.place, one.code.id, one.message): one for one in reversed(self.found)}
+        return [unique[key] for key in sorted(unique)]
--- /dev/null
+++ b/lockspoke/lifecycle/operator_commands.py
@@ -0,0 +1,58 @@
+"""What the requests on the operators' port do."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import structlog
+
+from lockspoke.core.core import Core
+from lockspoke.wire.clients.admission import AdmissionMode
+from lockspoke.wire.clients.front import ClientFront
+from lockspoke.wire.http.messages import HttpError
+from lockspoke.wire.operators.api import OperatorCommand, OperatorRequest
+
+from .bans_file import write_bans
+from .phases import ProgramState
+
+log = structlog.get_logger()
+
+
+class OperatorCommands:
+    """Carries out operators' requests on one gateway."""
+
+    def __init__(self, state: ProgramState, core: Core, clients: ClientFront, bans_file: Path) -> None:
+        self._state = state
+        self._core = core
+        self._clients = clients
+        self._bans_file = bans_file
+
+    def execute(self, request: OperatorRequest) -> str:
+        """Carry out a request; returns the response's text. Raises HttpError if it can't be done."""
+        match request.command:
+            case OperatorCommand.READY:
+                return self._check_ready()
+            case OperatorCommand.OFFLINE | OperatorCommand.ONLINE:
+                self._set_banned(request.uid, request.command is OperatorCommand.OFFLINE)
+            case OperatorCommand.OUT_OF_SERVICE | OperatorCommand.IN_SERVICE:
+                self._set_out_of_service(request.command is OperatorCommand.OUT_OF_SERVICE)
+        log.info("operator_request", command=request.command.name.lower(), replica=request.uid)
+        return "done"
+
+    def _check_ready(self) -> str:
+        if not self._state.is_ready:
+            raise HttpError(503, f"not ready: {self._state.phase.value}")
+        return "ready"
+
+    def _set_banned(self, uid: str, banned: bool) -> None:
+        if not self._core.set_banned(uid, banned):
+            raise HttpError(404, f"no list has named {uid[:200]}")
+        write_bans(self._bans_file, self._core.replica_set.banned)
+
+    def _set_out_of_service(self, out_of_service: bool) -> None:
+        if self._state.is_stopping:
+            raise HttpError(409, "the gateway is stopping")
+        self._state.out_of_service = out_of_service
+        self._clients.admission_mode = (
+            AdmissionMode.ACCEPT_AND_CLOSE if out_of_service else AdmissionMode.ACCEPT
+        )
--- a/lockspoke/wire/discovery/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -1,9 +1,9 @@
-"""Discovery as the source of the replica list: one request after another, at one address after another.
+"""Discovery as the source of the endpoint list: one request after another, at one address after another.
 
-The rule on drains holds a gateway to each change once discovery has written it, read or not, and at the
-latest 6 s after discovery had it and could be reached. The times here and those of the decisions follow from
-this: a watch that has fallen silent at its beginning is noticed (hold and `GRACE`), one more request may fail
-(`ANSWER_TIME`), the decisions pause, and the next request is answered.
+A gateway must apply each change from the moment when discovery has written it, read or not, and at the
+latest 6 s after discovery had it and was reachable. The timeouts here and those of the balancer follow from
+this limit: a watch that gets no response is noticed after its hold and `WATCH_GRACE`, one more request may
+fail (`RESPONSE_TIMEOUT`), the balancer backs off, and the next request gets a response.
 """
 
 from __future__ import annotations
@@ -13,222 +13,132 @@
 
 import structlog
 
-from lockspoke.core.core import Core
-from lockspoke.core.replica_set import UNKNOWN_VERSION, ReplicaSet
+from lockspoke.core.endpoint_list import EndpointListListener
+from lockspoke.core.replica_set import UNKNOWN_VERSION
 from lockspoke.wire.tcp.dialing import Address, Dial, dial
 
-from .connection import DiscoveryLink, RequestError, WatchLostError
-from .messages import (
-    EndpointListError,
-    EndpointListRequest,
-    EndpointListResponse,
-    decode_endpoint_list,
-    out_of_use_only,
-)
+from .connection import DiscoveryConnection
+from .endpoint_list import EndpointListResponse
+from .follower import EndpointListFollower
 
-HOLD_MS = 1500  # the shortest hold: how long a watch waits for a change
-GATEWAY_MS = 10  # by how much one gateway's hold is longer than the next's: a change makes all ask at once
-SPREAD_MS = 2000  # and by how much the longest is longer than the shortest, at most
-NOTHING_NEW_PAUSE = 0.1  # seconds before a watch that brought nothing, and too soon, is repeated
+MIN_HOLD_MS = 1500  # the shortest hold: how long discovery waits for a change before it responds
+HOLD_STEP_MS = 10  # between the holds of two gateways, so that they do not all poll at the same time
+MAX_HOLD_SPREAD_MS = 2000  # between the shortest and the longest hold
 
 log = structlog.get_logger()
 
 
 def hold_duration_ms(index: int, gateways: int) -> int:
-    """How long this gateway lets a watch wait, in milliseconds: each of many a little longer than another."""
-    spread = min(SPREAD_MS, GATEWAY_MS * gateways)
-    return HOLD_MS + spread * (index % gateways) // gateways
+    """The hold of the gateway with this index, in milliseconds; those of all gateways are spread evenly."""
+    spread = min(MAX_HOLD_SPREAD_MS, HOLD_STEP_MS * gateways)
+    return MIN_HOLD_MS + spread * (index % gateways) // gateways
 
 
 class DiscoveryWatch:
-    """The list as discovery has it: the service in use is followed, a former one to its last answer."""
+    """Watches the service in use, and reads the last response of the services used before."""
 
-    def __init__(self, endpoint: Address, hold_ms: int = HOLD_MS, dial: Dial = dial) -> None:
+    def __init__(self, endpoint: Address, hold_ms: int = MIN_HOLD_MS, dial: Dial = dial) -> None:
         self.endpoint = endpoint
         self.hold_ms = hold_ms
-        self.core: Core | None = None
+        self.first_poll_finished = False  # whether the first request has succeeded or failed
         self._dial = dial
-        self._current: Follower | None = None
-        self._former: list[Follower] = []
+        self._current_follower: EndpointListFollower | None = None
+        self._former_followers: list[EndpointListFollower] = []
         self._failing = False
-        self.first_poll_finished = False  # whether the first request has ended, in whatever way
+
+    def attach(self, listener: EndpointListListener) -> None:
+        """Report changes of the list to this listener; called once, before `watch`."""
+        self.listener = listener
 
     @property
     def has_unread_changes(self) -> bool:
-        """Whether discovery has written what is not in force yet."""
-        return any(follower.unread for follower in self._followers())
+        """Whether discovery has written changes that are not applied yet."""
+        return any(follower.has_unread_changes for follower in self._followers())
 
-    def _followers(self) -> list[Follower]:
-        return [*self._former, self._current] if self._current is not None else self._former
+    def _followers(self) -> list[EndpointListFollower]:
+        if self._current_follower is None:
+            return self._former_followers
+        return [*self._former_followers, self._current_follower]
 
     def watch(self, enable: bool) -> None:
-        """Begin to watch, or end that; a watch that runs goes on."""
+        """Start to watch, or stop; a watch that runs already continues."""
         if not enable:
             self.close()
-        elif self._current is None:
-            link = DiscoveryLink(self.endpoint, self._dial)
-            self._current = Follower(link, self)
+        elif self._current_follower is None:
+            connection = DiscoveryConnection(self.endpoint, self._dial)
+            self._current_follower = EndpointListFollower(connection, self)
 
-    def move(self, endpoint: Address) -> None:
-        """Watch at another address from now on: at once, since the old one may close any moment.
+    def change_endpoint(self, endpoint: Address) -> None:
+        """Watch at another address, at once, since the old service may stop at any moment.
 
-        What the old service has written, or is about to, counts as told, so its last answer is still taken.
+        Changes that the old service has written, or is writing, are in force: its last response is still
+        read and applied.
         """
-        assert self.core is not None
         log.info("discovery_moved", host=endpoint[0], port=endpoint[1])
-        if self._current is not None and self._current.retire():
-            self._former.append(self._current)
-        self._current = None
+        if self._current_follower is not None and self._current_follower.stop_after_response():
+            self._former_followers.append(self._current_follower)
+        self._current_follower = None
         self.endpoint = endpoint
-        # Versions are the word of the service that gave them: the first request asks for the whole list.
-        self.core.replica_set.version = UNKNOWN_VERSION
+        # Versions are each service's own: the first request is for the complete list.
+        self.listener.replica_set.version = UNKNOWN_VERSION
         self.watch(True)
 
     def close(self) -> None:
-        """End the watch."""
+        """Stop the watch."""
         for follower in self._followers():
             follower.close()
-        self._current, self._former = None, []
+        self._current_follower, self._former_followers = None, []
 
-    # What followers say
+    # Called by followers
 
-    async def settle_former(self, follower: Follower) -> None:
-        """Before the service in use has its first word: those left behind have had their last one.
+    async def wait_for_former_followers(self, follower: EndpointListFollower) -> None:
+        """Wait until former followers have applied what they received, so that newer lists come last.
 
-        One that is left behind itself meanwhile waits for no other.
+        A follower that is replaced while it waits does not wait any longer.
         """
-        while follower is self._current and any(former.unread for former in self._former):
+        while follower is self._current_follower:
+            if not any(former.has_unread_changes for former in self._former_followers):
+                for former in self._former_followers:
+                    former.close()
+                self._former_followers = []
+                return
             await asyncio.sleep(0)
-        if follower is self._current:
-            for former in self._former:
-                former.close()
-            self._former = []
 
-    def take(self, follower: Follower, answer: EndpointListResponse) -> None:
-        """An answer takes effect; raises ListError if it could not be read as a whole."""
+    def apply(self, follower: EndpointListFollower, response: EndpointListResponse) -> None:
+        """Apply a response; raises EndpointListError if an entry of it could not be decoded."""
         self.first_poll_finished = True
-        core, update = self.core, answer.update
-        assert core is not None
-        if follower is not self._current or answer.faults:
-            # Its version says nothing about this service's list, or more of this version has to be asked for.
-            update = replace(update, version=core.replica_set.version)
+        is_current = follower is self._current_follower
+        update = response.update
+        if not is_current or response.faults:
+            # The version of a former service means nothing to the current one, and a version with faults is
+            # requested again.
+            update = replace(update, version=self.listener.replica_set.version)
         if update.entries or update.complete:
             log.info(
-                "registry_changed", rev=update.version, whole=update.complete, entries=len(update.entries)
+                "endpoint_list_changed",
+                rev=update.version,
+                complete=update.complete,
+                entries=len(update.entries),
             )
-        if self._failing and not answer.faults:
-            log.info("discovery_back", rev=update.version)
+        if self._failing and not response.faults:
+            log.info("discovery_recovered", rev=update.version)
             self._failing = False
-        core.endpoint_list_changed(update, completes_poll=follower is self._current)
-        answer.complete()
+        self.listener.endpoint_list_changed(update, completes_poll=is_current)
+        response.require_complete()
 
-    def end(self, follower: Follower, reason: str | None) -> None:
-        """A follower has ended; with a reason, it failed: the decisions say when to ask again."""
-        if follower is not self._current:
-            self._former = [one for one in self._former if one is not follower]
+    def follower_ended(self, follower: EndpointListFollower, reason: str | None) -> None:
+        """Forget a follower. If the current one failed, the balancer decides when to poll again."""
+        if follower is not self._current_follower:
+            self._former_followers = [one for one in self._former_followers if one is not follower]
             return
-        self._current = None
+        self._current_follower = None
         self.first_poll_finished = True
-        if reason is not None and self.core is not None:
-            self.doubt(reason)
-            self.core.endpoint_list_failed()
+        if reason is not None:
+            self.report_failing(reason)
+            self.listener.endpoint_list_failed()
 
-    def doubt(self, reason: str) -> None:
-        """Discovery does not answer as it should; told once until it does."""
+    def report_failing(self, reason: str) -> None:
+        """Log that discovery does not respond as it should; once, until it recovers."""
         if not self._failing:
             log.warning("discovery_failing", reason=reason)
         self._failing = True
-
-
-class Follower:
-    """Follows the list of one service until a request fails, or to its present answer if it is retired."""
-
-    def __init__(self, link: DiscoveryLink, watch: DiscoveryWatch) -> None:
-        self._link = link
-        self._watch = watch
-        self._retired = False
-        self._empty_before = False  # whether the last answer was a whole list with nobody in it
-        self._taking = False  # an answer has been read, and is not in force yet
-        self._task = asyncio.ensure_future(self._run())
-
-    @property
-    def unread(self) -> bool:
-        """Whether the service has written what is not in force yet."""
-        return self._taking or self._link.unread
-
-    def retire(self) -> bool:
-        """Ask nothing more; whether an answer is still awaited. If none is, this is the end."""
-        self._retired = True
-        if not self.unread and not self._link.awaiting:
-            self.close()
-            return False
-        return True
-
-    def close(self) -> None:
-        """End at once."""
-        self._task.cancel()
-        self._link.close()
-
-    async def _run(self) -> None:
-        reason = None
-        try:
-            await self._follow()
-        except (RequestError, EndpointListError) as error:
-            reason = str(error)
-        except Exception:
-            # A fault of ours: the list may be half taken; nobody asks again after a watch that just ended.
-            log.exception("watch_failed")
-            self._replicas.version = UNKNOWN_VERSION
-            reason = "a fault of the gateway; see watch_failed"
-        self._link.close()
-        self._watch.end(self, reason)
-
-    async def _follow(self) -> None:
-        loop = asyncio.get_running_loop()
-        may_wait = False  # only after an answer in order: one that does not wait shows trouble sooner
-        while not self._retired:
-            request = EndpointListRequest(self._replicas.version, self._watch.hold_ms if may_wait else 0)
-            asked_at = loop.time()
-            try:
-                body = await self._link.ask(request)
-            except WatchLostError as lost:
-                log.info("discovery_silent", reason=str(lost))
-                may_wait = False
-                continue
-            self._taking = True
-            try:
-                await self._watch.settle_former(self)
-                answer = decode_endpoint_list(body)
-                may_wait = self._believed(request, answer)
-                if may_wait:
-                    self._watch.take(self, answer)
-            finally:
-                self._taking = False
-            if request.waits and answer.update.version == request.version:
-                # Guards against a service that answers at once, again and again.
-                early = loop.time() - asked_at < request.hold_ms / 2000
-                await asyncio.sleep(NOTHING_NEW_PAUSE if early else 0)
-
-    @property
-    def _replicas(self) -> ReplicaSet:
-        assert self._watch.core is not None
-        return self._watch.core.replica_set
-
-    def _believed(self, request: EndpointListRequest, answer: EndpointListResponse) -> bool:
-        """Whether an answer can take effect as it is; if not, the whole list is asked for next, at once."""
-        update = answer.update
-        if request.version != UNKNOWN_VERSION and update.version < request.version:
-            # An answer from before the last one, or a service begun anew: what it puts into use may be long
-            # past, and what has changed since can't be told from it.
-            log.info("discovery_went_back", asked=request.version, rev=update.version)
-            self._watch.take(self, replace(answer, update=out_of_use_only(update)))
-            return False
-        empty = update.complete and not update.entries and self._replicas.ready_count > 0
-        if empty and not self._empty_before:
-            # Guards against one bad moment of discovery: all replicas are gone only if it says so twice.
-            self._empty_before = True
-            self._watch.doubt("an empty list; asked for again before it is believed")
-            self._replicas.version = UNKNOWN_VERSION
-            return False
-        self._empty_before = False
-        return True
--- a/tests/address/cluster.py
+++ b/tests/address/cluster.py
@@ -13,20 +13,20 @@
 from pathlib import Path
 from typing import Any
 
-from lockspoke.address.control import ask
+from lockspoke.address.control import send_command
 from tests.address.relay import Relay, free_port
-from tests.standins import Client, FakeWorker, Program, call_bytes, until
+from tests.standins import Client, FakeReplica, Program, request_bytes, until
 
 HEALTH = {"well_after": 0.2}
 
 
-def endpoint(port: tuple[str, int]) -> str:
-    """As settings have it."""
+def format_endpoint(port: tuple[str, int]) -> str:
+    """Format an address as in the settings."""
     return f"{port[0]}:{port[1]}"
 
 
 def toml(values: dict[str, Any], section: str) -> str:
-    """A section of a TOML file; a table among the values becomes one of its own below it."""
+    """Format a section of a TOML file; nested tables become sections below it."""
     lines = [f"[{section}]"]
     lines += [f"{key} = {json.dumps(value)}" for key, value in values.items() if not isinstance(value, dict)]
     below = [toml(value, f"{section}.{key}") for key, value in values.items() if isinstance(value, dict)]
@@ -34,14 +34,14 @@
 
 
 class Cluster:
-    """Some gateways, a worker, and the relay between their members."""
+    """Some gateways, a replica, and the relay between their members."""
 
     def __init__(self, names: tuple[str, ...] = ("a", "b", "c"), **settings: Any) -> None:
         self.names, self.gateway, self.settings = names, settings.pop("gateway", {}), settings
         self.service = free_port()
         self.relay = Relay(names)
         self.programs: dict[str, Program] = {}
-        self.killed: list[tuple[str, int]] = []  # who, and when by the clock that all share
+        self.killed: list[tuple[str, int]] = []  # by the clock that all processes share
         self.number = 0
 
     async def __aenter__(self) -> Cluster:
@@ -50,7 +50,7 @@
         self.key = self.folder / "key"
         self.key.touch(0o600)
         self.key.write_text(secrets.token_hex(32))
-        self.worker = await self.stack.enter_async_context(FakeWorker())
+        self.replica = await self.stack.enter_async_context(FakeReplica())
         self.relay.start()
         try:
             await asyncio.gather(*(self.start(name) for name in self.names))
@@ -68,18 +68,18 @@
         self.relay.close()
         await self.stack.aclose()
 
-    def write(self, name: str, **more: Any) -> Path:
+    def write_edge(self, name: str, **more: Any) -> Path:
         """A member's edge file."""
         path = self.folder / f"{name}.toml"
-        book = self.relay.books[name]
+        book = self.relay.peer_addresses[name]
         settings: dict[str, Any] = {
             "name": name,
-            "service": endpoint(self.service),
+            "service": format_endpoint(self.service),
             "bind": "127.0.0.1:0",
             "keys": [str(self.key)],
             "control": str(self.folder / f"{name}.sock"),
             "trace": str(self.folder / f"{name}.trace"),
-            "members": {other: endpoint(book[other]) for other in self.names},
+            "members": {other: format_endpoint(book[other]) for other in self.names},
             "health": HEALTH,
         }
         settings |= self.settings | more
@@ -90,15 +90,15 @@
 
     async def start(self, name: str, **more: Any) -> Program:
         """Start a member's gateway."""
-        program = Program(self.worker, options=("--edge", self.write(name, **more)), **self.gateway)
+        program = Program(self.replica, options=("--edge", self.write_edge(name, **more)), **self.gateway)
         self.programs[name] = program
         await program.__aenter__()
         await until(lambda: program.log("address_started") is not None)
-        self.relay.own[name] = "127.0.0.1", program.log("address_started")["port"]  # type: ignore[index]
+        self.relay.listen_addresses[name] = "127.0.0.1", program.log("address_started")["port"]  # type: ignore[index]
         return program
 
     async def kill(self, name: str) -> float:
-        """SIGKILL; gives when."""
+        """Kill a member; returns the time."""
         program = self.programs.pop(name)
         at = time.monotonic()
         self.killed.append((name, time.clock_gettime_ns(time.CLOCK_BOOTTIME)))
@@ -109,30 +109,30 @@
 
     @property
     def holder(self) -> str | None:
-        """Who told last in its log that it has the address and has not lost it since."""
+        """The member whose log says that it holds the address."""
         found = {
             name: self.token(program)
             for name, program in self.programs.items()
             if program.process.returncode is None and self.token(program)
         }
-        # One that is paused can't tell that it has lost it.
+        # A paused member does not know that it has lost the address.
         return max(found, key=lambda name: found[name]) if found else None
 
     @staticmethod
     def token(program: Program) -> int:
-        """By which token it has the address, by its latest word on that; 0: it has it not."""
+        """The token by which a program holds the address, by its log; 0 if it does not hold it."""
         for line in reversed(program.logs):
-            if line["event"] in ("address_held", "address_lost"):
-                return int(line["token"]) if line["event"] == "address_held" else 0
+            if line["event"] in ("address_lease_acquired", "address_lease_lost"):
+                return int(line["token"]) if line["event"] == "address_lease_acquired" else 0
         return 0
 
-    async def moved(self, before: str) -> str:
-        """Who holds once another does than before."""
+    async def wait_until_moved(self, before: str) -> str:
+        """Wait until another member holds the address, and return it."""
         await until(lambda: self.holder not in (None, before))
         return self.holder or ""
 
-    async def voting(self) -> None:
-        """Until every member that runs may grant and is fit."""
+    async def wait_until_voting(self) -> None:
+        """Wait until every running member may vote and is healthy."""
 
         def all_there() -> bool:
             for name in self.programs:
@@ -145,16 +145,16 @@
             await asyncio.sleep(0.02)
 
     def status(self, name: str) -> dict[str, Any]:
-        """As the command shows it."""
-        return ask(self.folder / f"{name}.sock", {"do": "status"})
+        """The status as the command shows it."""
+        return send_command(self.folder / f"{name}.sock", {"do": "status"})
 
-    async def answered(self, limit: float = 0.1) -> float:
-        """When a client's request at the service address is answered again, asked anew until it is."""
+    async def wait_until_answered(self, limit: float = 0.1) -> float:
+        """Repeat requests to the service address until one is answered; returns the time."""
         while True:
             self.number += 1
             try:
                 async with asyncio.timeout(limit), Client(self.service[1]) as client:
-                    status, _, _, whole = await client.ask(call_bytes(self.number))
+                    status, _, _, whole = await client.request(request_bytes(self.number))
                     if status == 200 and whole:
                         return time.monotonic()
             except (OSError, TimeoutError):
@@ -162,17 +162,17 @@
             await asyncio.sleep(0.001)
 
     def claims(self) -> list[tuple[int, int, str, int]]:
-        """All claims that members have written down: from when, until when, whose, by which token.
+        """All claims in the traces of the members: start, end, member and token.
 
-        Judged from outside by the one clock that all processes of a machine share. A claim goes on until its
-        last lease would end, it was let go, or its process was killed; never because another came.
+        The times are of the clock that all processes share. A claim ends when its last lease would end, when
+        it is released, or when its process is killed; never since another claim starts.
         """
         found: list[tuple[int, int, str, int]] = []
         for name in self.names:
             path = self.folder / f"{name}.trace"
             open_at, until_at, token = 0, 0, 0
             events = [(line["at"], line) for line in map(json.loads, path.read_text().splitlines())]
-            events += [(at, {"lost": True}) for who, at in self.killed if who == name]
+            events += [(at, {"lost": True}) for member, at in self.killed if member == name]
             for at, line in sorted(events, key=lambda one: one[0]):
                 if open_at and ("lost" in line or at > until_at):
                     found.append((open_at, min(until_at, at), name, token))
@@ -185,11 +185,11 @@
 
 
 def overlaps(claims: list[tuple[int, int, str, int]]) -> list[str]:
-    """Moments with two holders, and tokens that did not grow."""
-    told = []
+    """Descriptions of overlapping claims, and of tokens that did not grow."""
+    faults = []
     for before, after in itertools.pairwise(claims):
         if before[2] != after[2] and after[0] < before[1]:
-            told.append(f"{after[2]} began {(before[1] - after[0]) / 1e6:.3f} ms before {before[2]} ended")
+            faults.append(f"{after[2]} began {(before[1] - after[0]) / 1e6:.3f} ms before {before[2]} ended")
         if after[3] <= before[3]:
-            told.append(f"{after[2]} had token {after[3]} after {before[3]}")
-    return told
+            faults.append(f"{after[2]} had token {after[3]} after {before[3]}")
+    return faults
--- a/tests/balancing/test_pick.py
+++ b/tests/balancing/test_pick.py
@@ -5,11 +5,11 @@
 import math
 from collections import Counter
 from collections.abc import Iterable
+from typing import Any
 
 import pytest
 
 from lockspoke.balancing.actions import SendAttempt, WatchEndpointList
-from lockspoke.balancing.balancer import FULL_PAUSE
 from lockspoke.balancing.breaker import BreakerState
 from lockspoke.balancing.events import (
     EndpointListEntry,
@@ -18,6 +18,7 @@
     Outcome,
     RequestArrived,
 )
+from lockspoke.balancing.overload_backoff import OVERLOAD_BACKOFF
 from lockspoke.balancing.settings import Tenant
 from tests.balancing.helpers import MS, SECOND, Call, World, ready, settings
 
@@ -27,7 +28,7 @@
 
 def test_work_follows_listed_size() -> None:
     world = World(replicas=())
-    world.list(EndpointListKind.FULL, ready(1, 2, weight=1.0) + ready(3, 4, weight=3.0))
+    world.update_endpoint_list(EndpointListKind.FULL, ready(1, 2, weight=1.0) + ready(3, 4, weight=3.0))
     sent = Counter(replica for n in range(200) for replica in world.sent_to(world.arrive(n)))
     assert 2.2 < (sent[3] + sent[4]) / (sent[1] + sent[2]) < 3.8
 
@@ -99,7 +100,7 @@
                 world.arrive(number, prefix=100 + (gateway + number) % 25, prefix_tokens=3000.0)
                 world.first_token(number)
                 world.end(number, Outcome.OK)
-            turn: dict[str, float] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
+            turn: dict[str, Any] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
             turns.update(world.sent_to(world.arrive(999, prompt_tokens=9000.0 + 1000.0 * gateway, **turn)))
         together += turns.most_common(1)[0][1]
     assert together >= 0.7 * 10 * 12
@@ -109,7 +110,7 @@
     sent: Counter[int] = Counter()
     for session in range(1, 201):
         world = World(settings(gateway_count=200), replicas=range(1, 92), seed=session)
-        turn: dict[str, float] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
+        turn: dict[str, Any] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
         sent.update(world.sent_to(world.arrive(1, prompt_tokens=9000.0, **turn)))
     assert len(sent) >= 8 and max(sent.values()) <= 60
 
@@ -120,8 +121,8 @@
     for session in range(1, 201):
         world = World(settings(gateway_count=200, cross_zone_cost=0.08, zone=0), replicas=(), seed=session)
         entries = tuple(EndpointListEntry(number, zone=number % 3) for number in range(1, 91))
-        world.list(EndpointListKind.FULL, entries)
-        turn: dict[str, float] = {"session": session, "prefix": 1000 + session, "prefix_tokens": 9000.0}
+        world.update_endpoint_list(EndpointListKind.FULL, entries)
+        turn: dict[str, Any] = {"session": session, "prefix": 1000 + session, "prefix_tokens": 9000.0}
         near += world.sent_to(world.arrive(1, prompt_tokens=15_000.0, **turn))[0] % 3 == 0
     assert near >= 145
 
@@ -140,7 +141,9 @@
     sent: Counter[int] = Counter()
     for seed in range(80):
         world = World(replicas=(), seed=seed)
-        world.list(EndpointListKind.FULL, ready(1, 2, 3, 4, weight=0.25) + ready(5, weight=3.0))
+        world.update_endpoint_list(
+            EndpointListKind.FULL, ready(1, 2, 3, 4, weight=0.25) + ready(5, weight=3.0)
+        )
         sent.update(world.sent_to(world.arrive(1)))
     assert sent[5] >= 45 and sent.total() - sent[5] >= 5
 
@@ -152,7 +155,9 @@
         for seed in range(20):
             given = settings(cross_zone_cost=0.08, zone=0, gateway_count=gateways)
             world = World(given, replicas=(), seed=seed)
-            world.list(EndpointListKind.FULL, ready(1, 2, 3, 4, zone=1) + ready(5, 6, 7, 8, zone=0))
+            world.update_endpoint_list(
+                EndpointListKind.FULL, ready(1, 2, 3, 4, zone=1) + ready(5, 6, 7, 8, zone=0)
+            )
             sent = [replica for n in range(24) for replica in world.sent_to(world.arrive(n))]
             crossed[gateways] += sum(replica < 5 for replica in sent)
     assert 2 * crossed[1] < crossed[16]
@@ -161,7 +166,7 @@
 def test_a_small_replica_is_not_left_idle_beside_a_loaded_large_one() -> None:
     """Reading and crossing divided by the size kept small replicas empty while large ones jammed."""
     world = World(settings(gateway_count=4), replicas=())
-    world.list(EndpointListKind.FULL, ready(1, weight=4.0) + ready(2, 3, 4))
+    world.update_endpoint_list(EndpointListKind.FULL, ready(1, weight=4.0) + ready(2, 3, 4))
     sent = Counter(replica for n in range(28) for replica in world.sent_to(world.arrive(n)))
     assert min(sent[2], sent[3], sent[4]) >= 2
 
@@ -170,7 +175,7 @@
     world = World(replicas=(1, 2))
     home = world.sent_to(world.arrive(1, session=5))[0]
     assert world.balancer.replicas[home].cached
-    world.list(EndpointListKind.DELTA, ready(home, started_at=world.now))
+    world.update_endpoint_list(EndpointListKind.DELTA, ready(home, started_at=world.now))
     assert not world.balancer.replicas[home].cached
 
 
@@ -179,7 +184,9 @@
     stayed = 0
     for seed in range(100):
         world = World(settings(cross_zone_cost=0.08, zone=0), replicas=(), seed=seed)
-        world.list(EndpointListKind.FULL, ready(1, 2, zone=1) + ready(3, 4, zone=0, weight=near))
+        world.update_endpoint_list(
+            EndpointListKind.FULL, ready(1, 2, zone=1) + ready(3, 4, zone=0, weight=near)
+        )
         stayed += world.sent_to(world.arrive(1))[0] >= 3
     return stayed / 100
 
@@ -204,7 +211,7 @@
     """A jam outlasts its cause when everything is sent on: held back, requests are served in time."""
     world = World(replicas=(1, 2))
     jammed(world)
-    assert all(r.in_flight >= r.limit for r in world.balancer.replicas.values())
+    assert all(r.concurrency.in_flight >= r.concurrency.limit for r in world.balancer.replicas.values())
     for number in (101, 102, 103):
         assert not world.sent_to(world.arrive(number))
         world.pass_time(10 * MS)
@@ -273,7 +280,7 @@
     replica = world.balancer.replicas[1]
     for number in range(1, 41):
         world.end(number, Outcome.OK)
-    before, fed = replica.limit, 0
+    before, fed = replica.concurrency.limit, 0
     for number in range(200, 300):
         world.arrive(number)
         world.pass_time(MS)
@@ -281,10 +288,10 @@
         for request, attempt in fresh:
             world.first_token(request, attempt)
             fed += 1
-        if len(world.out()) >= int(replica.limit):
+        if len(world.out()) >= int(replica.concurrency.limit):
             world.end(world.out()[0][0], Outcome.OK)
     assert fed > 40
-    assert replica.limit >= before + 5
+    assert replica.concurrency.limit >= before + 5
 
 
 def test_a_full_replica_rests_and_what_waits_is_taken_up_by_time_alone() -> None:
@@ -292,7 +299,7 @@
     world = World(replicas=(1,))
     world.arrive(1)
     assert not world.sent_to(world.end(1, Outcome.OVERLOADED))
-    world.pass_time(FULL_PAUSE + MS)
+    world.pass_time(OVERLOAD_BACKOFF + MS)
     assert len(world.calls[1].attempts) == 2
 
 
@@ -334,7 +341,7 @@
 def test_the_list_is_asked_for_at_the_start_and_not_again_once_it_has_come() -> None:
     world = World(settings(polls_endpoint_list=True))
     assert WatchEndpointList(True) in world.log
-    world.list(EndpointListKind.FULL, ready(1, 2))
+    world.update_endpoint_list(EndpointListKind.FULL, ready(1, 2))
     world.log.clear()
     world.pass_time(60 * SECOND)
     assert WatchEndpointList(True) not in world.log
@@ -348,7 +355,7 @@
     world = World(settings(polls_endpoint_list=True, gateway_count=gateways))
     for _ in range(8):
         world.log.clear()
-        world.list(EndpointListKind.FAILED, ())
+        world.update_endpoint_list(EndpointListKind.FAILED, ())
         assert 500 * MS <= until_it_asks(world) <= SECOND
 
 
@@ -377,7 +384,7 @@
         world = World(settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index)
         world.pass_time(5 * SECOND)
         world.log.clear()
-        world.list(EndpointListKind.FAILED, ())
+        world.update_endpoint_list(EndpointListKind.FAILED, ())
         again.append(until_it_asks(world))
     assert max(sum(when <= other < when + SECOND for other in again) for when in again) <= 24
     assert max(again) <= 5 * SECOND
@@ -397,7 +404,7 @@
         world.pass_time(5 * SECOND)
         for _ in range(8):
             world.log.clear()
-            world.list(EndpointListKind.FAILED, ())
+            world.update_endpoint_list(EndpointListKind.FAILED, ())
             assert until_it_asks(world) <= 6 * SECOND - CONNECT_AND_ANSWER
 
 
@@ -420,7 +427,7 @@
     world = World(replicas=(1, 2, 3))
     for number in range(1, 6001):
         if number % 20 == 0:
-            world.list(
+            world.update_endpoint_list(
                 EndpointListKind.FULL,
                 ready(1, 2, 3, 1000 + number, started_at=world.now if number % 40 else 0),
             )
@@ -431,9 +438,9 @@
         world.pass_time(50 * MS)
         del world.calls[number]
     balancer = world.balancer
-    assert len(balancer.replicas) <= 20 and not balancer.requests and not balancer.waiting
-    assert len(balancer.due) <= 200
-    assert all(len(r.cached) <= 2048 and len(r.cold_sends) <= 100 for r in balancer.replicas.values())
+    assert len(balancer.replicas) <= 20 and not balancer.requests and not balancer.queue.waiting
+    assert len(balancer.deadlines) <= 200
+    assert all(len(r.cached) <= 2048 and len(r.slow_start.sends) <= 100 for r in balancer.replicas.values())
 
 
 def test_a_freed_place_goes_to_a_waiting_request_whose_prompt_is_kept_there() -> None:
@@ -460,10 +467,10 @@
     for gateways in (1, 4):
         world = World(settings(gateway_count=gateways), replicas=(1,))
         replica = world.balancer.replicas[1]
-        replica.limit = 1.0
+        replica.concurrency.limit = 1.0
         world.arrive(1)
         world.first_token(1)
-        risen[gateways] = replica.limit - 1.0
+        risen[gateways] = replica.concurrency.limit - 1.0
     assert risen[1] > 3 * risen[4] > 0
 
 
@@ -485,7 +492,7 @@
     """A limit of one a replica never binds there, and a shared jam went on until the record's end."""
     world = shared_jam(late=range(1, 21))
     sent = [len(world.sent_to(world.arrive(number))) for number in range(101, 121)]
-    most = math.ceil(world.balancer.fleet.limit)
+    most = math.ceil(world.balancer.limits.gateway.limit)
     assert most < 20 and sent == [1] * most + [0] * (20 - most), "so many may wait for a first token"
 
 
@@ -545,7 +552,7 @@
         if world.calls[number].attempts[-1][0] == 1:
             world.end(number, Outcome.OVERLOADED)
         world.pass_time(MS)
-    assert world.balancer.fleet.limit == math.inf
+    assert world.balancer.limits.gateway.limit == math.inf
 
 
 def test_a_prompt_that_must_be_read_may_take_twice_as_long_before_it_counts_as_late() -> None:
@@ -558,5 +565,5 @@
         world.arrive(1, session=5)
         world.pass_time(300 * MS)
         world.first_token(1)
-        limits.append(world.balancer.replicas[1].limit)
+        limits.append(world.balancer.replicas[1].concurrency.limit)
     assert limits == [math.inf, 1.0]
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -10,24 +10,25 @@
 import json
 import re
 import zlib
-from collections.abc import Callable
+from collections.abc import Callable, Mapping, MutableMapping
 from pathlib import Path
 from typing import Any
 from unittest import mock
 
 from structlog.testing import capture_logs
 
-from lockspoke.address.listening import Announcer
+from lockspoke.address.actions import HoldLease, LoseLease
+from lockspoke.address.announcer import Announcer
 from lockspoke.address.member import Member
-from lockspoke.address.record import Record, RecordError
 from lockspoke.address.settings import AddressSettings
-from lockspoke.address.terms import Hold, Lose
+from lockspoke.address.term_record import RecordError, TermRecord
 from lockspoke.cli.main import cli
 from lockspoke.inventory import store as inventory_store
 from lockspoke.inventory.settings import InventorySettings
 from lockspoke.inventory.source import InventorySource
 from lockspoke.lifecycle.bans_file import read_bans, write_bans
 
+from .log_names import event_now
 from .support import Tree, read_tree, write_tree
 
 BANNED = ["w-17", "lis-1/w 2", "wörker-é", "w-03"]
@@ -96,7 +97,13 @@
 def _ban_case(name: str, path: Path) -> dict[str, Any]:
     with capture_logs() as logs:
         bans = read_bans(path)
-    return {"case": name, "bans": bans, "log": logs}
+    return {"case": name, "bans": bans, "log": [_as_recorded(line) for line in logs]}
+
+
+def _as_recorded(line: MutableMapping[str, Any]) -> dict[str, Any]:
+    """A log line with its event's name at the recording."""
+    recorded = {event_now(event): event for event in ("bans_not_kept", "bans_not_read")}
+    return {**line, "event": recorded[line["event"]]}
 
 
 # Address record and trace
@@ -124,12 +131,12 @@
     member = _member(generation)
     begun = member.node.election.term
     member.node.election.term = term
-    member.keep_record()
+    member.save_record()
     async with asyncio.timeout(PATIENCE):
-        while member.record is not None and member.record.wants(term, generation):
+        while member.record is not None and member.record.needs_write(term, generation):
             await asyncio.sleep(0.001)
-    member._told(Hold(term, 1_500_000_000), 1_100_000_000)
-    member._told(Lose("its lease ran out"), 1_600_000_000)
+    member._trace_lease_change(HoldLease(term, 1_500_000_000), 1_100_000_000)
+    member._trace_lease_change(LoseLease("its lease ran out"), 1_600_000_000)
     member.stop()
     return begun
 
@@ -171,14 +178,25 @@
 
 def _record_case(case: str, name: str, generation: int) -> dict[str, Any]:
     try:
-        record = Record(Path(RECORDS), name, generation)
+        record = TermRecord(Path(RECORDS), name, generation)
     except RecordError as error:
         return {"case": case, "refused": str(error)}
-    return {"case": case, "term": record.term, "generation": record.generation, "failing": record.failing}
+    return {"case": case, "term": record.term, "generation": record.generation, "failing": record.write_error}
 
 
 # Kept inventory
 
+# Events and fields of the log as the recorded files name them, by their names now.
+RECORDED_EVENTS = {
+    "inventory_cache_loaded": "inventory_kept_used",
+    "inventory_cache_unusable": "inventory_kept_unusable",
+}
+RECORDED_FIELDS = {
+    "inventory_cache_loaded": {"replicas": "workers"},
+    "inventory_decision": {"action": "act"},
+    "inventory_read": {"replicas": "workers", "resolved": "mended", "duration_ms": "took_ms"},
+}
+
 _VARYING = (("took_ms", rb"[0-9.]+"), ("pid", rb"[0-9]+"))  # members of the status that no run repeats
 
 
@@ -196,20 +214,32 @@
         source.initial_list()
         source.close()
     status = source.status()
-    log = [{key: 0 if key == "took_ms" else value for key, value in line.items()} for line in logs]
+    log = [
+        {key: 0 if key == "took_ms" else value for key, value in _recorded_line(line).items()}
+        for line in logs
+    ]
     return {"status": status | {"took_ms": 0, "pid": 0}, "log": log}
 
 
+def _recorded_line(line: Mapping[str, Any]) -> dict[str, Any]:
+    """A line of the log with the names that it had at the recording, its fields in the same order."""
+    event = line["event"]
+    fields = RECORDED_FIELDS.get(event, {})
+    assert not fields.values() & line.keys(), "a field has its recorded name still"
+    renamed = {fields.get(key, key): value for key, value in line.items()}
+    return renamed | {"event": RECORDED_EVENTS.get(event, event)}
+
+
 def _kept_files(folder: Path) -> Tree:
     tree = read_tree(folder / KEPT)
-    for name, data in tree.items():
-        if name.endswith(".json"):
-            normalised = data
-            for member, pattern in _VARYING:
-                key = member.encode()
-                normalised = re.sub(rb'"%b": %b' % (key, pattern), b'"%b": 0' % key, normalised)
-            tree[name] = normalised
-    return tree
+    return {name: _normalised(data) if name.endswith(".json") else data for name, data in tree.items()}
+
+
+def _normalised(data: bytes) -> bytes:
+    """A status document with 0 for the members that differ between runs."""
+    for member, pattern in _VARYING:
+        data = re.sub(rb'"%b": %b' % (member.encode(), pattern), b'"%b": 0' % member.encode(), data)
+    return data
 
 
 def write_kept_inventory(folder: Path) -> Tree:
@@ -242,14 +272,14 @@
 def _kept_case() -> Any:
     try:
         kept = inventory_store.load(Path(KEPT))
-    except inventory_store.KeptError as error:
+    except inventory_store.CachedListError as error:
         return f"refused: {error}"
     assert kept is not None
     return {
-        "fingerprint": kept[1],
+        "fingerprint": kept.fingerprint,
         "hosts": [
-            one.record.as_json() | {"files": one.files, "boot_ms": one.boot_ms, "held": one.held}
-            for one in kept[0]
+            one.record.as_json() | {"files": one.files, "boot_ms": one.boot_ms, "held": one.hold_reason}
+            for one in kept.replicas
         ],
     }
 
--- /dev/null
+++ b/tests/lifecycle/test_reload.py
@@ -0,0 +1,105 @@
+"""Reloads of the configuration on SIGHUP."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import signal
+import tempfile
+from pathlib import Path
+from typing import Any
+
+from tests.standins import WAIT_TIMEOUT, Client, FakeDiscovery, FakeReplica, Program, request_bytes, until
+
+from .support import run
+
+
+@run
+async def test_sighup_changes_to_another_discovery_and_an_invalid_file_changes_nothing() -> None:
+    """The address in the file takes precedence over the one in the environment, which is older."""
+    async with (
+        FakeReplica() as old,
+        FakeReplica() as new,
+        FakeDiscovery() as first,
+        FakeDiscovery() as second,
+    ):
+        first.change(old)
+        second.change(new)
+        async with Program(old, discovery=first) as program, Client(program.port) as client:
+            assert (await client.request(request_bytes(1)))[0] == 200
+            for bad in ("{", '{"settings": {"profiles": 5}}', '{"limits": {"sockets": "x"}}'):
+                program.raw_logs.clear()
+                program.reload(bad)
+                await until(lambda: "reload_rejected" in "".join(program.raw_logs))
+                assert len(program.raw_logs) == 1  # one line for any fault
+            address = f"127.0.0.1:{second.port}"
+            moved: dict[str, Any] = {"discovery": address, "limits": {"memory_mb": 64, "sockets": 300}}
+            program.reload(**moved)
+            program.reload(**moved)  # twice at once
+            await until(lambda: program.log("reloaded", discovery_moved=True) is not None)
+            await until(lambda: any("from=" in request.head.query for request in second.seen))
+            assert "from=" not in second.seen[0].head.query  # each service has its own versions
+            assert (await client.request(request_bytes(2)))[0] == 200  # the connection survived the reload
+            assert (len(old.seen), len(new.seen)) == (1, 1)
+            program.reload(discovery=f"127.0.0.1:{first.port}")
+            assert await program.terminate() == 0
+
+
+BLOCKING_CTYPES = """
+import os, sys
+open(os.environ["GATE"]).close()  # blocks until the test has sent its signal
+sys.path.remove(os.path.dirname(__file__))
+del sys.modules["ctypes"]
+import ctypes
+"""
+
+
+async def open_writer(fifo: Path) -> Any:
+    """Open the other end of a pipe; returns once the program reads from it."""
+    return await asyncio.wait_for(asyncio.to_thread(fifo.open, "w"), WAIT_TIMEOUT)
+
+
+@run
+async def test_sighup_while_the_program_is_loading_does_not_end_it() -> None:
+    with tempfile.TemporaryDirectory() as folder:
+        gate = Path(folder, "gate")
+        os.mkfifo(gate)
+        Path(folder, "ctypes.py").write_text(
+            BLOCKING_CTYPES
+        )  # found before the library's, in the middle of the imports
+        program = Program(env={"PYTHONPATH": folder, "GATE": str(gate)})
+        starting = asyncio.ensure_future(program.__aenter__())
+        try:
+            end = await open_writer(gate)
+            program.process.send_signal(signal.SIGHUP)
+            end.close()
+            await starting
+            await until(lambda: program.log("reloaded") is not None)
+        finally:
+            await program.__aexit__()
+
+
+@run
+async def test_sighup_between_reading_the_file_and_the_event_loop_is_not_lost() -> None:
+    """Else the program would use the old file: after a move of discovery it would miss each drain."""
+    async with FakeReplica() as replica, FakeDiscovery() as moved:
+        moved.change(replica)
+        program = Program(replica)
+        program.fifo = True
+        before = signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as in the platform's command
+        starting = asyncio.ensure_future(program.__aenter__())
+        await until(lambda: hasattr(program, "process"))
+        signal.signal(signal.SIGHUP, before)
+        try:
+            end = await open_writer(program.config)
+            end.write(json.dumps(program.raw_config))
+            newer = program.config.with_name("newer.json")
+            newer.write_text(json.dumps(program.raw_config | {"discovery": f"127.0.0.1:{moved.port}"}))
+            newer.replace(program.config)
+            program.process.send_signal(signal.SIGHUP)
+            end.close()  # only now has the program read the older file
+            await starting
+            await until(lambda: program.log("reloaded", discovery_moved=True) is not None)
+        finally:
+            await program.__aexit__()
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,7 +1,7 @@
-"""Peers whose every byte, half-close, reset and silence the test commands, and a gateway in this process.
+"""Connections whose every byte, half-close and reset the test controls, and a gateway in this process.
 
-What a peer does is in the kernel at once, and the gateway's loop hears of it only when the test awaits: so a
-test puts two events into the order that it wants, every time.
+What a peer does is in the kernel at once, and the gateway's loop notices it only when the test awaits, so a
+test determines the order of two events.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import contextlib
 import socket
 import struct
+import time
 from typing import Any
 
 from lockspoke.balancing.events import ReplicaState
@@ -22,14 +23,19 @@
 from lockspoke.wire.clients.front import ClientFront
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from tests.balancing.helpers import settings
-from tests.standins import PATIENCE
+from tests.standins import WAIT_TIMEOUT
 
 MS = 1_000_000
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
 
 
-class Line:
-    """One connection, in the test's hands."""
+def block_event_loop(seconds: float) -> None:
+    """Keep the loop busy: it reads nothing and runs no timer meanwhile."""
+    time.sleep(seconds)
+
+
+class RawConnection:
+    """One connection, controlled by the test."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -45,89 +51,93 @@
         self.sock.close()
 
     def reset(self) -> None:
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.sock.close()
 
-    async def more(self) -> bytes:
-        """The next bytes; none at the end."""
-        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), PATIENCE)
+    async def read_some(self) -> bytes:
+        """The next bytes; empty at the end."""
+        return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), WAIT_TIMEOUT)
 
-    async def read(self, mark: bytes) -> bytes:
-        """All that comes, up to a mark."""
+    async def read_until(self, marker: bytes) -> bytes:
+        """All bytes up to a marker."""
         got = b""
-        while mark not in got:
-            data = await self.more()
+        while marker not in got:
+            data = await self.read_some()
             assert data, got
             got += data
         return got
 
-    async def rest(self) -> bytes:
-        """All that comes, up to an end that is in order."""
+    async def read_to_end(self) -> bytes:
+        """All bytes up to a clean end."""
         got = b""
-        while data := await self.more():
+        while data := await self.read_some():
             got += data
         return got
 
 
-class Peer:
-    """A port where the test is the worker, or discovery; full, connections to it don't come up for now."""
+class ScriptedServer:
+    """A port where the test is a replica or discovery; with a full backlog, connections to it hang."""
 
-    def __init__(self, full: bool = False) -> None:
-        self.sock = socket.create_server(("127.0.0.1", 0), backlog=0 if full else 16)
+    def __init__(self, backlog_full: bool = False) -> None:
+        self.sock = socket.create_server(("127.0.0.1", 0), backlog=0 if backlog_full else 16)
         self.sock.setblocking(False)
         self.endpoint: tuple[str, int] = self.sock.getsockname()
-        self.plugs = [self._plug() for _ in range(full)]
-
-    def _plug(self) -> socket.socket:
-        """A backlog of none holds one: what comes after it is asked to come again, a second later."""
-        plug = socket.create_connection(self.endpoint)
-        plug.setblocking(False)
-        return plug
-
-    async def let_in(self) -> Line:
-        """Take the connection that fills the backlog, so that the next comes up."""
-        for plug in self.plugs:
-            plug.close()
+        self.backlog_fillers = [self._fill_backlog() for _ in range(backlog_full)]
+
+    def _fill_backlog(self) -> socket.socket:
+        """A backlog of 0 holds one connection; the handshake of the next is retried after a second."""
+        filler = socket.create_connection(self.endpoint)
+        filler.setblocking(False)
+        return filler
+
+    async def free_backlog_and_accept(self) -> RawConnection:
+        """Accept the connections that fill the backlog, so that the next is established."""
+        for filler in self.backlog_fillers:
+            filler.close()
             (await self.accept()).close()
         return await self.accept()
 
-    async def accept(self) -> Line:
-        taken = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.sock), PATIENCE)
-        return Line(taken[0])
+    async def accept(self) -> RawConnection:
+        accepted, _ = await asyncio.wait_for(asyncio.get_running_loop().sock_accept(self.sock), WAIT_TIMEOUT)
+        return RawConnection(accepted)
 
 
 class Gateway:
-    """The parts that carry calls, joined as the program joins them."""
+    """The parts that carry requests, connected as the program connects them."""
 
     def __init__(
-        self, *workers: Peer, connect: int = 20_000, discovery: Discovery | None = None, **changes: Any
+        self,
+        *replicas: ScriptedServer,
+        connect_timeout_ms: int = 20_000,
+        discovery: Discovery | None = None,
+        **changes: Any,
     ) -> None:
-        timers = EventLoopClock()
+        clock = EventLoopClock()
         self.replica_set = ReplicaSet(Identifiers(), ["z"])
-        self.transport = ReplicaTransport((), connect * MS, 60_000 * MS, 64, timers.now)
-        told: BalancerSettings = settings(**{"classes": (RequestClass(),)} | changes)
-        self.core = Core(told, 7, self.replica_set, timers, self.transport, discovery or self)
+        self.transport = ReplicaTransport((), connect_timeout_ms * MS, 60_000 * MS, 64, clock.now)
+        balancer_settings: BalancerSettings = settings(**{"classes": (RequestClass(),)} | changes)
+        self.core = Core(balancer_settings, 7, self.replica_set, clock, self.transport, discovery or self)
         self.front = ClientFront(self.core, {"docs": 0}, 64, 48_000_000, lambda: True)
-        self.rev = 0
-        self.has_unread_changes = False  # what it tells is in force at once
-        self.tell(
+        self.list_version = 0
+        self.has_unread_changes = False  # its changes are applied at once
+        self.update_replicas(
             *(
-                ListedReplica(f"w{at}", ReplicaState.READY, one.endpoint, "z")
-                for at, one in enumerate(workers)
+                ListedReplica(f"w{index}", ReplicaState.READY, server.endpoint, "z")
+                for index, server in enumerate(replicas)
             )
         )
 
-    def tell(self, *entries: ListedReplica) -> None:
-        """What discovery has to say; the whole list at first."""
-        self.rev += 1
-        self.core.endpoint_list_changed(ReplicaListUpdate(self.rev, self.rev == 1, entries))
+    def update_replicas(self, *entries: ListedReplica) -> None:
+        """Apply a change of the endpoint list; the complete list at first."""
+        self.list_version += 1
+        self.core.endpoint_list_changed(ReplicaListUpdate(self.list_version, self.list_version == 1, entries))
 
-    def tell_of(self, *workers: Peer) -> None:
-        """Discovery has found more replicas."""
-        self.tell(
+    def add_replicas(self, *replicas: ScriptedServer) -> None:
+        """Add replicas to the endpoint list."""
+        self.update_replicas(
             *(
-                ListedReplica(f"more{at}", ReplicaState.READY, one.endpoint, "z")
-                for at, one in enumerate(workers)
+                ListedReplica(f"more{index}", ReplicaState.READY, server.endpoint, "z")
+                for index, server in enumerate(replicas)
             )
         )
 
@@ -145,11 +155,11 @@
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.sleep(0)
 
-    async def client(self, **options: int) -> Line:
+    async def connect_client(self, **options: int) -> RawConnection:
         """A client's connection; its receive buffer may be small."""
         sock = socket.socket()
         for name, value in options.items():
             sock.setsockopt(socket.SOL_SOCKET, getattr(socket, name), value)
         sock.setblocking(False)
         await asyncio.get_running_loop().sock_connect(sock, self.endpoint)
-        return Line(sock)
+        return RawConnection(sock)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds the program: workers, discovery, and a way to start it and speak to it."""
+"""Fakes of what surrounds the program, replicas and discovery, and helpers to start it and send requests."""
 
 from __future__ import annotations
 
@@ -10,21 +10,16 @@
 import tempfile
 from collections.abc import Awaitable, Callable
 from pathlib import Path
-from typing import Any
-
-from lockspoke.wire.http.http1 import (
-    BodyChunk,
-    Request,
-    RequestAssembler,
-    ResponseHead,
-    ResponseParser,
-    encode_request,
-)
+from typing import Any, Self
+
+from lockspoke.wire.http.encoding import encode_request
+from lockspoke.wire.http.messages import BodyChunk, Request, ResponseHead
+from lockspoke.wire.http.request_assembler import RequestAssembler
+from lockspoke.wire.http.response_parser import ResponseParser
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = float(
-    os.environ.get("PATIENCE", "30")
-)  # seconds a condition may take on a busy machine before a test fails
+# Seconds that a condition may take on a busy machine before a test fails.
+WAIT_TIMEOUT = float(os.environ.get("PATIENCE", "30"))
 SECOND = 1_000_000_000
 SETTINGS: dict[str, Any] = {
     "contract": {
@@ -52,12 +47,12 @@
     b'data: {"choices":[{"index":0,"delta":{"content":"%s"},"finish_reason":null}]}\n\n' % word
     for word in (b"one ", b"two")
 ]
-TAIL = (
+STREAM_TAIL = (
     b'data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}\n\n'
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2,"total_tokens":11}}\n\n'
     b"data: [DONE]\n\n"
 )
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def chunk(data: bytes) -> bytes:
@@ -65,21 +60,21 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; one that never comes true fails the test."""
-    async with asyncio.timeout(PATIENCE):
+    """Wait for a condition; the test fails if it does not become true in time."""
+    async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 class Server:
-    """Answers whole requests at a port that the kernel picks."""
+    """Answers complete requests at a port that the kernel chooses."""
 
     def __init__(self) -> None:
         self.port = self.closed = 0
         self.seen: list[Request] = []
         self.writers: list[asyncio.StreamWriter] = []
 
-    async def __aenter__(self) -> Any:
+    async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=512)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -91,10 +86,10 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
-        gatherer = RequestAssembler()
+        assembler = RequestAssembler()
         try:
             while data := await reader.read(65536):
-                for request in gatherer.feed(data):
+                for request in assembler.feed(data):
                     self.seen.append(request)
                     await self.answer(request, writer)
         except ConnectionError:
@@ -110,8 +105,8 @@
 Script = Callable[[asyncio.StreamWriter], Awaitable[None]]
 
 
-class FakeWorker(Server):
-    """Streams the same answer to everyone, or does what its script says."""
+class FakeReplica(Server):
+    """Streams the same response to every request, or runs its script."""
 
     def __init__(self, script: Script | None = None, pause: float = 0.0) -> None:
         super().__init__()
@@ -122,23 +117,23 @@
         if self.script is not None:
             return await self.script(writer)
         await asyncio.sleep(self.pause)
-        writer.write(HEAD + b"".join(map(chunk, [*EVENTS, TAIL])) + chunk(b""))
+        writer.write(STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b""))
         await writer.drain()
         return None
 
 
 class FakeDiscovery(Server):
-    """Gives the list; a watch waits until it is changed."""
+    """Responds with the endpoint list; a watch waits until the list changes."""
 
     def __init__(self) -> None:
         super().__init__()
         self.rev = 1
         self.targets: list[dict[str, Any]] = []
         self.changed = asyncio.Event()
-        self.raw: bytes | None = None  # sent in place of the list, once
+        self.raw: bytes | None = None  # sent once instead of the list
 
-    def change(self, *workers: FakeWorker, state: str = "up") -> None:
-        self.targets = [target(worker, state) for worker in workers]
+    def change(self, *replicas: FakeReplica, state: str = "up") -> None:
+        self.targets = [target(worker, state) for worker in replicas]
         self.rev += 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -156,17 +151,17 @@
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
 
-def target(worker: FakeWorker, state: str = "up") -> dict[str, Any]:
-    endpoint = f"127.0.0.1:{worker.port}"
-    return {"uid": f"s-{worker.port}", "endpoint": endpoint, "az": "lis-1", "state": state, "boot_ms": 0}
+def target(replica: FakeReplica, state: str = "up") -> dict[str, Any]:
+    endpoint = f"127.0.0.1:{replica.port}"
+    return {"uid": f"s-{replica.port}", "endpoint": endpoint, "az": "lis-1", "state": state, "boot_ms": 0}
 
 
 class Program:
-    """The program itself, in a process of its own."""
+    """The program, in its own process."""
 
     def __init__(
         self,
-        *workers: FakeWorker,
+        *replicas: FakeReplica,
         discovery: FakeDiscovery | None = None,
         options: Any = (),
         sockets: int = 1024,
@@ -180,12 +175,12 @@
         self.operator = operator
         self.env = env or {}
         self.keepalive = keepalive
-        self.known = {"rev": 1, "all": True, "targets": [target(worker) for worker in workers]}
+        self.known = {"rev": 1, "all": True, "targets": [target(worker) for worker in replicas]}
         self.discovery = discovery.port if discovery is not None else 1
         self.options = options
-        self.fifo = False  # the configuration is a pipe: the test writes it as the program reads
+        self.fifo = False  # whether the configuration is a named pipe that the test writes
         self.logs: list[dict[str, Any]] = []
-        self.raw: list[str] = []
+        self.raw_logs: list[str] = []
 
     async def __aenter__(self) -> Program:
         self.folder = tempfile.TemporaryDirectory()
@@ -218,7 +213,7 @@
         )
         self.reading = asyncio.ensure_future(self._read_logs())
         await until(lambda: self.log("listening") is not None or self.process.returncode is not None)
-        assert self.process.returncode is None, self.raw
+        assert self.process.returncode is None, self.raw_logs
         self.port = self.log("listening")["port"]  # type: ignore[index]
         return self
 
@@ -232,26 +227,26 @@
     async def _read_logs(self) -> None:
         assert self.process.stderr is not None
         async for line in self.process.stderr:
-            self.raw.append(line.decode())
+            self.raw_logs.append(line.decode())
             if line.startswith(b"{"):
                 self.logs.append(json.loads(line))
 
     def log(self, event: str, **fields: Any) -> dict[str, Any] | None:
-        """The first log line of an event that holds these fields."""
+        """The first log line of an event with these fields."""
         for line in self.logs:
             if line["event"] == event and fields.items() <= line.items():
                 return line
         return None
 
     def reload(self, raw: str | None = None, **changes: Any) -> None:
-        """Put another file in the place of the configuration and say so."""
+        """Replace the configuration file and make the program reload it."""
         self.raw_config |= changes
         self.config.write_text(json.dumps(self.raw_config) if raw is None else raw)
         self.process.send_signal(signal.SIGHUP)
 
     async def terminate(self) -> int:
         self.process.terminate()
-        return await asyncio.wait_for(self.process.wait(), PATIENCE)
+        return await asyncio.wait_for(self.process.wait(), WAIT_TIMEOUT)
 
 
 class Client:
@@ -267,12 +262,12 @@
     async def __aexit__(self, *_: object) -> None:
         self.writer.close()
 
-    async def ask(self, raw: bytes) -> tuple[int, dict[str, str], bytes, bool]:
-        """Status, fields, body, and whether the answer is whole."""
+    async def request(self, raw: bytes) -> tuple[int, dict[str, str], bytes, bool]:
+        """Status, headers, body, and whether the response is complete."""
         self.writer.write(raw)
-        return await asyncio.wait_for(self.answer(), PATIENCE)
+        return await asyncio.wait_for(self.read_response(), WAIT_TIMEOUT)
 
-    async def answer(self) -> tuple[int, dict[str, str], bytes, bool]:
+    async def read_response(self) -> tuple[int, dict[str, str], bytes, bool]:
         parser, head, body = ResponseParser(), None, b""
         while True:
             try:
@@ -290,7 +285,7 @@
                 return (head.status if head else 0), dict(head.headers.fields) if head else {}, body, False
 
 
-def call_bytes(
+def request_bytes(
     number: int, deadline: int = 4000, kind: str = "docs", body: bytes = b"{}", **more: str
 ) -> bytes:
     headers = {"Host": "origin.svc", "Req-Id": f"{number:016x}", "Req-Kind": kind}
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The time left that a replica is told is never more than its client has, from the request's last byte on."""
+"""The deadline that a replica receives never exceeds the time that its client still waits."""
 
 from __future__ import annotations
 
@@ -8,101 +8,103 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from lockspoke.lifecycle.event_loop import PolledLoop
-from tests.peers import Gateway, Line, Peer
-from tests.standins import EVENTS, HEAD, call_bytes, chunk, until
+from lockspoke.lifecycle.event_loop import ArrivalTrackingLoop
+from tests.peers import Gateway, RawConnection, ScriptedServer, block_event_loop
+from tests.standins import EVENTS, STREAM_HEAD, chunk, request_bytes, until
 
 DEADLINE_MS = 4000
-SLACK_MS = 150  # the operators' figure
-HELD = 0.4  # seconds
+TOLERANCE_MS = 150  # required
+BUSY_TIME = 0.4  # seconds for which the loop is busy
 
 
-def play(test: Callable[[Gateway, Peer], Awaitable[None]], full: bool = False, **settings: Any) -> None:
-    async def whole() -> None:
-        peer = Peer(full=full)
+def run_scenario(
+    test: Callable[[Gateway, ScriptedServer], Awaitable[None]], full: bool = False, **settings: Any
+) -> None:
+    async def scenario() -> None:
+        peer = ScriptedServer(backlog_full=full)
         async with Gateway(peer, **settings) as gateway:
             await test(gateway, peer)
 
-    with asyncio.Runner(loop_factory=PolledLoop) as runner:
-        runner.run(whole())
+    with asyncio.Runner(loop_factory=ArrivalTrackingLoop) as runner:
+        runner.run(scenario())
 
 
-async def told_ms(line: Line) -> int:
-    """The time left that a request on a replica's connection tells."""
-    found = re.search(rb"(?i)req-deadline-ms: (\d+)", await line.read(b"{}"))
+async def received_deadline_ms(line: RawConnection) -> int:
+    """The deadline in the request on a replica's connection."""
+    found = re.search(rb"(?i)req-deadline-ms: (\d+)", await line.read_until(b"{}"))
     assert found is not None
     return int(found[1])
 
 
-def left_ms(sent_at: float) -> float:
-    """What the client has left of its deadline, and the slack."""
-    return DEADLINE_MS - (time.monotonic() - sent_at) * 1000 + SLACK_MS
+def remaining_ms(sent_at: float) -> float:
+    """What the client has left of its deadline, plus the tolerance."""
+    return DEADLINE_MS - (time.monotonic() - sent_at) * 1000 + TOLERANCE_MS
 
 
-def test_a_connection_that_comes_up_late_takes_its_time_from_the_deadline() -> None:
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        client = await gateway.client()
+def test_the_time_to_connect_is_taken_from_the_deadline() -> None:
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        client = await gateway.connect_client()
         sent_at = time.monotonic()
-        client.send(call_bytes(1, DEADLINE_MS))
-        await until(lambda: gateway.core.totals.attempts == 1 and time.monotonic() - sent_at > HELD)
-        line = await peer.let_in()
-        assert await told_ms(line) <= left_ms(sent_at)
+        client.send(request_bytes(1, DEADLINE_MS))
+        await until(lambda: gateway.core.totals.attempts == 1 and time.monotonic() - sent_at > BUSY_TIME)
+        line = await peer.free_backlog_and_accept()
+        assert await received_deadline_ms(line) <= remaining_ms(sent_at)
 
-    play(test, full=True)
+    run_scenario(test, full=True)
 
 
-def test_a_further_attempt_is_told_what_is_left_after_the_one_before_it() -> None:
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        second = Peer()
-        gateway.tell_of(second)
-        client = await gateway.client()
+def test_a_retry_gets_the_time_that_remains_after_the_first_attempt() -> None:
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        second = ScriptedServer()
+        gateway.add_replicas(second)
+        client = await gateway.connect_client()
         sent_at = time.monotonic()
-        client.send(call_bytes(1, DEADLINE_MS))
+        client.send(request_bytes(1, DEADLINE_MS))
         accepting = {asyncio.ensure_future(one.accept()) for one in (peer, second)}
         done, accepting = await asyncio.wait(accepting, return_when=asyncio.FIRST_COMPLETED)
         line = done.pop().result()
-        await told_ms(line)
-        await until(lambda: time.monotonic() - sent_at > HELD)
+        await received_deadline_ms(line)
+        await until(lambda: time.monotonic() - sent_at > BUSY_TIME)
         line.send(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-        assert await told_ms(await accepting.pop()) <= left_ms(sent_at)
+        assert await received_deadline_ms(await accepting.pop()) <= remaining_ms(sent_at)
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_request_sent_ahead_has_what_is_left_once_the_one_before_it_is_answered() -> None:
-    """Its time began with its turn: it was told, and waited, longer than its client would."""
+def test_a_pipelined_request_gets_the_time_that_remains_after_the_one_before_it() -> None:
+    """Its deadline began with its turn, so that it had more time than its client."""
 
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        client = await gateway.client()
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        client = await gateway.connect_client()
         sent_at = time.monotonic()
-        client.send(call_bytes(1, DEADLINE_MS) + call_bytes(2, DEADLINE_MS))
+        client.send(request_bytes(1, DEADLINE_MS) + request_bytes(2, DEADLINE_MS))
         line = await peer.accept()
-        await told_ms(line)
-        await until(lambda: time.monotonic() - sent_at > HELD)
-        line.send(HEAD + chunk(EVENTS[0]) + chunk(b""))
+        await received_deadline_ms(line)
+        await until(lambda: time.monotonic() - sent_at > BUSY_TIME)
+        line.send(STREAM_HEAD + chunk(EVENTS[0]) + chunk(b""))
         second = asyncio.ensure_future(peer.accept())
-        assert await told_ms(await second) <= left_ms(sent_at)
+        assert await received_deadline_ms(await second) <= remaining_ms(sent_at)
 
-    play(test)
+    run_scenario(test)
 
 
-def test_the_time_for_which_a_request_lay_unread_while_the_loop_was_held_is_not_told_as_left() -> None:
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        client = await gateway.client()
+def test_the_time_a_request_was_unread_in_a_busy_loop_is_taken_from_the_deadline() -> None:
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        client = await gateway.connect_client()
         await until(lambda: len(gateway.front.listener.connections) == 1)
         sent_at = time.monotonic()
-        client.send(call_bytes(1, DEADLINE_MS))
-        time.sleep(HELD)
-        assert await told_ms(await peer.accept()) <= left_ms(sent_at)
+        client.send(request_bytes(1, DEADLINE_MS))
+        block_event_loop(BUSY_TIME)
+        assert await received_deadline_ms(await peer.accept()) <= remaining_ms(sent_at)
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_loop_that_rests_takes_nothing_from_the_deadline() -> None:
-    async def test(gateway: Gateway, peer: Peer) -> None:
-        client = await gateway.client()
-        await asyncio.sleep(HELD)
-        client.send(call_bytes(1, DEADLINE_MS))
-        assert await told_ms(await peer.accept()) > DEADLINE_MS - HELD * 1000 / 2
+def test_an_idle_loop_takes_nothing_from_the_deadline() -> None:
+    async def test(gateway: Gateway, peer: ScriptedServer) -> None:
+        client = await gateway.connect_client()
+        await asyncio.sleep(BUSY_TIME)
+        client.send(request_bytes(1, DEADLINE_MS))
+        assert await received_deadline_ms(await peer.accept()) > DEADLINE_MS - BUSY_TIME * 1000 / 2
 
-    play(test)
+    run_scenario(test)
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -1,7 +1,7 @@
-"""The rule on drains over real connections: nothing new goes to a replica once its drain has been told.
+"""The drain rule over real connections: no new request is sent to a replica after its drain.
 
-A change is told when discovery has written it, read or not. What discovery, clients and replicas do is in the
-kernel before the gateway's loop hears of it, so each test has its bad order every time.
+A gateway is notified of a change when discovery has written it, read or not. What discovery, clients and
+replicas send is in the kernel before the gateway's loop reads it, so each test gets its order of events.
 """
 
 from __future__ import annotations
@@ -9,7 +9,6 @@
 import asyncio
 import contextlib
 import json
-import time
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -17,69 +16,70 @@
 from structlog.testing import capture_logs
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.wire.clients.front import ClientConnection
-from lockspoke.wire.discovery import connection as discovery_link
-from lockspoke.wire.discovery.connection import GRACE
-from lockspoke.wire.discovery.messages import LIST_LIMIT
-from lockspoke.wire.discovery.watch import NOTHING_NEW_PAUSE, DiscoveryWatch
-from lockspoke.wire.replicas.transport import SETTLE
-from tests.peers import Gateway, Line, Peer
-from tests.standins import EVENTS, HEAD, TAIL, call_bytes, chunk, until
+from lockspoke.wire.clients.connection import ClientConnection
+from lockspoke.wire.discovery import connection as discovery_connection
+from lockspoke.wire.discovery.connection import WATCH_GRACE
+from lockspoke.wire.discovery.follower import UNCHANGED_PAUSE
+from lockspoke.wire.discovery.messages import MAX_LIST_SIZE
+from lockspoke.wire.discovery.watch import DiscoveryWatch
+from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
+from tests.peers import Gateway, RawConnection, ScriptedServer, block_event_loop
+from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk, request_bytes, until
 
 HOLD_MS = 60_000
 SHORT_HOLD_MS = 200
-BUSY = 0.3  # seconds for which the loop is held: longer than the grace of 250 ms
+BUSY_TIME = 0.3  # seconds for which the loop is blocked: longer than the grace period of 250 ms
 
-ANSWER = HEAD + b"".join(map(chunk, [*EVENTS, TAIL])) + chunk(b"")
+RESPONSE = STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b"")
 
 
-def target(uid: str, peer: Peer, state: str = "up") -> dict[str, Any]:
+def entry(uid: str, peer: ScriptedServer, state: str = "up") -> dict[str, Any]:
     host, port = peer.endpoint
     return {"uid": uid, "endpoint": f"{host}:{port}", "az": "z", "state": state, "boot_ms": 0}
 
 
-def answer(rev: int, *targets: Any, whole: bool = False) -> bytes:
-    """An answer of discovery."""
+def list_response(rev: int, *targets: Any, whole: bool = False) -> bytes:
+    """A response of discovery."""
     body = json.dumps({"rev": rev, "all": whole, "targets": targets}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-class Scene:
-    """A gateway, two replicas, and discovery in the test's hands."""
+class DrainScenario:
+    """A gateway, with two replicas and discovery controlled by the test."""
 
-    def __init__(self, hold_ms: int = HOLD_MS, asks: bool = False) -> None:
-        self.first, self.second, self.discovery = Peer(), Peer(), Peer()
+    def __init__(self, hold_ms: int = HOLD_MS, polls: bool = False) -> None:
+        self.first, self.second, self.discovery = ScriptedServer(), ScriptedServer(), ScriptedServer()
         self.watch = DiscoveryWatch(self.discovery.endpoint, hold_ms)
-        self.gateway = Gateway(self.first, self.second, discovery=self.watch, polls_endpoint_list=asks)
-        self.watch.core = self.gateway.core
+        self.gateway = Gateway(self.first, self.second, discovery=self.watch, polls_endpoint_list=polls)
+        self.watch.attach(self.gateway.core)
 
     @property
-    def drain_of_the_first(self) -> bytes:
-        return answer(2, target("w0", self.first, "draining"))
+    def drain_of_first(self) -> bytes:
+        return list_response(2, entry("w0", self.first, "draining"))
 
-    async def watching(self) -> Line:
-        """The connection on which the gateway waits for a change, after an answer with none."""
+    async def start_watch(self) -> RawConnection:
+        """Start the watch; returns the connection on which the gateway waits for a change."""
         self.watch.watch(True)
         line = await self.discovery.accept()
-        await line.read(b"\r\n\r\n")
-        line.send(answer(1))
-        await line.read(b"from=1&hold_ms=%d" % self.watch.hold_ms)
+        await line.read_until(b"\r\n\r\n")
+        line.send(list_response(1))
+        await line.read_until(b"from=1&hold_ms=%d" % self.watch.hold_ms)
         return line
 
-    def ask(self, client: Line) -> None:
-        """A request reaches the gateway's decisions in this very turn of the loop; they pick a replica."""
-        client.send(call_bytes(1))
+    def submit_request(self, client: RawConnection) -> None:
+        """Submit a request without yielding to the loop; the balancer chooses a replica."""
+        client.send(request_bytes(1))
         (connection,) = self.gateway.front.listener.connections
         assert isinstance(connection, ClientConnection)
-        connection._take(connection.stream.socket.recv(65536))
+        connection._receive(connection.stream.socket.recv(65536))
 
-    def state(self, uid: str) -> ReplicaState:
-        """What the list in force says of a replica."""
+    def listed_state(self, uid: str) -> ReplicaState:
+        """The state of a replica in the current list."""
         return next(one.state for one in self.gateway.replica_set.replicas.values() if one.uid == uid)
 
-    async def warm(self, client: Line) -> dict[str, Line]:
-        """A connection kept idle to each replica, by uid."""
-        lines: dict[str, Line] = {}
+    async def open_idle_connections(self, client: RawConnection) -> dict[str, RawConnection]:
+        """Open an idle connection to each replica; returns them by uid."""
+        lines: dict[str, RawConnection] = {}
         loop, number = asyncio.get_running_loop(), 100
         accepting = {
             asyncio.ensure_future(peer.accept()): uid
@@ -87,30 +87,30 @@
         }
         while accepting:
             number += 1
-            client.send(call_bytes(number))
+            client.send(request_bytes(number))
             await until(lambda: bool(self.gateway.core.requests))
             await until(lambda: len(self.gateway.transport.exchanges) == 1)
             for done in [one for one in accepting if one.done()]:
                 lines[accepting.pop(done)] = done.result()
             (exchange,) = self.gateway.transport.exchanges
             line = lines[exchange.replica.uid]
-            await line.read(b"{}")
-            line.send(ANSWER)
-            await client.read(b"0\r\n\r\n")
-            settled = loop.time() + 2 * SETTLE
+            await line.read_until(b"{}")
+            line.send(RESPONSE)
+            await client.read_until(b"0\r\n\r\n")
+            settled = loop.time() + 2 * SETTLE_TIME
             await until(lambda until_then=settled: loop.time() > until_then)  # type: ignore[misc]
         return lines
 
-    def picked(self) -> tuple[str, Peer]:
-        """The replica that the request was decided for."""
-        (call,) = self.gateway.core.requests.values()
-        uid = call.attempts[0].replica.uid
+    def chosen_replica(self) -> tuple[str, ScriptedServer]:
+        """The replica that was chosen for the only request."""
+        (request,) = self.gateway.core.requests.values()
+        uid = request.attempts[0].replica.uid
         return uid, self.first if uid == "w0" else self.second
 
 
-def play(test: Callable[[Scene], Awaitable[None]], **options: Any) -> None:
+def run_scenario(test: Callable[[DrainScenario], Awaitable[None]], **options: Any) -> None:
     async def whole() -> None:
-        scene = Scene(**options)
+        scene = DrainScenario(**options)
         async with scene.gateway:
             try:
                 await test(scene)
@@ -120,219 +120,226 @@
     asyncio.run(whole())
 
 
-async def resting_client(scene: Scene) -> Line:
-    client = await scene.gateway.client()
+async def idle_client(scene: DrainScenario) -> RawConnection:
+    client = await scene.gateway.connect_client()
     await until(lambda: len(scene.gateway.front.listener.connections) == 1)
     return client
 
 
-def test_a_drain_that_lies_unread_while_the_loop_is_held_is_taken_before_any_first_byte() -> None:
-    """Told, then the loop was busy for longer than the grace: requests ready to go were written first."""
+def test_a_drain_unread_while_the_loop_is_busy_is_applied_before_any_request_is_sent() -> None:
+    """The loop was busy for longer than the grace period; requests were written before the drain was read."""
 
-    async def test(scene: Scene) -> None:
-        line, client = await scene.watching(), await resting_client(scene)
-        lines = await scene.warm(client)
-        scene.ask(client)
-        uid, replica = scene.picked()
-        line.send(answer(2, target(uid, replica, "draining")))
-        time.sleep(BUSY)
+    async def test(scene: DrainScenario) -> None:
+        line, client = await scene.start_watch(), await idle_client(scene)
+        lines = await scene.open_idle_connections(client)
+        scene.submit_request(client)
+        uid, replica = scene.chosen_replica()
+        line.send(list_response(2, entry(uid, replica, "draining")))
+        block_event_loop(BUSY_TIME)
         other = lines["w1" if uid == "w0" else "w0"]
-        assert b"0000000000000001" in await other.read(b"{}")
-        assert await lines[uid].rest() == b"", "its idle connection is closed, and nothing came on it"
+        assert b"0000000000000001" in await other.read_until(b"{}")
+        assert await lines[uid].read_to_end() == b"", (
+            "its idle connection is closed, and nothing was sent on it"
+        )
 
-    play(test)
+    run_scenario(test)
 
 
-def test_an_answer_that_has_come_as_its_time_ends_is_taken() -> None:
-    """Its bytes were read, and the call that they answered was given up in the same turn of the loop."""
+def test_a_response_that_arrives_at_its_deadline_is_applied() -> None:
+    """Its bytes were read, and the request was timed out in the same iteration of the loop."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
-        held = asyncio.get_running_loop().time() + SHORT_HOLD_MS / 1000 + GRACE + 0.05
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
+        held = asyncio.get_running_loop().time() + SHORT_HOLD_MS / 1000 + WATCH_GRACE + 0.05
         while asyncio.get_running_loop().time() < held - 0.1:
             await asyncio.sleep(0.01)
-        line.send(scene.drain_of_the_first)
-        time.sleep(max(0.0, held - asyncio.get_running_loop().time()))
+        line.send(scene.drain_of_first)
+        block_event_loop(max(0.0, held - asyncio.get_running_loop().time()))
         await until(lambda: scene.gateway.replica_set.version == 2)
-        assert scene.state("w0") is ReplicaState.DRAINING
+        assert scene.listed_state("w0") is ReplicaState.DRAINING
 
-    play(test, hold_ms=SHORT_HOLD_MS)
+    run_scenario(test, hold_ms=SHORT_HOLD_MS)
 
 
-def test_a_drain_that_was_told_as_discovery_moved_is_taken() -> None:
-    """The old service had written it, and it was dropped with its connection; the new one may be slow."""
+def test_a_drain_written_as_discovery_moved_is_applied() -> None:
+    """The old service had written it, and it was lost with the connection; the new service may be slow."""
 
-    async def test(scene: Scene) -> None:
-        line, slow = await scene.watching(), Peer()
-        line.send(scene.drain_of_the_first)
-        scene.watch.move(slow.endpoint)
+    async def test(scene: DrainScenario) -> None:
+        line, slow = await scene.start_watch(), ScriptedServer()
+        line.send(scene.drain_of_first)
+        scene.watch.change_endpoint(slow.endpoint)
         taken = await slow.accept()
-        assert b"from=" not in await taken.read(b"\r\n\r\n"), "versions are each service's own"
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
+        assert b"from=" not in await taken.read_until(b"\r\n\r\n"), "versions are each service's own"
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
         assert scene.gateway.replica_set.version == -1
 
-    play(test)
+    run_scenario(test)
 
 
-def test_an_answer_that_was_half_written_as_discovery_moved_is_taken() -> None:
-    async def test(scene: Scene) -> None:
-        line, slow = await scene.watching(), Peer()
-        half = len(scene.drain_of_the_first) // 2
-        line.send(scene.drain_of_the_first[:half])
-        scene.watch.move(slow.endpoint)
-        await (await slow.accept()).read(b"\r\n\r\n")
-        line.send(scene.drain_of_the_first[half:])
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
+def test_a_response_half_written_as_discovery_moved_is_applied() -> None:
+    async def test(scene: DrainScenario) -> None:
+        line, slow = await scene.start_watch(), ScriptedServer()
+        half = len(scene.drain_of_first) // 2
+        line.send(scene.drain_of_first[:half])
+        scene.watch.change_endpoint(slow.endpoint)
+        await (await slow.accept()).read_until(b"\r\n\r\n")
+        line.send(scene.drain_of_first[half:])
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
 
-    play(test)
+    run_scenario(test)
 
 
 @pytest.mark.parametrize("bad", [{"uid": 5}, {"uid": "w1", "state": "odd"}, 7, {"uid": "w1", "state": "up"}])
-def test_a_drain_beside_an_entry_that_cannot_be_read_is_taken(bad: Any) -> None:
-    """One bad entry made the whole answer void, its good drains included."""
+def test_a_drain_beside_an_unreadable_entry_is_applied(bad: Any) -> None:
+    """One malformed entry made the whole response unusable, with its valid drains."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
-        line.send(answer(2, target("w0", scene.first, "draining"), bad))
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
-        assert scene.gateway.replica_set.version == 1, "the same is asked for again"
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
+        line.send(list_response(2, entry("w0", scene.first, "draining"), bad))
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
+        assert scene.gateway.replica_set.version == 1, "the same changes are requested again"
 
-    play(test)
+    run_scenario(test)
 
 
-def test_an_answer_older_than_the_last_puts_no_drained_replica_back() -> None:
-    """Its version was taken as it came, and what it listed with it; the whole list is asked for instead."""
+def test_a_stale_response_makes_no_drained_replica_ready() -> None:
+    """Its version and entries were applied as they were; the complete list is requested instead."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
-        line.send(scene.drain_of_the_first)
-        await line.read(b"from=2&")
-        line.send(answer(1, target("w0", scene.first), target("w1", scene.second), whole=True))
-        assert b"from=" not in await line.read(b"\r\n\r\n")
-        assert scene.state("w0") is ReplicaState.DRAINING and scene.state("w1") is ReplicaState.READY
-        line.send(answer(1, target("w0", scene.first), target("w1", scene.second), whole=True))
-        await line.read(b"from=1&")
-        assert scene.state("w0") is ReplicaState.READY, "said as the whole list, it is the service's own word"
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
+        line.send(scene.drain_of_first)
+        await line.read_until(b"from=2&")
+        line.send(list_response(1, entry("w0", scene.first), entry("w1", scene.second), whole=True))
+        assert b"from=" not in await line.read_until(b"\r\n\r\n")
+        assert (
+            scene.listed_state("w0") is ReplicaState.DRAINING
+            and scene.listed_state("w1") is ReplicaState.READY
+        )
+        line.send(list_response(1, entry("w0", scene.first), entry("w1", scene.second), whole=True))
+        await line.read_until(b"from=1&")
+        assert scene.listed_state("w0") is ReplicaState.READY, "a complete list is applied"
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_service_begun_anew_with_lower_versions_is_asked_for_its_whole_list() -> None:
-    """What it had changed up to that version was never asked for."""
+def test_a_restarted_service_with_lower_versions_is_asked_for_its_complete_list() -> None:
+    """Its changes up to that version were never requested."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
-        line.send(answer(0, target("w1", scene.second, "draining")))
-        assert b"from=" not in await line.read(b"\r\n\r\n")
-        assert scene.state("w1") is ReplicaState.DRAINING
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
+        line.send(list_response(0, entry("w1", scene.second, "draining")))
+        assert b"from=" not in await line.read_until(b"\r\n\r\n")
+        assert scene.listed_state("w1") is ReplicaState.DRAINING
 
-    play(test)
+    run_scenario(test)
 
 
-BAD_ANSWERS = {
-    "no list": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
+MALFORMED_RESPONSES = {
+    "not an object": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
     "not JSON": b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"rev": 2',
     "a bad version": b'HTTP/1.1 200 OK\r\nContent-Length: 39\r\n\r\n{"rev": -2, "all": true, "targets": []}',
     "no HTTP": b"{}" * 20_000,
     "an endless head": b"HTTP/1.1 200 OK\r\n" + b"X-Filler: " + b"x" * 70_000,
-    "a length that is none": b"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
-    "a list too long": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (LIST_LIMIT + 1)
-    + b" " * (LIST_LIMIT + 1),
-    "a refusal": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+    "a malformed length": b"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
+    "a list that is too large": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_LIST_SIZE + 1)
+    + b" " * (MAX_LIST_SIZE + 1),
+    "an overload": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 }
 
 
-@pytest.mark.parametrize("bad", BAD_ANSWERS.values(), ids=BAD_ANSWERS.keys())
-def test_an_answer_of_which_nothing_can_be_read_costs_one_line_and_is_asked_for_again(bad: bytes) -> None:
-    """What was in force stays; the drain that comes with the next answer is taken."""
+@pytest.mark.parametrize("bad", MALFORMED_RESPONSES.values(), ids=MALFORMED_RESPONSES.keys())
+def test_an_unreadable_response_is_logged_once_and_requested_again(bad: bytes) -> None:
+    """The list stays as it was; the drain in the next response is applied."""
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
         with capture_logs() as logs:
             for _ in range(2):
-                with contextlib.suppress(ConnectionError):  # it is cut off before its end
+                with contextlib.suppress(ConnectionError):  # the gateway closes before the end
                     await asyncio.get_running_loop().sock_sendall(line.sock, bad)
                 line = await scene.discovery.accept()
-                assert b"from=1&hold_ms=0 " in await line.read(b"\r\n\r\n")
-                assert scene.state("w0") == scene.state("w1") is ReplicaState.READY
-            line.send(scene.drain_of_the_first)
-            await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
-        failing = [one for one in logs if one["event"] == "discovery_failing"]
+                assert b"from=1&hold_ms=0 " in await line.read_until(b"\r\n\r\n")
+                assert scene.listed_state("w0") == scene.listed_state("w1") is ReplicaState.READY
+            line.send(scene.drain_of_first)
+            await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
+        failing = [line for line in logs if line["event"] == "discovery_failing"]
         assert len(failing) == 1 and failing[0]["reason"]
 
-    play(test, asks=True)
+    run_scenario(test, polls=True)
 
 
-def test_an_answer_that_does_not_end_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It came a byte at a time for as long as its sender pleased."""
-    monkeypatch.setattr(discovery_link, "ANSWER_TIME", 0.3)
+def test_a_response_that_does_not_end_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
+    """It arrived a byte at a time, without a limit."""
+    monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.3)
 
-    async def test(scene: Scene) -> None:
-        line = await scene.watching()
-        asked_again = asyncio.ensure_future(scene.discovery.accept())
+    async def test(scene: DrainScenario) -> None:
+        line = await scene.start_watch()
+        next_connection = asyncio.ensure_future(scene.discovery.accept())
         line.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
-        while not asked_again.done():
+        while not next_connection.done():
             with contextlib.suppress(ConnectionError):
                 line.send(b" ")
             await asyncio.sleep(0.02)
-        assert b"from=1&hold_ms=0 " in await asked_again.result().read(b"\r\n\r\n")
+        assert b"from=1&hold_ms=0 " in await next_connection.result().read_until(b"\r\n\r\n")
 
-    play(test)
+    run_scenario(test)
 
 
-def test_a_service_that_answers_at_once_with_nothing_new_is_not_asked_in_a_tight_loop() -> None:
-    async def test(scene: Scene) -> None:
-        line, loop = await scene.watching(), asyncio.get_running_loop()
+def test_a_service_that_responds_at_once_without_changes_is_not_polled_in_a_tight_loop() -> None:
+    async def test(scene: DrainScenario) -> None:
+        line, loop = await scene.start_watch(), asyncio.get_running_loop()
         began = loop.time()
         for _ in range(4):
-            line.send(answer(1))
-            await line.read(b"from=1&hold_ms=%d" % HOLD_MS)
-        assert loop.time() - began >= 4 * NOTHING_NEW_PAUSE
-        line.send(scene.drain_of_the_first)
-        await line.read(b"from=2&")
+            line.send(list_response(1))
+            await line.read_until(b"from=1&hold_ms=%d" % HOLD_MS)
+        assert loop.time() - began >= 4 * UNCHANGED_PAUSE
+        line.send(scene.drain_of_first)
+        await line.read_until(b"from=2&")
 
-    play(test)
+    run_scenario(test)
 
 
-def test_the_last_answer_of_a_former_service_does_not_end_the_asking_for_the_new_ones_list() -> None:
-    """It was taken for the answer to the request that had failed: nobody asked again."""
+def test_the_last_response_of_a_former_service_does_not_end_the_poll_of_the_new_one() -> None:
+    """It counted as the response to the failed request, so the list was not polled again."""
 
-    async def test(scene: Scene) -> None:
-        line, new = await scene.watching(), Peer()
-        scene.watch.move(new.endpoint)
+    async def test(scene: DrainScenario) -> None:
+        line, new = await scene.start_watch(), ScriptedServer()
+        scene.watch.change_endpoint(new.endpoint)
         refusing = await new.accept()
-        await refusing.read(b"\r\n\r\n")
-        refusing.send(BAD_ANSWERS["a refusal"])
-        assert await refusing.rest() == b""
-        line.send(scene.drain_of_the_first)
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
+        await refusing.read_until(b"\r\n\r\n")
+        refusing.send(MALFORMED_RESPONSES["an overload"])
+        assert await refusing.read_to_end() == b""
+        line.send(scene.drain_of_first)
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
         asking = await new.accept()
-        assert b"from=" not in await asking.read(b"\r\n\r\n")
+        assert b"from=" not in await asking.read_until(b"\r\n\r\n")
 
-    play(test, asks=True)
+    run_scenario(test, polls=True)
 
 
-class Unfinished:
-    """A former service whose last word is on its way for as long as the test pleases."""
+class UnfinishedFollower:
+    """A follower of a former service that has a response until the test ends it."""
 
-    unread = True
+    has_unread_changes = True
 
     def close(self) -> None:
         """Nothing is open."""
 
 
-def test_a_service_left_behind_with_an_answer_in_hand_waits_for_no_other() -> None:
-    """Moved twice at once, it waited for its own answer to be taken: no request was sent any more."""
+def test_a_former_follower_with_a_response_does_not_wait_for_other_followers() -> None:
+    """After two moves it waited for its own response to be applied, and no request was sent any more."""
 
-    async def test(scene: Scene) -> None:
-        line, former, new = await scene.watching(), Unfinished(), Peer()
-        scene.watch._former.append(former)  # type: ignore[arg-type]
-        line.send(scene.drain_of_the_first)
-        await until(lambda: scene.watch._current is not None and scene.watch._current._taking)
-        scene.watch.move(new.endpoint)
-        await until(lambda: scene.state("w0") is ReplicaState.DRAINING)
-        former.unread = False
+    async def test(scene: DrainScenario) -> None:
+        line, former, new = await scene.start_watch(), UnfinishedFollower(), ScriptedServer()
+        scene.watch._former_followers.append(former)  # type: ignore[arg-type]
+        line.send(scene.drain_of_first)
+        await until(
+            lambda: scene.watch._current_follower is not None and scene.watch._current_follower._applying
+        )
+        scene.watch.change_endpoint(new.endpoint)
+        await until(lambda: scene.listed_state("w0") is ReplicaState.DRAINING)
+        former.has_unread_changes = False
         await until(lambda: not scene.watch.has_unread_changes)
-        assert b"from=" not in await (await new.accept()).read(b"\r\n\r\n")
+        assert b"from=" not in await (await new.accept()).read_until(b"\r\n\r\n")
 
-    play(test)
+    run_scenario(test)
--- /dev/null
+++ b/tests/wire/test_drain_simulation.py
@@ -0,0 +1,35 @@
+"""The drain rule in random simulations; `--drain-days N` runs more of them."""
+
+from __future__ import annotations
+
+import pytest
+
+from tests.clocked import ClockedLoop, run
+from tests.wire.drain_checker import DrainChecker
+from tests.wire.drain_simulation import DrainSimulation
+
+SEEDS = 8  # simulations of each size that CI runs
+
+
+def simulate(seed: int, gateways: int, faults_in_a_row: int) -> DrainChecker:
+    checkers: list[DrainChecker] = []
+
+    async def scenario(loop: ClockedLoop) -> None:
+        checkers.append(await DrainSimulation(loop, seed, gateways, faults_in_a_row).run())
+
+    run(scenario)
+    return checkers[0]
+
+
+def pytest_generate_tests(metafunc: pytest.Metafunc) -> None:
+    if "seed" in metafunc.fixturenames:
+        metafunc.parametrize("seed", range(metafunc.config.getoption("--drain-days") or SEEDS))
+
+
+@pytest.mark.parametrize(("gateways", "faults_in_a_row"), [(1, 2), (6, 2), (200, 1), (1024, 1)])
+def test_no_request_is_sent_after_the_grace_of_a_drain(
+    seed: int, gateways: int, faults_in_a_row: int
+) -> None:
+    checker = simulate(seed, gateways, faults_in_a_row)
+    assert checker.requests > 100, "there was traffic"
+    assert not checker.violations
