--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -70,15 +70,15 @@
                 await asyncio.sleep(GRACE + 0.1)
                 found = [one for one in program.logs[mark:] if one.get("action") == "remove"]
                 assert [one["host"] for one in found] == [f"w{out}"], found
-                told = datetime.fromisoformat(found[0]["timestamp"]).timestamp()
-                decided.append(told - wall)
+                decided_at = datetime.fromisoformat(found[0]["timestamp"]).timestamp()
+                decided.append(decided_at - wall)
                 last.append(max(0.0, fleet[out].times[-1] - when))
                 strays += sum(one > when + GRACE for one in fleet[out].times)
                 place(path, text)
                 # Wait until it is added again: two renames at once would be one change.
                 await until(lambda mark=mark: any(x.get("action") == "add" for x in program.logs[mark:]))  # type: ignore[misc]
             await load.end()
-            wrong = sum(status != 200 or not whole for status, _, whole in load.statuses)
+            wrong = sum(status != 200 or not complete for status, _, complete in load.statuses)
             return {
                 "removals": count,
                 "replicas": fleet_size,
--- a/lockspoke/batch/line_runner.py
+++ b/lockspoke/batch/line_runner.py
@@ -44,7 +44,7 @@
             self.consecutive_rejections = 0
 
     def retry_delay(self, retry_after: int) -> float:
-        """Seconds before the next attempt: as the rejection asked, else an exponential backoff."""
+        """Seconds before the next attempt: the Retry-After of the rejection, else an exponential backoff."""
         if retry_after:
             return retry_after / SECOND
         doublings = min(BACKOFF_MAX_DOUBLINGS, max(0, self.consecutive_rejections - 1))
@@ -77,7 +77,7 @@
             core: Takes the requests.
             lines: Builds requests and results.
             slots: Bounds the lines in flight.
-            max_attempts: After so many failed attempts a line has failed; rejections do not count.
+            max_attempts: Failed attempts after which a line has failed; rejections do not count.
             now: Gives the Unix time in seconds.
         """
         self.store = store
--- a/lockspoke/inventory/removal_guard.py
+++ b/lockspoke/inventory/removal_guard.py
@@ -1,6 +1,6 @@
 """Holds back the removal of many hosts at once, until it has settled or an operator accepts it.
 
-Only hosts that the files no longer name count: a removal that a row asks for is never held back.
+Only hosts that the files no longer name count: a removal that a row requests is never held back.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 class PendingRemoval:
     """A mass removal that is held back."""
 
-    fingerprint: str  # of the snapshot that asks for it
+    fingerprint: str  # of the snapshot that requests it
     since_ms: int  # Unix time
     hosts: int
 
