--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,6 @@
 import pytest
 
 MAX_KNOWN_RED = 3
-_KNOWN_RED = pytest.StashKey[list[str]]()
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
@@ -19,9 +18,7 @@
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     name = config.getoption("--known-red")
-    path = Path(config.rootpath, name) if name else None
-    lines = _entries(path) if path is not None and path.exists() else []
-    config.stash[_KNOWN_RED] = lines
+    lines = _known_red_lines(config)
     if len(lines) > MAX_KNOWN_RED:
         raise pytest.UsageError(f"{name} lists {len(lines)} tests, {MAX_KNOWN_RED} at most: mend one first")
     items_by_id = {item.nodeid: item for item in items}
@@ -35,11 +32,16 @@
         items_by_id[parts[0]].add_marker(pytest.mark.xfail(reason=f"known: {parts[1]}", strict=True))
 
 
-def _entries(path: Path) -> list[str]:
-    """The lines of the file that hold text."""
+def _known_red_lines(config: pytest.Config) -> list[str]:
+    """The lines of the file that hold text; none without the option or the file."""
+    name = config.getoption("--known-red")
+    path = Path(config.rootpath, name) if name else None
+    if path is None or not path.exists():
+        return []
     return [line for line in path.read_text().splitlines() if line.strip()]
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    for line in config.stash.get(_KNOWN_RED, []):
+    # Read again: the process that prints the summary is not one of those that collect the tests.
+    for line in _known_red_lines(config):
         terminalreporter.write_line(f"known red: {line}")
