--- a/lockspoke/wire/discovery/connection.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -14,13 +14,14 @@
 
 from .messages import EndpointListRequest, ResponseReader
 
-WATCH_GRACE = 0.4  # seconds past its hold after which a watch without a response is lost
-# Seconds for a request that is no watch, connecting included; and for a response once it has started.
-RESPONSE_TIMEOUT = 1.5
-CONNECT_TIMEOUT = 1.0  # seconds
-# Seconds after a response within which the next request continues the watch (the platform's protocol). What
-# changes in between counts as notified at once, though discovery has not been asked for it yet.
-WATCH_CONTINUATION = 0.2
+WATCH_GRACE_SECONDS = 0.4  # A watch without a response counts as lost this long after its hold has ended.
+# Limits a request that is not a watch, including the time to connect. Once a response has started, it also
+# limits the time until that response is complete.
+RESPONSE_TIMEOUT_SECONDS = 1.5
+CONNECT_TIMEOUT_SECONDS = 1.0
+# A request that follows the last response within this time continues the watch, by the platform's protocol. A
+# change in between counts as notified at once, although the gateway has not requested it yet.
+MAX_WATCH_GAP_SECONDS = 0.2
 
 
 class RequestError(Exception):
@@ -77,14 +78,14 @@
 
     async def _exchange(self, request: EndpointListRequest) -> bytes:
         loop = asyncio.get_running_loop()
-        deadline = loop.time() + RESPONSE_TIMEOUT
+        deadline = loop.time() + RESPONSE_TIMEOUT_SECONDS
         reused = self._connection is not None
         if self._connection is None:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 self._connection = ReadAhead(await self._dial(self.endpoint))
         if request.is_watch:
             # Without the time to connect: discovery's hold begins when it receives the request.
-            deadline = loop.time() + request.hold_ms / 1000 + WATCH_GRACE
+            deadline = loop.time() + request.hold_ms / 1000 + WATCH_GRACE_SECONDS
         self._log_delay(loop.time(), reused)
         self.awaiting_response = True
         host = "{}:{}".format(*self.endpoint)
@@ -97,7 +98,7 @@
             return
         delay = now - self._responded_at
         self._responded_at = None
-        if delay > WATCH_CONTINUATION:
+        if delay > MAX_WATCH_GAP_SECONDS:
             self._delay_log.info(now, delay_ms=round(delay * 1000), connection_reused=reused)
 
     async def _read_response(self, connection: ReadAhead, deadline: float) -> bytes:
@@ -108,7 +109,7 @@
             if not connection.unread:
                 raise TimeoutError("discovery is silent")
             if not reader.started:
-                deadline = loop.time() + RESPONSE_TIMEOUT
+                deadline = loop.time() + RESPONSE_TIMEOUT_SECONDS
             body = reader.feed(await connection.read())
             if body is not None:
                 self._responded_at = loop.time()
--- a/lockspoke/wire/discovery/follower.py
+++ b/lockspoke/wire/discovery/follower.py
@@ -20,7 +20,7 @@
 )
 from .messages import EndpointListRequest
 
-UNCHANGED_PAUSE = 0.1  # seconds before a watch is repeated that returned early and without changes
+UNCHANGED_PAUSE_SECONDS = 0.1  # Delay before repeating a watch that returned early without changes.
 
 log = structlog.get_logger()
 
@@ -105,7 +105,7 @@
             is_unchanged = request.is_watch and response.update.version == request.version
             if is_unchanged and loop.time() - requested_at < request.hold_ms / 2000:
                 # Protects a service that responds at once, again and again, from a tight loop.
-                await asyncio.sleep(UNCHANGED_PAUSE)
+                await asyncio.sleep(UNCHANGED_PAUSE_SECONDS)
             # Otherwise the next request is written at once, in the same turn of the event loop: what changes
             # between a response and the next request counts as notified.
 
--- a/lockspoke/wire/discovery/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -1,9 +1,10 @@
-"""Discovery as the source of the endpoint list: one request after another, at one address after another.
+"""Watches discovery for changes of the endpoint list; the address of discovery may change meanwhile.
 
-A gateway must apply each change from the moment when discovery has written it, read or not, and at the
-latest 6 s after discovery had it and was reachable. The timeouts here and those of the balancer follow from
-this limit: a watch that gets no response is noticed after its hold and `WATCH_GRACE`, one more request may
-fail (`RESPONSE_TIMEOUT`), the balancer backs off, and the next request gets a response.
+A gateway must act on a change as soon as discovery has written it to the connection, even if the gateway has
+not read it yet, and at the latest 6 s after the change reached discovery while discovery was reachable. The
+timeouts here and in the balancer are chosen to stay within this limit in the following case: a watch gets no
+response, which is noticed `WATCH_GRACE_SECONDS` after its hold; one more request fails, after at most
+`RESPONSE_TIMEOUT_SECONDS`; the balancer backs off; and the next request gets a response.
 """
 
 from __future__ import annotations
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -102,7 +102,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Regression: it had the timeout of a watch, though changes must be applied within 6 s."""
-    monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.2)
+    monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT_SECONDS", 0.2)
     listener = RecordingListener(-1)
     asyncio.run(request_times({1}, listener, hold_ms=60_000))
     assert listener.failed == 1 and not listener.updates
@@ -110,7 +110,7 @@
 
 def test_the_time_to_connect_does_not_shorten_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """Regression: a watch was lost before its hold was over, or counted as failed."""
-    monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT", 20.0)
+    monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT_SECONDS", 20.0)
 
     async def scenario() -> None:
         peer, listener, connects = ScriptedServer(), RecordingListener(1), asyncio.Event()
@@ -129,7 +129,7 @@
         line.send(list_response(2, b"Connection: close\r\n"))
         await until(lambda: len(listener.updates) == 1)
         loop = asyncio.get_running_loop()
-        late = loop.time() + HOLD_MS / 1000 + discovery_connection.WATCH_GRACE + 0.1
+        late = loop.time() + HOLD_MS / 1000 + discovery_connection.WATCH_GRACE_SECONDS + 0.1
         await until(lambda: loop.time() > late)
         connects.set()
         line = await peer.accept()
@@ -242,7 +242,7 @@
 
 def test_a_watch_that_is_continued_late_is_logged() -> None:
     """Changes in between count as notified though nobody has asked for them; no other line shows that."""
-    delay = 1.5 * discovery_connection.WATCH_CONTINUATION
+    delay = 1.5 * discovery_connection.MAX_WATCH_GAP_SECONDS
     dialled = 0
 
     async def dial_late(endpoint: tuple[str, int]) -> IOStream:
@@ -293,7 +293,7 @@
             discovery_watch.attach(cast(EndpointListListener, listener))
             discovery_watch.watch(True)
             await until(lambda: len(discovery.seen) == 2)  # the complete list, then a watch
-            busy = 2 * discovery_connection.WATCH_CONTINUATION
+            busy = 2 * discovery_connection.MAX_WATCH_GAP_SECONDS
             listener.on_next_update = partial(loop.call_soon, time.sleep, busy)
             await until(lambda: len(discovery.seen) == 3)
             discovery_watch.close()
--- a/tests/wire/drain_fakes.py
+++ b/tests/wire/drain_fakes.py
@@ -10,7 +10,7 @@
 from collections.abc import AsyncIterator, Callable, Coroutine
 from typing import Any
 
-from lockspoke.wire.discovery.connection import WATCH_GRACE
+from lockspoke.wire.discovery.connection import WATCH_GRACE_SECONDS
 from lockspoke.wire.http.messages import Request
 from lockspoke.wire.http.request_assembler import RequestAssembler
 from lockspoke.wire.tcp.dialing import Address
@@ -137,7 +137,7 @@
             await self.write_response(sock, fault, self.encode_list(1, True, named), set())
             return
         if fault is Fault.LATE:
-            await asyncio.sleep(WATCH_GRACE - 0.1)
+            await asyncio.sleep(WATCH_GRACE_SECONDS - 0.1)
         complete = since < 0
         uids = self.states.keys() if complete else {uid for version, uid in self.history if version > since}
         named = {uid: self.states[uid] for uid in uids}
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -17,8 +17,8 @@
 
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.wire.discovery import connection as discovery_connection
-from lockspoke.wire.discovery.connection import WATCH_GRACE
-from lockspoke.wire.discovery.follower import UNCHANGED_PAUSE
+from lockspoke.wire.discovery.connection import WATCH_GRACE_SECONDS
+from lockspoke.wire.discovery.follower import UNCHANGED_PAUSE_SECONDS
 from lockspoke.wire.discovery.messages import MAX_LIST_SIZE
 from lockspoke.wire.discovery.watch import DiscoveryWatch
 from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
@@ -148,7 +148,7 @@
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
-        timeout_at = asyncio.get_running_loop().time() + SHORT_HOLD_MS / 1000 + WATCH_GRACE + 0.05
+        timeout_at = asyncio.get_running_loop().time() + SHORT_HOLD_MS / 1000 + WATCH_GRACE_SECONDS + 0.05
         while asyncio.get_running_loop().time() < timeout_at - 0.1:
             await asyncio.sleep(0.01)
         line.send(scene.drain_of_first)
@@ -268,7 +268,7 @@
 
 def test_a_response_that_does_not_end_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """Regression: a response that arrived a byte at a time had no time limit."""
-    monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT", 0.3)
+    monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT_SECONDS", 0.3)
 
     async def test(scene: DrainScenario) -> None:
         line = await scene.start_watch()
@@ -290,7 +290,7 @@
         for _ in range(4):
             line.send(list_response(1))
             await line.read_until(b"from=1&hold_ms=%d" % HOLD_MS)
-        assert loop.time() - began >= 4 * UNCHANGED_PAUSE
+        assert loop.time() - began >= 4 * UNCHANGED_PAUSE_SECONDS
         line.send(scene.drain_of_first)
         await line.read_until(b"from=2&")
 
