--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -11,7 +11,7 @@
 from .endpoint_list import EndpointListError
 
 LIST_PATH = "/discovery/hosts"
-MAX_LIST_SIZE = 4 * 1024 * 1024  # bytes
+MAX_LIST_SIZE_BYTES = 4 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,8 +57,8 @@
                 self._head = piece
             elif isinstance(piece, BodyChunk):
                 self._body += piece.data
-                if len(self._body) > MAX_LIST_SIZE:
-                    raise HttpError(502, f"a list of more than {MAX_LIST_SIZE} bytes")
+                if len(self._body) > MAX_LIST_SIZE_BYTES:
+                    raise HttpError(502, f"a list of more than {MAX_LIST_SIZE_BYTES} bytes")
             elif isinstance(piece, MessageEnd) and self._head is not None:
                 self.reusable = self._head.keep_alive and self._parser.ended_cleanly
                 if self._head.status != 200:
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -19,7 +19,7 @@
 from lockspoke.wire.discovery import connection as discovery_connection
 from lockspoke.wire.discovery.connection import WATCH_GRACE_SECONDS
 from lockspoke.wire.discovery.follower import UNCHANGED_PAUSE_SECONDS
-from lockspoke.wire.discovery.messages import MAX_LIST_SIZE
+from lockspoke.wire.discovery.messages import MAX_LIST_SIZE_BYTES
 from lockspoke.wire.discovery.watch import DiscoveryWatch
 from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
 from tests.peers import Gateway, RawConnection, ScriptedServer, block_event_loop
@@ -239,8 +239,8 @@
     "no HTTP": b"{}" * 20_000,
     "an endless head": b"HTTP/1.1 200 OK\r\n" + b"X-Filler: " + b"x" * 70_000,
     "a malformed length": b"HTTP/1.1 200 OK\r\nContent-Length: many\r\n\r\n",
-    "a list that is too large": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_LIST_SIZE + 1)
-    + b" " * (MAX_LIST_SIZE + 1),
+    "a list that is too large": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (MAX_LIST_SIZE_BYTES + 1)
+    + b" " * (MAX_LIST_SIZE_BYTES + 1),
     "an overload": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 }
 
