--- a/lockspoke/wire/discovery/__init__.py
+++ b/lockspoke/wire/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: its messages, a connection to it, the watch of the endpoint list."""
+"""The client of the discovery service: its messages, its connections and the watch of the endpoint list."""
--- a/lockspoke/wire/discovery/connection.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -25,41 +25,44 @@
 
 
 class RequestError(Exception):
-    """Discovery rejected a request, or it failed; the text says how."""
+    """A request failed, or discovery rejected it; the message gives the reason."""
 
 
 class WatchLostError(Exception):
-    """A watch ended without a response; this alone does not show that discovery has a fault."""
+    """A watch ended without a response, which alone does not mean that discovery is failing."""
 
 
 class DiscoveryConnection:
-    """Requests to discovery at one address."""
+    """Sends requests to discovery at one address, one at a time."""
 
     def __init__(self, endpoint: Address, dial: Dial) -> None:
         self.endpoint = endpoint
         self._dial = dial
         self._connection: ReadAhead | None = None
-        self.awaiting_response = False  # whether a request is written and its response is not complete
-        self._responded_at: float | None = None  # when the last response was complete, by the loop's clock
+        self.awaiting_response = False  # True from writing a request until its response is complete.
+        # The time when the last response was complete, by the event loop's clock. It is None before the first
+        # response, and again once the next request has been written.
+        self._responded_at: float | None = None
         self._delay_log = RateLimitedLog("discovery_request_delayed")
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether discovery has written bytes, or closed, and no response returned so far holds them."""
+        """Whether discovery has sent bytes, or closed the connection, since the last response returned."""
         return self._connection is not None and self._connection.unread
 
     async def request(self, request: EndpointListRequest) -> bytes:
-        """Send a request; returns the response's body.
+        """Send a request and return the body of its response.
 
-        After an error the connection is closed: what would arrive on it answers no later request.
+        After an error the connection is closed, so that a late response is not taken for that of a later
+        request.
 
         Raises:
-            WatchLostError: a watch got no response, or discovery had closed the idle connection.
-            RequestError: any other request failed.
-            EndpointListError: the response's status is not 200.
+            WatchLostError: A watch got no response, or discovery had closed the idle connection.
+            RequestError: Any other request failed.
+            EndpointListError: The status of the response is not 200.
         """
         if self.has_unread_data:
-            # Unexpected bytes: later requests would each get the response to the one before.
+            # With unexpected bytes in front, each later request would get the response to the one before it.
             self.close()
         reused = self._connection is not None
         try:
@@ -84,7 +87,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 self._connection = ReadAhead(await self._dial(self.endpoint))
         if request.is_watch:
-            # Without the time to connect: discovery's hold begins when it receives the request.
+            # The time to connect does not count: the hold begins when discovery receives the request.
             deadline = loop.time() + request.hold_ms / 1000 + WATCH_GRACE_SECONDS
         self._log_delay(loop.time(), reused)
         self.awaiting_response = True
@@ -93,7 +96,7 @@
         return await self._read_response(self._connection, deadline)
 
     def _log_delay(self, now: float, reused: bool) -> None:
-        """Log that a request is written so late after the last response that the watch was interrupted."""
+        """Log a request that is written too late after the last response to continue the watch."""
         if self._responded_at is None:
             return
         delay = now - self._responded_at
@@ -102,12 +105,15 @@
             self._delay_log.info(now, delay_ms=round(delay * 1000), connection_reused=reused)
 
     async def _read_response(self, connection: ReadAhead, deadline: float) -> bytes:
-        """Read a response. No read is ever cancelled: bytes that arrive at the deadline are used."""
+        """Read a response.
+
+        The read is never cancelled, so that bytes that arrive just at the deadline are not lost.
+        """
         loop, reader = asyncio.get_running_loop(), ResponseReader()
         while True:
             await asyncio.wait([connection.pending], timeout=max(0.0, deadline - loop.time()))
             if not connection.unread:
-                raise TimeoutError("discovery is silent")
+                raise TimeoutError("no response within the time limit")
             if not reader.started:
                 deadline = loop.time() + RESPONSE_TIMEOUT_SECONDS
             body = reader.feed(await connection.read())
@@ -117,7 +123,7 @@
                     self.close()
                 return body
             if loop.time() > deadline:
-                raise TimeoutError("an answer that does not end")
+                raise TimeoutError("response not complete within the time limit")
 
     def close(self) -> None:
         """Close the connection, if it is open."""
--- a/lockspoke/wire/discovery/endpoint_list.py
+++ b/lockspoke/wire/discovery/endpoint_list.py
@@ -1,6 +1,6 @@
-"""Decoding of endpoint lists. Pure: no socket and no clock.
+"""Decodes endpoint lists, without any input or output.
 
-An entry that can't be decoded does not affect the others: its replica keeps the state it had.
+An entry that cannot be decoded does not affect the others: its replica keeps the state that it had.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 
 class EndpointListError(ValueError):
-    """A list, or an entry of it, can't be decoded; the text names the field and what is wrong."""
+    """A list, or an entry of it, cannot be decoded; the message names the field and its value."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListResponse:
-    """What could be decoded of a list, and what could not."""
+    """The update from the entries of a list that could be decoded, and the errors in the others."""
 
     update: ReplicaListUpdate
-    faults: tuple[str, ...] = ()  # each names an entry's field
+    errors: tuple[str, ...] = ()  # Each message names the field of an entry.
 
     def require_complete(self) -> ReplicaListUpdate:
-        """The update; raises EndpointListError if any entry could not be decoded."""
-        if self.faults:
-            raise EndpointListError(self.faults[0])
+        """Return the update; raise EndpointListError if any entry could not be decoded."""
+        if self.errors:
+            raise EndpointListError(self.errors[0])
         return self.update
 
 
 def decode_endpoint_list(text: bytes) -> EndpointListResponse:
-    """Decode a list from JSON; raises EndpointListError if nothing of it can be used."""
+    """Decode a list from JSON; raise EndpointListError if none of it can be used."""
     try:
         raw = json.loads(text)
     except (ValueError, RecursionError) as error:
@@ -45,7 +45,7 @@
 
 
 def read_endpoint_list(raw: Any) -> EndpointListResponse:
-    """Read a list from a JSON value; raises EndpointListError if nothing of it can be used."""
+    """Read a list from a decoded JSON value; raise EndpointListError if none of it can be used."""
     if not isinstance(raw, dict):
         raise EndpointListError("want an object")
     version, complete, targets = raw.get("rev"), raw.get("all"), raw.get("targets")
@@ -61,17 +61,17 @@
     update = ReplicaListUpdate(
         version, reader.complete, tuple(reader.entries), frozenset(reader.unreadable_uids)
     )
-    return EndpointListResponse(update, tuple(reader.faults))
+    return EndpointListResponse(update, tuple(reader.errors))
 
 
 def without_ready_replicas(update: ReplicaListUpdate) -> ReplicaListUpdate:
-    """Only the drains and removals of an update: no request is sent anywhere because of them."""
+    """Return only the drains and removals of an update, which make no replica eligible for requests."""
     entries = tuple(entry for entry in update.entries if entry.state != ReplicaState.READY)
     return replace(update, version=UNKNOWN_VERSION, complete=False, entries=entries)
 
 
 def decode_address(text: str, min_port: int = 1) -> tuple[str, int]:
-    """Decode `host:port`; raises EndpointListError if it is something else or the port is out of range."""
+    """Decode `host:port`; raise EndpointListError for another form or a port out of range."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit() and min_port <= int(port) < 65536):
         raise EndpointListError(f"{text!r} is not host:port")
@@ -79,12 +79,12 @@
 
 
 class _EntryReader:
-    """Collects the entries of one list and the faults in it."""
+    """Collects the entries of one list and the errors in it."""
 
     def __init__(self, complete: bool) -> None:
-        self.complete = complete  # whether a replica that is not listed is removed
+        self.complete = complete  # Whether a replica that is not listed counts as removed.
         self.entries: list[ListedReplica] = []
-        self.faults: list[str] = []
+        self.errors: list[str] = []
         self.unreadable_uids: set[str] = set()
 
     def read(self, target: Any, index: int) -> None:
@@ -92,25 +92,25 @@
         try:
             self.entries.append(_decode_entry(target, index))
         except EndpointListError as error:
-            self.faults.append(str(error))
+            self.errors.append(str(error))
             self._add_unreadable(target)
 
     def _add_unreadable(self, target: Any) -> None:
-        """Use what is certain about an entry with a fault."""
+        """Keep what is certain about an entry that could not be decoded."""
         uid = _entry_uid(target)
         if uid is None:
-            # The entry may be about any replica, so nothing follows from a replica's absence.
+            # The entry may be that of any replica, so a replica that is not listed may still exist.
             self.complete = False
             return
         state = STATES.get(str(target.get("state")), ReplicaState.READY)
         if state is ReplicaState.READY:
             self.unreadable_uids.add(uid)
         else:
-            # Whatever the fault is, the replica gets no new requests.
+            # Whatever the error is, the replica must not get new requests.
             self.entries.append(ListedReplica(uid, state, endpoint=None))
 
     def drop_duplicates(self) -> None:
-        """Of replicas that are listed more than once, keep only drains and removals."""
+        """Keep only the drains and removals of replicas that are listed more than once."""
         counts = Counter(entry.uid for entry in self.entries)
         duplicates = [uid for uid, count in counts.items() if count > 1]
         self.entries = [
@@ -118,12 +118,12 @@
             for entry in self.entries
             if entry.uid not in duplicates or entry.state != ReplicaState.READY
         ]
-        self.faults += [f"targets: uid {uid!r} is listed twice; name each replica once" for uid in duplicates]
+        self.errors += [f"targets: uid {uid!r} is listed twice; name each replica once" for uid in duplicates]
         self.unreadable_uids.update(duplicates)
 
 
 def _entry_uid(target: Any) -> str | None:
-    """The uid of an entry, even if other fields can't be decoded."""
+    """Return the uid of an entry, even if other fields cannot be decoded."""
     uid = target.get("uid") if isinstance(target, dict) else None
     return uid if isinstance(uid, str) and uid else None
 
@@ -135,7 +135,7 @@
     state = STATES.get(state_name)
     if state is None:
         raise EndpointListError(f"targets[{index}].state is {state_name!r}; it can be {', '.join(STATES)}")
-    # A removed replica may have lost its address; every other must have one.
+    # A removed replica may have no address any more; any other replica must have one.
     endpoint = (
         None if state is ReplicaState.REMOVED else decode_address(_text_field(target, "endpoint", index))
     )
@@ -153,7 +153,7 @@
 
 
 def _text_field(target: dict[str, Any], name: str, index: int) -> str:
-    """A field that must be a string with content."""
+    """Return a required field, whose value must be a string that is not empty."""
     value = target.get(name)
     if not isinstance(value, str) or not value:
         raise EndpointListError(f"targets[{index}].{name} is {value!r}")
@@ -161,7 +161,7 @@
 
 
 def _number_field(target: dict[str, Any], name: str, default: float, index: int) -> float:
-    """A field that must be a finite number, not negative, where it is given."""
+    """Return an optional field, whose value must be a finite number that is not negative."""
     value = target.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value) or value < 0:
         raise EndpointListError(f"targets[{index}].{name} is {value!r}")
--- a/lockspoke/wire/discovery/follower.py
+++ b/lockspoke/wire/discovery/follower.py
@@ -1,4 +1,4 @@
-"""Polls the endpoint list of one discovery service: a complete list first, then watches for changes."""
+"""Requests the complete endpoint list from one discovery service, then watches it for changes."""
 
 from __future__ import annotations
 
@@ -26,42 +26,42 @@
 
 
 class FollowerOwner(Protocol):
-    """What a follower reports to; `DiscoveryWatch` is one."""
+    """The owner of a follower, which receives its responses; implemented by `DiscoveryWatch`."""
 
     hold_ms: int
     listener: EndpointListListener
 
     async def wait_for_former_followers(self, follower: EndpointListFollower) -> None:
-        """Return when this follower's list may be applied, after those of former followers."""
+        """Return once former followers have applied their last responses."""
 
     def apply(self, follower: EndpointListFollower, response: EndpointListResponse) -> None:
-        """Apply a response; raises EndpointListError if an entry of it could not be decoded."""
+        """Apply a response; raise EndpointListError if an entry of it could not be decoded."""
 
     def report_failing(self, reason: str) -> None:
-        """Log that discovery does not respond as it should."""
+        """Log that discovery is failing."""
 
     def follower_ended(self, follower: EndpointListFollower, reason: str | None) -> None:
-        """The follower has ended; a reason says that it failed."""
+        """Handle the end of a follower; the reason is None unless it failed."""
 
 
 class EndpointListFollower:
-    """Follows one service's list until a request fails, or until it is stopped."""
+    """Follows the list of one discovery service until a request fails or the follower is stopped."""
 
     def __init__(self, connection: DiscoveryConnection, owner: FollowerOwner) -> None:
         self._connection = connection
         self._owner = owner
         self._stopping = False
-        self._last_list_empty = False  # whether the last response was a complete list without replicas
-        self._applying = False  # a response has been read and is not applied yet
+        self._last_list_empty = False  # Whether the last response was a complete list without replicas.
+        self._applying = False  # Whether a response has been read but not applied yet.
         self._task = asyncio.ensure_future(self._run())
 
     @property
     def has_unread_changes(self) -> bool:
-        """Whether the service has written changes that are not applied yet."""
+        """Whether the service has sent changes that are not applied yet."""
         return self._applying or self._connection.has_unread_data
 
     def stop_after_response(self) -> bool:
-        """Send no more requests. Whether a response is still expected; if not, the follower is closed."""
+        """Send no more requests; return whether a response is still expected. If not, close the follower."""
         self._stopping = True
         if not self.has_unread_changes and not self._connection.awaiting_response:
             self.close()
@@ -80,17 +80,17 @@
         except (RequestError, EndpointListError) as error:
             reason = str(error)
         except Exception:
-            # A fault of the gateway's own. The list may be applied in part only, so it is requested again
-            # completely; an end without a reason would not be retried.
+            # This is a bug in the gateway. The list may have been applied only in part, so the complete list
+            # is requested next. A reason is needed because an end without one is not retried.
             log.exception("discovery_watch_failed")
             self._replica_set.version = UNKNOWN_VERSION
-            reason = "a fault of the gateway; see discovery_watch_failed"
+            reason = "internal error of the gateway; see discovery_watch_failed"
         self._connection.close()
         self._owner.follower_ended(self, reason)
 
     async def _follow(self) -> None:
         loop = asyncio.get_running_loop()
-        # Watch only after a valid response: a request without a hold shows a fault sooner.
+        # Watch only after a valid response: a request without a hold detects a failing service sooner.
         may_hold = False
         while not self._stopping:
             request = EndpointListRequest(self._replica_set.version, self._owner.hold_ms if may_hold else 0)
@@ -104,13 +104,13 @@
             response, may_hold = await self._process(request, body)
             is_unchanged = request.is_watch and response.update.version == request.version
             if is_unchanged and loop.time() - requested_at < request.hold_ms / 2000:
-                # Protects a service that responds at once, again and again, from a tight loop.
+                # Avoids a tight loop of requests to a service that keeps responding at once.
                 await asyncio.sleep(UNCHANGED_PAUSE_SECONDS)
-            # Otherwise the next request is written at once, in the same turn of the event loop: what changes
+            # Otherwise the next request is written in the same iteration of the event loop, because a change
             # between a response and the next request counts as notified.
 
     async def _process(self, request: EndpointListRequest, body: bytes) -> tuple[EndpointListResponse, bool]:
-        """Decode and apply a response; returns it, and whether it was applied as it is."""
+        """Decode and apply a response; return it and whether it was applied unchanged."""
         self._applying = True
         try:
             await self._owner.wait_for_former_followers(self)
@@ -127,17 +127,17 @@
         return self._owner.listener.replica_set
 
     def _is_trustworthy(self, request: EndpointListRequest, response: EndpointListResponse) -> bool:
-        """Whether a response can be applied as it is; if not, the complete list is requested next."""
+        """Return whether a response can be applied unchanged; if not, the complete list is requested next."""
         update = response.update
         if request.version != UNKNOWN_VERSION and update.version < request.version:
-            # A stale response, or a restarted service. Replicas that it lists as ready may have drained
-            # since, and changes since the requested version are missing.
+            # The response is stale, or the service has restarted. Replicas that it lists as ready may have
+            # been drained since, and it lacks the changes since the requested version.
             log.info("discovery_version_regressed", requested_version=request.version, rev=update.version)
             self._owner.apply(self, replace(response, update=without_ready_replicas(update)))
             return False
         empty = update.complete and not update.entries and self._replica_set.ready_count > 0
         if empty and not self._last_list_empty:
-            # Protects against a short fault of discovery: only a second empty list in a row is applied.
+            # A brief failure of discovery may cause an empty list, so only a second one in a row is applied.
             self._last_list_empty = True
             self._owner.report_failing("an empty list; asked for again before it is believed")
             self._replica_set.version = UNKNOWN_VERSION
--- a/lockspoke/wire/discovery/messages.py
+++ b/lockspoke/wire/discovery/messages.py
@@ -1,4 +1,4 @@
-"""Messages of discovery's protocol: requests for the endpoint list, and the framing of responses."""
+"""The messages of the discovery protocol: requests for the endpoint list and their responses."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListRequest:
-    """One request for the list."""
+    """A request for the complete endpoint list, or for its changes since a version."""
 
-    version: int  # changes since this version are requested; UNKNOWN_VERSION: the complete list
-    hold_ms: int = 0  # how long discovery may wait for a change
+    version: int  # Changes since this version are requested, or the complete list for UNKNOWN_VERSION.
+    hold_ms: int = 0  # Discovery may delay its response for this long to wait for a change.
 
     @property
     def target(self) -> str:
-        """Path and query."""
+        """The path and query of the request."""
         if self.version == UNKNOWN_VERSION:
             return LIST_PATH
         return f"{LIST_PATH}?from={self.version}&hold_ms={self.hold_ms}"
 
     @property
     def is_watch(self) -> bool:
-        """Whether discovery holds the response until something changes, or until the hold is over."""
+        """Whether discovery delays the response until the list changes or the hold ends."""
         return self.version != UNKNOWN_VERSION and self.hold_ms > 0
 
 
@@ -38,18 +38,18 @@
     """Reads one response from its bytes, however they are split."""
 
     def __init__(self) -> None:
-        self.started = False  # whether any byte has arrived
-        self.reusable = False  # whether the connection can carry another request after this response
+        self.started = False  # Whether any byte of the response has arrived.
+        self.reusable = False  # Whether the connection can carry another request after this response.
         self._parser = ResponseParser()
         self._body = bytearray()
         self._head: ResponseHead | None = None
 
     def feed(self, data: bytes) -> bytes | None:
-        """Take bytes; returns the body once it is complete.
+        """Parse received bytes; return the body once it is complete.
 
         Raises:
-            HttpError: the response is malformed or too large.
-            EndpointListError: its status is not 200.
+            HttpError: The response is malformed or too large.
+            EndpointListError: The status of the response is not 200.
         """
         self.started = True
         for piece in self._parser.feed(data):
@@ -58,7 +58,7 @@
             elif isinstance(piece, BodyChunk):
                 self._body += piece.data
                 if len(self._body) > MAX_LIST_SIZE_BYTES:
-                    raise HttpError(502, f"a list of more than {MAX_LIST_SIZE_BYTES} bytes")
+                    raise HttpError(502, f"endpoint list larger than {MAX_LIST_SIZE_BYTES} bytes")
             elif isinstance(piece, MessageEnd) and self._head is not None:
                 self.reusable = self._head.keep_alive and self._parser.ended_cleanly
                 if self._head.status != 200:
--- a/lockspoke/wire/discovery/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -22,38 +22,39 @@
 from .endpoint_list import EndpointListResponse
 from .follower import EndpointListFollower
 
-MIN_HOLD_MS = 1500  # the shortest hold: how long discovery waits for a change before it responds
-HOLD_STEP_MS = 10  # between the holds of two gateways, so that they do not all poll at the same time
-MAX_HOLD_SPREAD_MS = 2000  # between the shortest and the longest hold
+# A hold is the time that discovery waits for a change before it responds without one.
+MIN_HOLD_MS = 1500
+HOLD_STEP_MS = 10  # The holds of gateways differ, so that they do not all poll at the same time.
+MAX_HOLD_SPREAD_MS = 2000  # The longest hold exceeds the shortest one by at most this much.
 
 log = structlog.get_logger()
 
 
 def hold_duration_ms(index: int, gateways: int) -> int:
-    """The hold of the gateway with this index, in milliseconds; those of all gateways are spread evenly."""
+    """Return the hold of the gateway with this index; the holds of all gateways are spread evenly."""
     spread = min(MAX_HOLD_SPREAD_MS, HOLD_STEP_MS * gateways)
     return MIN_HOLD_MS + spread * (index % gateways) // gateways
 
 
 class DiscoveryWatch:
-    """Watches the service in use, and reads the last response of the services used before."""
+    """Watches the current discovery service, and still reads the last responses of former ones."""
 
     def __init__(self, endpoint: Address, hold_ms: int = MIN_HOLD_MS, dial: Dial = dial) -> None:
         self.endpoint = endpoint
         self.hold_ms = hold_ms
-        self.first_poll_finished = False  # whether the first request has succeeded or failed
+        self.first_poll_finished = False  # Whether the first request has either succeeded or failed.
         self._dial = dial
         self._current_follower: EndpointListFollower | None = None
         self._former_followers: list[EndpointListFollower] = []
         self._failing = False
 
     def attach(self, listener: EndpointListListener) -> None:
-        """Report changes of the list to this listener; called once, before `watch`."""
+        """Report changes of the list to this listener; must be called once, before `watch`."""
         self.listener = listener
 
     @property
     def has_unread_changes(self) -> bool:
-        """Whether discovery has written changes that are not applied yet."""
+        """Whether discovery has sent changes that are not applied yet."""
         return any(follower.has_unread_changes for follower in self._followers())
 
     def _followers(self) -> list[EndpointListFollower]:
@@ -62,7 +63,7 @@
         return [*self._former_followers, self._current_follower]
 
     def watch(self, enable: bool) -> None:
-        """Start to watch, or stop; a watch that runs already continues."""
+        """Start or stop the watch; starting has no effect on a watch that is already running."""
         if not enable:
             self.close()
         elif self._current_follower is None:
@@ -70,9 +71,9 @@
             self._current_follower = EndpointListFollower(connection, self)
 
     def change_endpoint(self, endpoint: Address) -> None:
-        """Watch at another address, at once, since the old service may stop at any moment.
+        """Watch another address at once, since the old service may stop at any moment.
 
-        Changes that the old service has written, or is writing, are in force: its last response is still
+        Changes that the old service has sent or is still sending take effect, so its last response is still
         read and applied.
         """
         log.info("discovery_moved", host=endpoint[0], port=endpoint[1])
@@ -80,7 +81,7 @@
             self._former_followers.append(self._current_follower)
         self._current_follower = None
         self.endpoint = endpoint
-        # Versions are each service's own: the first request is for the complete list.
+        # A version means nothing to another service, so the complete list is requested first.
         self.listener.replica_set.version = UNKNOWN_VERSION
         self.watch(True)
 
@@ -90,12 +91,12 @@
             follower.close()
         self._current_follower, self._former_followers = None, []
 
-    # Called by followers
+    # The methods below implement FollowerOwner.
 
     async def wait_for_former_followers(self, follower: EndpointListFollower) -> None:
-        """Wait until former followers have applied what they received, so that newer lists come last.
+        """Wait until former followers have applied their responses, so that the newer list is applied last.
 
-        A follower that is replaced while it waits does not wait any longer.
+        Returns early if the waiting follower is itself replaced.
         """
         while follower is self._current_follower:
             if not any(former.has_unread_changes for former in self._former_followers):
@@ -106,13 +107,13 @@
             await asyncio.sleep(0)
 
     def apply(self, follower: EndpointListFollower, response: EndpointListResponse) -> None:
-        """Apply a response; raises EndpointListError if an entry of it could not be decoded."""
+        """Apply a response; raise EndpointListError if an entry of it could not be decoded."""
         self.first_poll_finished = True
         is_current = follower is self._current_follower
         update = response.update
-        if not is_current or response.faults:
-            # The version of a former service means nothing to the current one, and a version with faults is
-            # requested again.
+        if not is_current or response.errors:
+            # The version of a former service means nothing to the current one, and a version with errors has
+            # to be requested again.
             update = replace(update, version=self.listener.replica_set.version)
         if update.entries or update.complete:
             log.info(
@@ -121,14 +122,14 @@
                 complete=update.complete,
                 entries=len(update.entries),
             )
-        if self._failing and not response.faults:
+        if self._failing and not response.errors:
             log.info("discovery_recovered", rev=update.version)
             self._failing = False
         self.listener.endpoint_list_changed(update, completes_poll=is_current)
         response.require_complete()
 
     def follower_ended(self, follower: EndpointListFollower, reason: str | None) -> None:
-        """Forget a follower. If the current one failed, the balancer decides when to poll again."""
+        """Forget a follower; if the current one has failed, the balancer decides when to poll again."""
         if follower is not self._current_follower:
             self._former_followers = [one for one in self._former_followers if one is not follower]
             return
@@ -139,7 +140,7 @@
             self.listener.endpoint_list_failed()
 
     def report_failing(self, reason: str) -> None:
-        """Log that discovery does not respond as it should; once, until it recovers."""
+        """Log that discovery is failing, once until it recovers."""
         if not self._failing:
             log.warning("discovery_failing", reason=reason)
         self._failing = True
--- a/tests/wire/discovery/test_endpoint_list.py
+++ b/tests/wire/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint lists of discovery."""
+"""Tests of the decoding of endpoint lists."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return json.dumps({"rev": 4, "all": complete, "targets": targets}).encode()
 
 
-def test_of_a_replica_that_a_complete_list_names_twice_only_a_drain_is_applied() -> None:
+def test_replica_listed_twice_keeps_only_its_drain() -> None:
     twice = [TARGET, TARGET | {"state": "draining"}, TARGET | {"uid": "s-2"}]
     response = decode_endpoint_list(list_body(*twice))
     assert [(entry.uid, entry.state) for entry in response.update.entries] == [
@@ -36,12 +36,12 @@
     with pytest.raises(EndpointListError, match="uid 's-1' is listed twice; name each replica once"):
         response.require_complete()
     both = decode_endpoint_list(list_body(TARGET, TARGET))
-    assert both.faults and not both.update.entries and both.update.unreadable == {"s-1"}
+    assert both.errors and not both.update.entries and both.update.unreadable == {"s-1"}
     changes = decode_endpoint_list(list_body(*twice[:2], complete=False)).require_complete()
     assert [entry.state for entry in changes.entries] == [
         ReplicaState.READY,
         ReplicaState.DRAINING,
-    ]  # changes are applied in their order
+    ]  # Changes are applied in order, so a replica may occur several times.
 
 
 def test_lists_are_decoded() -> None:
@@ -49,13 +49,13 @@
     assert (update.version, update.complete) == (4, False)
     entry = update.entries[0]
     assert (entry.uid, entry.endpoint, entry.cell, entry.boot_ms) == ("s-1", ("127.0.0.1", 5000), 3, 5)
-    removed = {"uid": "s-1", "state": "removed"}  # a removed replica needs no address
+    removed = {"uid": "s-1", "state": "removed"}  # A removed replica needs no address.
     assert (
         decode_endpoint_list(list_body(removed)).require_complete().entries[0].state is ReplicaState.REMOVED
     )
 
 
-def test_a_machine_kind_that_is_not_a_name_is_decoded_as_unknown() -> None:
+def test_invalid_machine_kind_is_decoded_as_unknown() -> None:
     for given_kind, kind in (("m2", "m2"), (7, ""), (None, "")):
         update = decode_endpoint_list(list_body(TARGET | {"model": given_kind})).require_complete()
         assert update.entries[0].machine_kind == kind
@@ -72,23 +72,23 @@
         {"capacity_hint": True},
     ],
 )
-def test_an_entry_that_cannot_be_decoded_is_reported_and_affects_no_other(change: dict[str, object]) -> None:
+def test_undecodable_entry_is_reported_and_affects_no_other(change: dict[str, object]) -> None:
     response = decode_endpoint_list(list_body(TARGET | change, TARGET | {"uid": "s-2"}))
     assert [entry.uid for entry in response.update.entries] == ["s-2"]
     with pytest.raises(EndpointListError, match="|".join([*map(re.escape, change), "nowhere", "a:0"])):
         response.require_complete()
-    # The replica stays as it is: by its uid, or since nothing is concluded from what the list doesn't name.
+    # The replica keeps its state: its uid is marked as unreadable, or without a uid the list is incomplete.
     assert response.update.unreadable == {"s-1"} if "uid" not in change else not response.update.complete
 
 
 @pytest.mark.parametrize("state", ["draining", "removed"])
-def test_a_drain_is_applied_whatever_else_of_its_entry_cannot_be_decoded(state: str) -> None:
+def test_drain_is_applied_although_other_fields_are_invalid(state: str) -> None:
     response = decode_endpoint_list(list_body(TARGET | {"state": state, "endpoint": 5, "boot_ms": "x"}))
     assert [(entry.uid, entry.state) for entry in response.update.entries] == [("s-1", STATES[state])]
-    assert response.faults
+    assert response.errors
 
 
-def test_of_a_stale_list_only_drains_and_removals_are_applied() -> None:
+def test_stale_list_applies_only_drains_and_removals() -> None:
     update = decode_endpoint_list(
         list_body(TARGET, TARGET | {"uid": "s-2", "state": "draining"})
     ).require_complete()
@@ -110,10 +110,10 @@
         ),
     ).map(lambda value: json.dumps(value).encode())
 )
-def test_garbage_lists_give_clean_errors_only(text: bytes) -> None:
-    fault = None
+def test_arbitrary_input_raises_only_endpoint_list_errors(text: bytes) -> None:
+    message = None
     try:
         decode_endpoint_list(text)
     except EndpointListError as error:
-        fault = str(error)
-    assert fault != ""
+        message = str(error)
+    assert message != ""
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch of discovery on real sockets, with short holds."""
+"""Tests of the discovery watch on real sockets, with short holds."""
 
 from __future__ import annotations
 
@@ -31,8 +31,9 @@
     def __init__(self, version: int) -> None:
         self.replica_set, self.version, self.ready_count = self, version, 1
         self.updates: list[Any] = []
-        self.failed = 0
-        self.on_next_update: Callable[[], object] | None = None  # called once, while the next list is applied
+        self.failures = 0
+        # Called once, while the next list is applied.
+        self.on_next_update: Callable[[], object] | None = None
 
     def endpoint_list_changed(self, update: Any, completes_poll: bool = True) -> None:
         del completes_poll
@@ -43,11 +44,11 @@
         self.updates.append(update)
 
     def endpoint_list_failed(self) -> None:
-        self.failed += 1
+        self.failures += 1
 
 
 class SilentDiscovery(FakeDiscovery):
-    """Never responds to the requests with these numbers, counted from 1; their connections stay open."""
+    """Does not respond to requests with the given numbers, counted from 1; keeps their connections open."""
 
     def __init__(self, silent: Container[int]) -> None:
         super().__init__()
@@ -66,19 +67,19 @@
 async def request_times(
     silent: Container[int], listener: RecordingListener, hold_ms: int = HOLD_MS, updates: int = 1
 ) -> list[float]:
-    """The times of the requests, until that many lists are applied or a request has failed."""
+    """Return the times of the requests until `updates` lists have been applied or a request has failed."""
     async with FakeReplica() as replica, SilentDiscovery(silent) as discovery:
         discovery.change(replica)
         discovery_watch = watch.DiscoveryWatch(("127.0.0.1", discovery.port), hold_ms)
         discovery_watch.attach(cast(EndpointListListener, listener))
         discovery_watch.watch(True)
         await until(
-            lambda: len(listener.updates) >= updates or bool(listener.failed) or len(discovery.times) > 1
+            lambda: len(listener.updates) >= updates or bool(listener.failures) or len(discovery.times) > 1
         )
         if updates > 1:
             await until(lambda: len(discovery.times) > 1)
-            discovery.rev += 1  # a change that the lost watch misses
-        await until(lambda: len(listener.updates) >= updates or bool(listener.failed))
+            discovery.rev += 1  # The lost watch does not report this change.
+        await until(lambda: len(listener.updates) >= updates or bool(listener.failures))
         discovery_watch.close()
         discovery.stopped.set()
         return discovery.times
@@ -88,28 +89,28 @@
     """Regression: a backoff of up to 5 s before the next request violated the drain rule."""
     listener = RecordingListener(1)
     times = asyncio.run(request_times({2}, listener, updates=2))
-    assert len(listener.updates) == 2 and not listener.failed
-    assert times[2] - times[1] > HOLD_MS / 1000, "not before its hold is over"
+    assert len(listener.updates) == 2 and not listener.failures
+    assert times[2] - times[1] > HOLD_MS / 1000, "the watch is lost only after its hold"
 
 
-def test_a_service_that_stays_silent_is_reported_as_failing() -> None:
+def test_silent_service_is_reported_as_failing() -> None:
     listener = RecordingListener(1)
     times = asyncio.run(request_times(range(2, 99), listener, updates=2))
-    assert listener.failed == 1 and len(times) == 3, "after the lost watch one request, without a hold"
+    assert listener.failures == 1 and len(times) == 3, "one request without a hold follows the lost watch"
 
 
-def test_a_request_for_the_complete_list_times_out_long_before_a_watch(
+def test_complete_list_request_has_a_shorter_timeout_than_a_watch(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: it had the timeout of a watch, though changes must be applied within 6 s."""
+    """Regression: the request had the timeout of a watch, although changes must be applied within 6 s."""
     monkeypatch.setattr(discovery_connection, "RESPONSE_TIMEOUT_SECONDS", 0.2)
     listener = RecordingListener(-1)
     asyncio.run(request_times({1}, listener, hold_ms=60_000))
-    assert listener.failed == 1 and not listener.updates
+    assert listener.failures == 1 and not listener.updates
 
 
-def test_the_time_to_connect_does_not_shorten_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: a watch was lost before its hold was over, or counted as failed."""
+def test_connect_time_does_not_shorten_the_watch(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Regression: after a slow connect a watch was lost before its hold had ended, or counted as failed."""
     monkeypatch.setattr(discovery_connection, "CONNECT_TIMEOUT_SECONDS", 20.0)
 
     async def scenario() -> None:
@@ -123,21 +124,21 @@
         discovery_watch.attach(cast(EndpointListListener, listener))
         connects.set()
         discovery_watch.watch(True)
-        line = await peer.accept()
-        await line.read_until(b"\r\n\r\n")
+        connection = await peer.accept()
+        await connection.read_until(b"\r\n\r\n")
         connects.clear()
-        line.send(list_response(2, b"Connection: close\r\n"))
+        connection.send(list_response(2, b"Connection: close\r\n"))
         await until(lambda: len(listener.updates) == 1)
         loop = asyncio.get_running_loop()
-        late = loop.time() + HOLD_MS / 1000 + discovery_connection.WATCH_GRACE_SECONDS + 0.1
-        await until(lambda: loop.time() > late)
+        after_timeout = loop.time() + HOLD_MS / 1000 + discovery_connection.WATCH_GRACE_SECONDS + 0.1
+        await until(lambda: loop.time() > after_timeout)
         connects.set()
-        line = await peer.accept()
-        assert b"hold_ms=%d " % HOLD_MS in await line.read_until(b"\r\n\r\n")
-        line.send(list_response(3))
-        await until(lambda: len(listener.updates) == 2 or bool(listener.failed))
+        connection = await peer.accept()
+        assert b"hold_ms=%d " % HOLD_MS in await connection.read_until(b"\r\n\r\n")
+        connection.send(list_response(3))
+        await until(lambda: len(listener.updates) == 2 or bool(listener.failures))
         discovery_watch.close()
-        assert not listener.failed
+        assert not listener.failures
 
     asyncio.run(scenario())
 
@@ -150,7 +151,7 @@
 def run_with_watch(
     test: Callable[[watch.DiscoveryWatch, ScriptedServer, RecordingListener], Awaitable[None]],
 ) -> None:
-    """Run a test that acts as discovery."""
+    """Run a test in which the scripted server plays discovery."""
 
     async def scenario() -> None:
         peer, listener = ScriptedServer(), RecordingListener(1)
@@ -166,7 +167,7 @@
 @pytest.mark.parametrize("extra", [list_response(2), b"HTTP/1.1 2"], ids=["a second response", "half a line"])
 @pytest.mark.parametrize("late", [False, True], ids=["with the response", "after it"])
 def test_bytes_after_a_response_are_never_read_as_the_next_response(extra: bytes, late: bool) -> None:
-    """Regression: each later request got the response to the one before it."""
+    """Regression: each later request got the response to the request before it."""
 
     async def test(
         discovery_watch: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener
@@ -174,7 +175,7 @@
         first = await peer.accept()
         await first.read_until(b"from=1&")
         if late:
-            # It arrives after the response is read and before the next request is written.
+            # The extra bytes arrive after the response has been read, before the next request is written.
             listener.on_next_update = lambda: first.send(extra)
         first.send(list_response(2) + (b"" if late else extra))
         second = await peer.accept()
@@ -186,8 +187,8 @@
     run_with_watch(test)
 
 
-def test_a_list_received_as_discovery_moves_is_applied_without_its_version() -> None:
-    """The version of the old service means nothing to the new one: requests from it would miss changes."""
+def test_list_from_the_former_service_is_applied_without_its_version() -> None:
+    """A request to the new service since a version of the old one would miss changes."""
 
     async def test(
         discovery_watch: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener
@@ -196,20 +197,20 @@
         await old.read_until(b"from=1&")
         old.send(list_response(70))
         discovery_watch.change_endpoint(new.endpoint)
-        line = await new.accept()
-        assert b"from=" not in await line.read_until(b"\r\n\r\n")
-        line.send(list_response(4))
-        await line.read_until(b"from=4&")
+        connection = await new.accept()
+        assert b"from=" not in await connection.read_until(b"\r\n\r\n")
+        connection.send(list_response(4))
+        await connection.read_until(b"from=4&")
         assert [update.version for update in listener.updates] == [UNKNOWN_VERSION, 4]
         assert await old.read_some() == b"", "the old service gets no more requests"
 
     run_with_watch(test)
 
 
-def test_an_exception_while_a_list_is_applied_is_reported_as_a_failure(
+def test_exception_while_applying_a_list_is_reported_as_a_failure(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: the watch ended without a report, and the list never changed again."""
+    """Regression: the watch ended without reporting a failure, so the list was never updated again."""
 
     async def test(
         discovery_watch: watch.DiscoveryWatch, peer: ScriptedServer, listener: RecordingListener
@@ -217,16 +218,16 @@
         first = await peer.accept()
         await first.read_until(b"from=1&")
 
-        def fault() -> None:
+        def raise_injected_error() -> None:
             raise KeyError("injected")
 
-        listener.on_next_update = fault
+        listener.on_next_update = raise_injected_error
         first.send(list_response(2))
-        await until(lambda: listener.failed == 1)
+        await until(lambda: listener.failures == 1)
         discovery_watch.watch(True)
         second = await peer.accept()
         assert b"from=" not in await second.read_until(b"\r\n\r\n"), (
-            "the complete list: what was applied is not known"
+            "requests the complete list, since the last one may be applied only in part"
         )
 
     run_with_watch(test)
@@ -240,15 +241,15 @@
     assert max(watch.hold_duration_ms(index, 1024) for index in range(1024)) < 3500
 
 
-def test_a_watch_that_is_continued_late_is_logged() -> None:
-    """Changes in between count as notified though nobody has asked for them; no other line shows that."""
+def test_late_continuation_of_a_watch_is_logged() -> None:
+    """Changes in between count as notified although they were not requested; no other log line shows this."""
     delay = 1.5 * discovery_connection.MAX_WATCH_GAP_SECONDS
-    dialled = 0
+    dial_count = 0
 
     async def dial_late(endpoint: tuple[str, int]) -> IOStream:
-        nonlocal dialled
-        dialled += 1
-        if dialled == 2:
+        nonlocal dial_count
+        dial_count += 1
+        if dial_count == 2:
             await asyncio.sleep(delay)
         return await dial(endpoint)
 
@@ -271,17 +272,15 @@
     assert line["delay_ms"] >= 1000 * delay and not line["connection_reused"]
 
 
-def test_a_watch_is_continued_in_the_turn_of_the_loop_that_reads_its_answer() -> None:
-    """A busy loop must not come between an answer and the next request.
+def test_next_watch_is_sent_in_the_loop_iteration_of_the_response() -> None:
+    """A busy event loop must not delay the request that follows a response.
 
-    What happened: on the crowded day of issue 38 gateways asked again up to 0.47 s after an answer, on a
-    connection that was open. What changes in between counts as notified, and nobody has asked for it.
-
-    Why: after a watch that brought no change the follower gave the loop a turn before the next request, and
-    a turn takes as long when thousands of connections are ready.
-
-    What showed it: `discovery_request_delayed` with `connection_reused` in two plays of two, eight lines of
-    213 to 474 ms, beside `event_loop_late` of up to 681 ms (docs/incidents/0003).
+    Regression: after a watch without changes the follower yielded to the event loop before its next request.
+    One iteration of the loop is slow when thousands of connections are ready, so under high load (issue 38)
+    gateways sent the next request up to 0.47 s after the response, on a connection that was open. Changes in
+    between count as notified although they were not requested. Both runs logged `discovery_request_delayed`
+    with `connection_reused`, eight lines of 213 to 474 ms in all, and `event_loop_late` of up to 681 ms
+    (docs/incidents/0003).
     """
 
     async def scenario() -> None:
@@ -292,9 +291,9 @@
             discovery_watch = watch.DiscoveryWatch(("127.0.0.1", discovery.port), HOLD_MS)
             discovery_watch.attach(cast(EndpointListListener, listener))
             discovery_watch.watch(True)
-            await until(lambda: len(discovery.seen) == 2)  # the complete list, then a watch
-            busy = 2 * discovery_connection.MAX_WATCH_GAP_SECONDS
-            listener.on_next_update = partial(loop.call_soon, time.sleep, busy)
+            await until(lambda: len(discovery.seen) == 2)  # The complete list, then a watch.
+            busy_seconds = 2 * discovery_connection.MAX_WATCH_GAP_SECONDS
+            listener.on_next_update = partial(loop.call_soon, time.sleep, busy_seconds)
             await until(lambda: len(discovery.seen) == 3)
             discovery_watch.close()
 
