--- a/lockspoke/lifecycle/periodic_checks.py
+++ b/lockspoke/lifecycle/periodic_checks.py
@@ -77,5 +77,5 @@
 def log_client_counts(gateway: Gateway) -> None:
     """Log how the connections of clients have ended since the start, and what the front itself responded."""
     closes = {f"closed_{reason.value}": count for reason, count in gateway.clients.listener.closes.items()}
-    responses = {f"status_{status}": count for status, count in gateway.clients.own_responses.items()}
+    responses = {f"status_{status}": count for status, count in gateway.clients.gateway_responses.items()}
     log.info("client_counts", **closes, **responses)
--- a/lockspoke/wire/clients/connection.py
+++ b/lockspoke/wire/clients/connection.py
@@ -63,7 +63,7 @@
     open_ids: set[str]  # ids of requests whose response has not ended
     buffered_bytes: int  # of requests, complete or not, on all connections
     max_buffered_bytes: int
-    own_responses: Counter[int]  # responses that no replica made, by status
+    gateway_responses: Counter[int]  # Responses created by the gateway, by status.
     is_ready: Callable[[], bool]
 
 
@@ -288,14 +288,14 @@
         """Send a complete response, then go on with the next request or close."""
         keep_alive = self.stays_open_after(request)
         method = request.head.method
-        self.front.own_responses[status] += 1
+        self.front.gateway_responses[status] += 1
         self.outgoing.write(encode_text_response(status, text, keep_alive, headers=headers, method=method))
         self.response_finished(keep_alive)
 
     def _reject_and_close(self, error: HttpError) -> None:
         """Send an error as the last response: where the next message begins is not known any more."""
         headers = retry_after_header(OVERLOAD_RETRY_AFTER) if error.status == 503 else None
-        self.front.own_responses[error.status] += 1
+        self.front.gateway_responses[error.status] += 1
         self.outgoing.write(encode_text_response(error.status, str(error), keep_alive=False, headers=headers))
         self.active_at = asyncio.get_running_loop().time()
         self._close_gracefully()
--- a/lockspoke/wire/clients/front.py
+++ b/lockspoke/wire/clients/front.py
@@ -36,7 +36,7 @@
         self.is_ready = is_ready
         self.admission_mode = AdmissionMode.ACCEPT
         self.buffered_bytes = 0  # of requests, complete or not, on all connections
-        self.own_responses: Counter[int] = Counter()  # responses that no replica made, by status
+        self.gateway_responses: Counter[int] = Counter()  # Responses created by the gateway, by status.
         self.open_ids: set[str] = set()  # ids of requests whose response has not ended
         self.listener: Listener[ClientConnection] = Listener(self._create_connection, max_connections)
         self.reconfigure(classes, max_connections, max_buffered_bytes, tenants)
