--- a/lockspoke/wire/clients/__init__.py
+++ b/lockspoke/wire/clients/__init__.py
@@ -1,1 +1,1 @@
-"""The clients of the platform: the front, its connections, and the requests and responses on them."""
+"""The client front: the listener for the platform's clients, their connections, requests and responses."""
--- a/lockspoke/wire/clients/admission.py
+++ b/lockspoke/wire/clients/admission.py
@@ -1,4 +1,4 @@
-"""How the front treats new requests."""
+"""Whether the client front accepts new requests."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 
 class AdmissionMode(Enum):
-    """How the front treats a new request, by the phase of the program."""
+    """How the client front treats a new request, which depends on the phase of the program."""
 
-    ACCEPT = "open"  # served; the connection stays open for the next request
-    ACCEPT_AND_CLOSE = "last"  # served; the connection is closed after the response
-    REJECT = "closed"  # rejected with advice to retry elsewhere: there is no time to complete it
+    ACCEPT = "open"  # The request is served, and the connection stays open for the next one.
+    ACCEPT_AND_CLOSE = "last"  # The request is served, and the connection is closed after the response.
+    # No time is left to complete the request. It is rejected with the advice to retry on a new connection.
+    REJECT = "closed"
--- a/lockspoke/wire/clients/connection.py
+++ b/lockspoke/wire/clients/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: it reads requests and answers them in order, one at a time."""
+"""The connection of one client: reads its requests and answers them in order, one at a time."""
 
 from __future__ import annotations
 
@@ -30,45 +30,48 @@
 
 COMPLETIONS_PATH = "/v1/chat/completions"
 READINESS_PATH = "/up"
-METHODS = {COMPLETIONS_PATH: "POST", READINESS_PATH: "GET"}  # the allowed method by path
-MAX_PIPELINED_REQUESTS = 4  # read ahead of the response; the platform's clients send one at a time
-FIRST_BYTE_TIMEOUT_SECONDS = 2.25  # for a new connection
-REQUEST_TIMEOUT_SECONDS = 2.25  # from a request's first byte to its last
-MIN_KERNEL_WAIT_SECONDS = 0.02  # that bytes can have waited to be read, for the system to be asked
-LINGER_SECONDS = 1.0  # that a connection stays open after its last response, for the client to close
-LINGER_MAX_BYTES = 256 * 1024  # discarded after a malformed request, past which reading stops
-STALL_TIMEOUT_SECONDS = 20.0  # for a client that takes nothing of its response
-OVERLOAD_RETRY_AFTER = SECOND  # advice when too many bytes are buffered
-MOVED_RETRY_AFTER = 50 * MILLISECOND  # advice when a new connection leads to another instance
+METHODS = {COMPLETIONS_PATH: "POST", READINESS_PATH: "GET"}  # The allowed method of each path.
+# At most this many requests may wait on a connection; the platform's clients send one at a time.
+MAX_PIPELINED_REQUESTS = 4
+FIRST_BYTE_TIMEOUT_SECONDS = 2.25  # A new connection is closed if no byte arrives within this time.
+REQUEST_TIMEOUT_SECONDS = 2.25  # This is the limit from the first byte of a request to its last.
+# The kernel is asked when data arrived only if the data may have waited there for at least this long.
+MIN_KERNEL_WAIT_SECONDS = 0.02
+LINGER_SECONDS = 1.0  # After its last response the client has this long to close the connection.
+LINGER_MAX_BYTES = 256 * 1024  # After the last response, reading stops when more than this was discarded.
+STALL_TIMEOUT_SECONDS = 20.0  # A client that accepts no byte of its response for this long is disconnected.
+# The values for Retry-After are in nanoseconds.
+OVERLOAD_RETRY_AFTER = SECOND  # The advice when too many bytes are buffered.
+RECONNECT_RETRY_AFTER = 50 * MILLISECOND  # The advice when a new connection leads to another instance.
 
 
 log = structlog.get_logger()
 
 
 class ConnectionPhase(Enum):
-    """How far a client's connection is from its end."""
+    """How a client connection treats its input, from normal service to the close."""
 
-    SERVING = "serving"  # input is parsed and answered
-    LAST_RESPONSES = "last responses"  # input is discarded; requests read before are still answered
-    CLOSING = "closing"  # the last response is written; input is discarded until the client closes
+    SERVING = "serving"  # Input is parsed, and requests are answered.
+    LAST_RESPONSES = "last responses"  # Input is discarded; requests read earlier are still answered.
+    CLOSING = "closing"  # The last response is written; input is discarded until the client closes.
 
 
 class ConnectionOwner(Protocol):
-    """The front that a connection belongs to, with what all its connections share."""
+    """The client front that a connection belongs to, with the state that all its connections share."""
 
     core: Core
     admission_mode: AdmissionMode
-    classes: Mapping[str, int]  # the index of each request class by its name
-    tenants: Mapping[str, int]  # the index of each tenant by its name
-    open_ids: set[str]  # ids of requests whose response has not ended
-    buffered_bytes: int  # of requests, complete or not, on all connections
+    classes: Mapping[str, int]  # The index of each request class by its name.
+    tenants: Mapping[str, int]  # The index of each tenant by its name.
+    open_request_ids: set[str]  # The ids of requests whose response has not ended.
+    buffered_bytes: int  # The body bytes of requests, complete or not, on all connections.
     max_buffered_bytes: int
     gateway_responses: Counter[int]  # Responses created by the gateway, by status.
     is_ready: Callable[[], bool]
 
 
 class ClientConnection:
-    """One client's connection."""
+    """Reads the requests of one client connection and writes their responses."""
 
     def __init__(self, front: ConnectionOwner, stream: IOStream) -> None:
         self.front = front
@@ -78,16 +81,16 @@
         self.closed_by_timeout = asyncio.Event()
         self.opened_at = self.active_at = self.queued_since = asyncio.get_running_loop().time()
         self.assembler = RequestAssembler()
-        self.buffered_bytes = 0  # of requests, complete or not
-        self.pipelined: deque[ReceivedRequest | HttpError] = deque()  # to be answered in this order
-        self.open_request: ClientRequest | None = None  # submitted to the core, not answered yet
-        self.has_received = False  # whether a byte has ever arrived
-        self._has_received_request = False  # a complete one
+        self.buffered_bytes = 0  # The body bytes of requests, complete or not.
+        self.pipelined: deque[ReceivedRequest | HttpError] = deque()  # Waiting to be answered, in this order.
+        self.open_request: ClientRequest | None = None  # Submitted to the core and not answered yet.
+        self.has_received = False  # Whether any byte has arrived.
+        self._has_received_request = False  # Whether any request has been read completely.
         self.close_reason: CloseReason | None = None
         self.phase = ConnectionPhase.SERVING
-        # Set once the service address of the connection has moved to another instance.
+        # This is set when the service address of the connection moves to another instance.
         self.closes_after_response = False
-        # For a connection over the service address: whether this instance still holds its lease.
+        # For a connection over the service address, this returns whether the instance still holds the lease.
         self.lease_is_valid: Callable[[], bool] | None = None
 
     @property
@@ -102,16 +105,18 @@
         )
 
     async def run(self) -> None:
-        """Read until the client closes; the read that is always pending notices that at once."""
+        """Read and answer requests until the client closes.
+
+        A read is always pending, so a close by the client is noticed at once.
+        """
         try:
             await self._read()
         except StreamClosedError:
             pass
         finally:
             abandoned = self._release_request()
-            self._account_bytes(
-                0
-            )  # after the release, so that the request's own bytes are not counted any more
+            # This must follow the release, or the body of the open request would still count.
+            self._set_buffered_bytes(0)
             if abandoned is not None:
                 if self.close_reason is not None:
                     log.error(
@@ -128,31 +133,33 @@
                 continue
             discarded += len(data)
             if self.phase is ConnectionPhase.CLOSING and discarded > LINGER_MAX_BYTES:
-                # Unread input blocks a client that sends on and on, until the linger timeout closes.
+                # A client that keeps sending is blocked once its input is not read. The linger timeout then
+                # closes the connection.
                 await self.closed_by_timeout.wait()
 
     def check_timeouts(self, now: float) -> None:
-        """Close a connection whose client sends or takes nothing for too long.
+        """Close the connection if its client has sent or accepted nothing for too long.
 
         Args:
-            now: Seconds of the event loop's clock.
+            now: The time in seconds of the event loop's clock.
         """
-        flushed_at = self.outgoing.ended_at  # a slow client that still takes its response is not timed
+        # This is None until the response has been sent, so a slow client that still reads it is not timed.
+        flushed_at = self.outgoing.ended_at
         lingered = flushed_at is not None and now - flushed_at > LINGER_SECONDS
         if lingered or self.outgoing.stalled(now, STALL_TIMEOUT_SECONDS):
             close(self, CloseReason.RESPONDED if lingered else CloseReason.STALLED)
             self.closed_by_timeout.set()
         elif not self.has_received and now - self.opened_at > FIRST_BYTE_TIMEOUT_SECONDS:
             close_if_quiet(self, CloseReason.NO_REQUEST)
-        elif self._is_amid_request() and now - self.active_at > REQUEST_TIMEOUT_SECONDS:
+        elif self._is_receiving_request() and now - self.active_at > REQUEST_TIMEOUT_SECONDS:
             self._reject_and_close(HttpError(408, "request took too long"))
 
-    def _is_amid_request(self) -> bool:
-        """Whether the connection only waits for the rest of a request."""
+    def _is_receiving_request(self) -> bool:
+        """Return whether the connection waits for the rest of an incomplete request."""
         return self.open_request is None and self.phase is ConnectionPhase.SERVING and not self.assembler.idle
 
     def _receive(self, data: bytes) -> None:
-        """Parse input and answer what it completes."""
+        """Parse input and answer the requests that it completes."""
         if self.assembler.idle:
             self.active_at = asyncio.get_running_loop().time()
         self._parse(data)
@@ -162,7 +169,7 @@
         if self.open_request is not None:
             return
         if self.front.buffered_bytes > self.front.max_buffered_bytes:
-            # Enforces the memory limit: many large requests at once are rejected, not buffered.
+            # Enforces the memory limit: of many large requests at once, some are rejected, not buffered.
             self._reject_and_close(HttpError(503, "too many bytes held"))
         else:
             self._answer_pipelined()
@@ -179,10 +186,10 @@
             self._stop_parsing(error)
 
     def _earliest_arrival(self) -> int:
-        """When the bytes that were just read can have come, by the core's clock.
+        """Return the earliest time at which the bytes just read can have arrived, by the core's clock.
 
-        The first request may have waited in the kernel together with its connection, and one that takes
-        several reads may have been there in full before the first of them.
+        The first request may have waited in the kernel along with its connection. A request that takes
+        several reads may have arrived completely before the first read.
         """
         clock = self.front.core.clock
         arrived_at = clock.earliest_arrival()
@@ -196,37 +203,37 @@
     def _limit_pipelining(self) -> None:
         if len(self.pipelined) <= MAX_PIPELINED_REQUESTS or self.phase is not ConnectionPhase.SERVING:
             return
-        # The first requests are still answered: closing now would lose one that was accepted.
+        # The requests within the limit are still answered: closing now would drop an accepted request.
         while len(self.pipelined) > MAX_PIPELINED_REQUESTS:
             self.pipelined.pop()
         self._stop_parsing(HttpError(503, "too many requests sent ahead"))
 
     def _stop_parsing(self, error: HttpError) -> None:
-        """Discard further input; the error is the last response, after those that are due already."""
+        """Discard further input, and send the error as the last response, after those to earlier requests."""
         self.pipelined.append(error)
         self.phase = ConnectionPhase.LAST_RESPONSES
         self.assembler = RequestAssembler()
 
     def _update_buffered_bytes(self) -> None:
         waiting = sum(len(one.request.body) for one in self.pipelined if isinstance(one, ReceivedRequest))
-        self._account_bytes(self.assembler.body_size + waiting)
+        self._set_buffered_bytes(self.assembler.body_size + waiting)
 
-    def _account_bytes(self, size: int) -> None:
-        """Set the bytes that are buffered besides the open request's."""
+    def _set_buffered_bytes(self, size: int) -> None:
+        """Set the number of buffered bytes; `size` excludes the open request, whose body is added here."""
         if self.open_request is not None:
             size += len(self.open_request.body)
         self.front.buffered_bytes += size - self.buffered_bytes
         self.buffered_bytes = size
 
     def _release_request(self) -> ClientRequest | None:
-        """Forget the open request: it is answered, or the client has disconnected."""
+        """Clear and return the open request, which has been answered or whose client has disconnected."""
         released, self.open_request = self.open_request, None
         if released is not None:
-            self.front.open_ids.discard(released.request_id)
+            self.front.open_request_ids.discard(released.request_id)
         return released
 
     def _answer_pipelined(self) -> None:
-        """Answer the requests that wait, up to the first that the core takes."""
+        """Answer waiting requests until one of them is submitted to the core."""
         while self.pipelined and self.open_request is None and self.phase is not ConnectionPhase.CLOSING:
             received = self.pipelined.popleft()
             if isinstance(received, HttpError):
@@ -254,38 +261,38 @@
 
     def _submit_or_reject(self, received: ReceivedRequest) -> None:
         if self.lease_is_valid is not None and not self.lease_is_valid():
-            # Read after a pause longer than the lease: another instance holds the address by now.
+            # The request was read after a pause longer than the lease, so another instance holds the address.
             self.closes_after_response = True
-            self._reject_moved(received.request, "the address has moved")
+            self._reject_for_reconnect(received.request, "the address has moved")
         elif self.front.admission_mode is AdmissionMode.REJECT:
-            self._reject_moved(received.request, "stopping")
+            self._reject_for_reconnect(received.request, "stopping")
         else:
             self._submit(received, decode_request_fields(received.request.head.headers))
 
-    def _reject_moved(self, request: Request, reason: str) -> None:
-        self.send_response(request, 503, reason, retry_after_header(MOVED_RETRY_AFTER))
+    def _reject_for_reconnect(self, request: Request, reason: str) -> None:
+        self.send_response(request, 503, reason, retry_after_header(RECONNECT_RETRY_AFTER))
 
     def _submit(self, received: ReceivedRequest, fields: RequestFields) -> None:
         request_class = self.front.classes.get(fields.kind)
         if request_class is None:
             raise HttpError(400, "unknown Req-Kind")
-        if fields.request_id in self.front.open_ids:
-            # A replica would take it for a hedged copy of another client's request.
+        if fields.request_id in self.front.open_request_ids:
+            # A replica would mistake the request for a hedged copy of another client's request.
             raise HttpError(409, "Req-Id is in use")
         response = StreamingResponse(self, received.request)
         request = client_request(received, fields, response, request_class, self.front.tenants)
         self.open_request = request
-        self.front.open_ids.add(request.request_id)
+        self.front.open_request_ids.add(request.request_id)
         self.front.core.submit(request)
 
     def release_body(self) -> None:
-        """Stop counting the bytes of the open request's body, which the core has dropped."""
+        """Stop counting the body of the open request, which the core has released."""
         self._update_buffered_bytes()
 
     def send_response(
         self, request: Request, status: int, text: str, headers: Mapping[str, str] | None = None
     ) -> None:
-        """Send a complete response, then go on with the next request or close."""
+        """Send a complete response, then answer the next request or close the connection."""
         keep_alive = self.stays_open_after(request)
         method = request.head.method
         self.front.gateway_responses[status] += 1
@@ -293,7 +300,7 @@
         self.response_finished(keep_alive)
 
     def _reject_and_close(self, error: HttpError) -> None:
-        """Send an error as the last response: where the next message begins is not known any more."""
+        """Send an error as the last response, because the start of the next message is unknown."""
         headers = retry_after_header(OVERLOAD_RETRY_AFTER) if error.status == 503 else None
         self.front.gateway_responses[error.status] += 1
         self.outgoing.write(encode_text_response(error.status, str(error), keep_alive=False, headers=headers))
@@ -301,9 +308,9 @@
         self._close_gracefully()
 
     def _close_gracefully(self) -> None:
-        """End the sending after the last response.
+        """Shut down sending after the last response, and discard further input.
 
-        A request that crosses that response on its way is not run: its client sends it again.
+        A request that arrives after that response is not run; its client sends it again.
         """
         self.phase = ConnectionPhase.CLOSING
         self.pipelined.clear()
@@ -312,13 +319,13 @@
     def stays_open_after(self, request: Request) -> bool:
         """Return whether the connection stays open after a response.
 
-        A connection that is to be closed is closed once all requests that were read are answered.
+        A connection that is due to be closed stays open until all requests already read are answered.
         """
         closing = self.closes_after_response or self.front.admission_mode is not AdmissionMode.ACCEPT
         return request.head.keep_alive and not (closing and not self.pipelined)
 
     def response_finished(self, keep_alive: bool) -> None:
-        """Go on with the next request, or close, after a response has been written."""
+        """After a response has been written, answer the next request or close the connection."""
         self._release_request()
         self.active_at = asyncio.get_running_loop().time()
         if keep_alive:
--- a/lockspoke/wire/clients/forwarding.py
+++ b/lockspoke/wire/clients/forwarding.py
@@ -1,4 +1,4 @@
-"""The request that the core gets: its attributes, and the header fields that replicas get."""
+"""Builds the request for the core, with the header fields that are forwarded to replicas."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from .request_fields import RequestFields
 from .responses import StreamingResponse
 
-DEFAULT_HOST = "origin.svc"  # sent to replicas if an HTTP/1.0 client named no host
-# Fields that concern the client's connection alone, and those that the transport sets for each attempt.
+DEFAULT_HOST = "origin.svc"  # Sent to replicas when an HTTP/1.0 client sent no Host field.
+# Fields that apply only to the client's connection, and fields that the transport sets for each attempt.
 HEADERS_NOT_FORWARDED = frozenset(
     {
         "connection",
@@ -37,11 +37,12 @@
     """A request that has been read completely."""
 
     request: Request
-    arrived_at: int  # nanoseconds of the core's clock: the earliest that its last byte can have come
+    # The earliest time at which its last byte can have arrived, in nanoseconds of the core's clock.
+    arrived_at: int
 
 
 def forwarded_headers(headers: Headers) -> dict[str, str]:
-    """Return the header fields that a replica gets."""
+    """Return the header fields that are forwarded to a replica."""
     dropped = HEADERS_NOT_FORWARDED | headers.tokens("connection")
     forwarded = {name: value for name, value in headers.fields if name not in dropped}
     return {"host": DEFAULT_HOST, **forwarded}
@@ -54,7 +55,7 @@
     request_class: int,
     tenants: Mapping[str, int],
 ) -> ClientRequest:
-    """Return the request in the core's terms."""
+    """Convert a received request to the form that the core takes."""
     head = received.request.head
     return ClientRequest(
         response=response,
@@ -65,7 +66,7 @@
         target=head.target,
         headers=forwarded_headers(head.headers),
         body=received.request.body,
-        # A tenant that the settings do not name counts as the first one.
+        # A tenant that is not in the settings counts as the first one.
         tenant=tenants.get(fields.tenant, 0),
         session=key_identifier(fields.key),
         prefix=key_identifier(fields.prefix),
--- a/lockspoke/wire/clients/front.py
+++ b/lockspoke/wire/clients/front.py
@@ -1,4 +1,4 @@
-"""The platform's front: the listener for its clients, and the bounds that all connections share."""
+"""The client front: the listener for the platform's clients, and the limits that all connections share."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from .admission import AdmissionMode
 from .connection import ClientConnection
 
-IDLE_TIMEOUT_SECONDS = 30.0  # for which a connection stays open between requests
-CROWDED_IDLE_TIMEOUT_SECONDS = 2.0  # the same, while the front is crowded
-CROWDED_SHARE = 0.5  # of the allowed connections, past which the front is crowded
+IDLE_TIMEOUT_SECONDS = 30.0  # A connection may be idle between requests for this long.
+REDUCED_IDLE_TIMEOUT_SECONDS = 2.0  # This limit applies instead while many connections are open.
+MANY_CONNECTIONS_SHARE = 0.5  # More open connections than this share of the limit count as many.
 
 
 class ClientFront:
-    """The client connections of the platform's port."""
+    """The connections of the platform's clients, and the state that they share."""
 
     def __init__(
         self,
@@ -35,9 +35,9 @@
         self.core = core
         self.is_ready = is_ready
         self.admission_mode = AdmissionMode.ACCEPT
-        self.buffered_bytes = 0  # of requests, complete or not, on all connections
+        self.buffered_bytes = 0  # The body bytes of requests, complete or not, on all connections.
         self.gateway_responses: Counter[int] = Counter()  # Responses created by the gateway, by status.
-        self.open_ids: set[str] = set()  # ids of requests whose response has not ended
+        self.open_request_ids: set[str] = set()  # The ids of requests whose response has not ended.
         self.listener: Listener[ClientConnection] = Listener(self._create_connection, max_connections)
         self.reconfigure(classes, max_connections, max_buffered_bytes, tenants)
 
@@ -51,17 +51,19 @@
         max_buffered_bytes: int,
         tenants: Mapping[str, int] = MappingProxyType({}),
     ) -> None:
-        """Set the request classes and tenants by name, and the bounds, from now on."""
+        """Replace the request classes, the tenants and the limits."""
         self.classes = classes
         self.tenants = tenants
         self.listener.max_connections = max_connections
         self.max_buffered_bytes = max_buffered_bytes
 
     def run_periodic_checks(self) -> None:
-        """Close connections that are idle, stalled, or amid a request for too long."""
+        """Close connections that have been idle, stalled or receiving one request for too long."""
         now = asyncio.get_running_loop().time()
-        crowded = len(self.listener.connections) > CROWDED_SHARE * self.listener.max_connections
-        self.listener.close_idle(CROWDED_IDLE_TIMEOUT_SECONDS if crowded else IDLE_TIMEOUT_SECONDS)
+        many_connections = (
+            len(self.listener.connections) > MANY_CONNECTIONS_SHARE * self.listener.max_connections
+        )
+        self.listener.close_idle(REDUCED_IDLE_TIMEOUT_SECONDS if many_connections else IDLE_TIMEOUT_SECONDS)
         self.listener.enforce_limit()
         for connection in list(self.listener.connections):
             connection.check_timeouts(now)
--- a/lockspoke/wire/clients/request_fields.py
+++ b/lockspoke/wire/clients/request_fields.py
@@ -1,4 +1,4 @@
-"""The `Req-*` header fields, with which a client describes its request."""
+"""Decodes the `Req-*` header fields, by which a client describes its request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from lockspoke.wire.http.messages import Headers, HttpError
 
-MAX_DEADLINE_MS = 3_600_000  # a longer deadline is cut to it
+MAX_DEADLINE_MS = 3_600_000  # A longer deadline is reduced to this value.
 MAX_DEADLINE_DIGITS = 9
 MAX_NAME_LENGTH = 128
 MAX_TOKENS = 1e9
@@ -15,42 +15,42 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFields:
-    """The description of a request by its header fields."""
+    """What the `Req-*` header fields of a request say."""
 
     request_id: str
-    kind: str  # the request class by its name in the settings
-    deadline_ms: int  # the time that remains
-    key: str = ""  # of the session
-    prefix: str = ""  # the identifier of the prompt's shared prefix
-    prompt_len: float = 0.0  # tokens
-    prefix_len: float = 0.0  # tokens
-    max_out: float = 0.0  # tokens
+    kind: str  # The name of the request class in the settings.
+    deadline_ms: int  # The time that remains until the deadline.
+    key: str = ""  # The identifier of the session.
+    prefix: str = ""  # The identifier of the prompt's shared prefix.
+    prompt_len: float = 0.0  # The length of the prompt in tokens.
+    prefix_len: float = 0.0  # The length of the shared prefix in tokens.
+    max_out: float = 0.0  # The maximum length of the output in tokens.
     tenant: str = ""
-    retry: bool = False  # marked as a retry by the client; the continuation of a stream is not one
+    retry: bool = False  # Whether the client marks a retry; the continuation of a stream is not one.
 
 
 def decode_request_fields(headers: Headers) -> RequestFields:
     """Return the fields of a request.
 
     Raises:
-        HttpError: 400, for a field that is missing, repeated or out of range.
+        HttpError: A field is missing, repeated, malformed or out of range (status 400).
     """
     names = [name for name, _ in headers.fields if name.startswith("req-")]
     if len(set(names)) != len(names):
-        # Gateway and replica might read different ones of two values.
+        # The gateway and a replica might each use a different one of the two values.
         raise HttpError(400, "a Req- field came twice")
     deadline_ms = _deadline(headers)
     extra = _extra_fields(headers)
     return RequestFields(
-        request_id=_name(headers, "req-id", required=True),
-        kind=_name(headers, "req-kind", required=True),
+        request_id=_name_field(headers, "req-id", required=True),
+        kind=_name_field(headers, "req-kind", required=True),
         deadline_ms=deadline_ms,
-        key=_name(headers, "req-key"),
+        key=_name_field(headers, "req-key"),
         prefix=extra.get("prefix", "")[:MAX_NAME_LENGTH],
         prompt_len=_token_count(extra, "prompt_len"),
         prefix_len=_token_count(extra, "prefix_len"),
         max_out=_token_count(extra, "max_out"),
-        tenant=_name(headers, "req-owner"),
+        tenant=_name_field(headers, "req-owner"),
         retry=headers.get("req-retry") == "1",
     )
 
@@ -63,7 +63,7 @@
 
 
 def _extra_fields(headers: Headers) -> dict[str, str]:
-    """Return the `name=value` items of Req-Extra."""
+    """Return the `name=value` items of the Req-Extra field."""
     extra: dict[str, str] = {}
     for item in headers.get("req-extra").split(","):
         name, _, value = item.strip().partition("=")
@@ -71,7 +71,7 @@
     return extra
 
 
-def _name(headers: Headers, field: str, required: bool = False) -> str:
+def _name_field(headers: Headers, field: str, required: bool = False) -> str:
     value = headers.get(field)
     if (required and not value) or len(value) > MAX_NAME_LENGTH:
         raise HttpError(400, f"{field} is missing or too long")
@@ -79,7 +79,7 @@
 
 
 def _token_count(extra: dict[str, str], name: str) -> float:
-    """Return a number of tokens; 0 if it is not given."""
+    """Return a number of tokens from Req-Extra, or 0 if it is absent."""
     try:
         count = float(extra.get(name, "0"))
     except ValueError:
--- a/lockspoke/wire/clients/responses.py
+++ b/lockspoke/wire/clients/responses.py
@@ -1,4 +1,4 @@
-"""Responses to clients: complete ones, and the event stream of a replica."""
+"""Responses to clients: complete text responses, and the event stream from a replica."""
 
 from __future__ import annotations
 
@@ -25,54 +25,54 @@
     headers: Mapping[str, str] | None = None,
     method: str = "GET",
 ) -> bytes:
-    """Return a complete response of one line of text to a request of that method."""
+    """Encode a complete response with one line of text, for a request with the given method."""
     fields = {"Content-Type": "text/plain; charset=utf-8", **(headers or {})}
     return encode_response(status, f"{text}\n".encode(), fields, keep_alive, method)
 
 
 def retry_after_header(nanoseconds: int) -> dict[str, str]:
-    """Return the header field that advises a client when to retry."""
+    """Return the header field that tells a client when to retry."""
     return {"Retry-After": f"{nanoseconds / SECOND:.3f}"}
 
 
 class RespondingConnection(Protocol):
-    """The client connection that a response is written to."""
+    """The client connection to which a response is written."""
 
     stream: IOStream
     outgoing: OutgoingBuffer
 
     def release_body(self) -> None:
-        """Stop counting the bytes of the open request's body, which the core has dropped."""
+        """Stop counting the body of the open request, which the core has released."""
 
     def send_response(
         self, request: Request, status: int, text: str, headers: Mapping[str, str] | None = None
     ) -> None:
-        """Send a complete response, then go on with the next request or close."""
+        """Send a complete response, then answer the next request or close the connection."""
 
     def stays_open_after(self, request: Request) -> bool:
         """Return whether the connection stays open after a response."""
 
     def response_finished(self, keep_alive: bool) -> None:
-        """Go on with the next request, or close, after a response has been written."""
+        """After a response has been written, answer the next request or close the connection."""
 
 
 class StreamingResponse:
-    """The response to a request that is forwarded: a stream of events, or an error."""
+    """The response to a forwarded request: an event stream or an error."""
 
     def __init__(self, connection: RespondingConnection, request: Request) -> None:
         self.connection = connection
         self.request = request
-        self.chunked = request.head.minor_version > 0  # in HTTP/1.0 the close ends the body
+        self.chunked = request.head.minor_version > 0  # In HTTP/1.0 the body ends with the connection.
         self.head_sent = False
-        self.keep_alive = False  # whether the connection stays open afterwards, known with the head
+        self.keep_alive = False  # Whether the connection stays open afterwards; set when the head is encoded.
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether the client has sent bytes, or its close, that are not read yet."""
+        """Whether the client has sent bytes, or closed, and the gateway has not read this yet."""
         return not is_quiet(self.connection.stream)
 
     def write(self, data: bytes) -> asyncio.Future[None] | None:
-        """Send events at once, the first with the head.
+        """Send events without delay, the first together with the head.
 
         Returns:
             A future that is done when a slow client has caught up, or None if there is no need to wait.
@@ -94,20 +94,24 @@
         return encode_head(200, headers)
 
     def finish(self) -> None:
-        """End a complete stream, with the last chunk."""
+        """End a complete stream with the last chunk."""
         encoded = encode_chunk(b"") if self.chunked else b""
         self.connection.outgoing.write(encoded if self.head_sent else self._encode_head() + encoded)
         self.connection.response_finished(self.keep_alive)
 
     def abort(self) -> None:
-        """End an incomplete stream: without a last chunk the client sees that it is truncated."""
+        """End an incomplete stream without the last chunk, so that the client detects the truncation."""
         self.connection.response_finished(keep_alive=False)
 
     def reject(self, retry_after: int) -> None:
-        """Reject the request because of overload; 0 gives no advice when to retry."""
+        """Reject the request because of overload.
+
+        Args:
+            retry_after: The advice to the client in nanoseconds, or 0 for none.
+        """
         headers = retry_after_header(retry_after) if retry_after else None
         self.connection.send_response(self.request, 503, "overloaded", headers)
 
     def fail(self) -> None:
-        """Respond that the request has failed."""
+        """Respond with status 502: the request has failed."""
         self.connection.send_response(self.request, 502, "failed")
--- a/tests/wire/clients/test_connection.py
+++ b/tests/wire/clients/test_connection.py
@@ -1,4 +1,4 @@
-"""Client connections over a socket pair, with test doubles behind the core."""
+"""Tests of client connections over a socket pair, with test doubles for what the core uses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ConnectedClient:
-    """A client, the gateway's side of its connection, and the front that it belongs to."""
+    """A client socket, the gateway's side of its connection, and the front that serves it."""
 
     def __init__(self, front: ClientFront, world: World) -> None:
         self.front = front
@@ -49,7 +49,7 @@
         return received
 
     async def expect_close(self) -> None:
-        """The gateway has ended its sending, and its connection ends once the client closes."""
+        """Check that the gateway has shut down sending, and closes the connection once the client does."""
         loop = asyncio.get_running_loop()
         rest = await asyncio.wait_for(loop.sock_recv(self.socket, 65536), TIMEOUT_SECONDS)
         assert rest == b"" and not self.task.done()
@@ -61,7 +61,7 @@
 
 
 def new_client() -> ConnectedClient:
-    """Return a client of a front of its own."""
+    """Return a client that is connected to a new front."""
     world = World()
     return ConnectedClient(ClientFront(world.core, {"docs": 0}, 8, 48_000_000, lambda: True), world)
 
@@ -74,7 +74,7 @@
 
 
 def test_buffered_bytes_are_released_however_a_request_ends() -> None:
-    """Otherwise the limit would be used up in time, and every request rejected."""
+    """Otherwise the limit would be used up over time, until every request is rejected."""
 
     async def completed(client: ConnectedClient) -> None:
         client.send(request_bytes(1, body=BODY))
@@ -142,8 +142,8 @@
     run_with_client(test)
 
 
-def test_input_behind_a_request_does_not_cost_its_response() -> None:
-    """Regression: hundreds of requests, or garbage, ended the connection while a request was open."""
+def test_input_after_a_request_does_not_prevent_its_response() -> None:
+    """Regression: hundreds of pipelined requests, or garbage, closed the connection amid an open request."""
 
     async def pipelined(client: ConnectedClient) -> None:
         client.send(b"".join(request_bytes(number) for number in range(1, 200)))
@@ -154,7 +154,7 @@
         response = await client.read_until(b"ahead\n")
         assert response.count(EVENTS[0]) == client_connection.MAX_PIPELINED_REQUESTS
         assert b"HTTP/1.1 503 " in response
-        assert client.front.buffered_bytes == 0 and not client.front.open_ids
+        assert client.front.buffered_bytes == 0 and not client.front.open_request_ids
         await client.disconnect()
 
     async def garbage(client: ConnectedClient) -> None:
@@ -173,7 +173,7 @@
         run_with_client(test)
 
 
-def test_id_of_an_open_request_is_rejected_until_its_response_ends() -> None:
+def test_duplicate_request_id_is_rejected_until_the_response_ends() -> None:
     async def test(client: ConnectedClient) -> None:
         client.send(request_bytes(1))
         await until(lambda: bool(client.world.started))
@@ -187,19 +187,19 @@
         assert client.socket is first
         await other.disconnect()
         await client.disconnect()
-        assert not client.front.open_ids
+        assert not client.front.open_request_ids
 
     run_with_client(test)
 
 
-def test_connection_without_a_byte_is_closed_and_one_that_was_used_stays_open() -> None:
+def test_silent_connection_is_closed_and_a_used_one_stays_open() -> None:
     async def test(client: ConnectedClient) -> None:
-        late = asyncio.get_running_loop().time() + client_connection.FIRST_BYTE_TIMEOUT_SECONDS + 0.1
+        after_timeout = asyncio.get_running_loop().time() + client_connection.FIRST_BYTE_TIMEOUT_SECONDS + 0.1
         silent = new_client()
         client.send(READINESS_CHECK)
         await client.read_until(b"ready\n")
         for one in (client, silent):
-            one.connection.check_timeouts(late)
+            one.connection.check_timeouts(after_timeout)
         await asyncio.wait_for(silent.task, TIMEOUT_SECONDS)
         assert not client.task.done()
         await client.disconnect()
@@ -207,8 +207,8 @@
     run_with_client(test)
 
 
-def test_of_a_body_past_the_limit_only_the_beginning_is_read() -> None:
-    """Regression: 60 MB that were read and discarded took the CPU time of all other connections."""
+def test_only_the_beginning_of_an_oversized_body_is_read() -> None:
+    """Regression: reading and discarding 60 MB took CPU time from all other connections."""
 
     async def test(client: ConnectedClient) -> None:
         client.send(request_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 60000000"))
@@ -241,7 +241,7 @@
 
 
 def test_request_over_an_address_that_has_moved_is_rejected() -> None:
-    """The lease of the address has ended, as after a pause of the process."""
+    """The lease of the address has expired, as it does when the process is paused."""
 
     async def test(client: ConnectedClient) -> None:
         lease_is_valid = True
@@ -263,8 +263,8 @@
     run_with_client(test)
 
 
-def test_tenant_that_a_client_names_reaches_the_balancer() -> None:
-    """Regression: all requests counted as the first tenant's, and one tenant's flood delayed the others."""
+def test_tenant_of_a_request_reaches_the_balancer() -> None:
+    """Regression: all requests counted for the first tenant, so a flood from one delayed the others."""
 
     async def test(client: ConnectedClient) -> None:
         client.front.reconfigure({"docs": 0}, 8, 48_000_000, {"north": 0, "south": 1})
--- a/tests/wire/clients/test_flood.py
+++ b/tests/wire/clients/test_flood.py
@@ -1,12 +1,10 @@
-"""A client that floods its connection must not hold the event loop.
+"""A client that floods its connection must not block the event loop.
 
-What happened: one client that sent a request's body in chunks of one byte, as fast as the gateway read them,
-kept everybody else waiting for 0.7 s: streams, `GET /up`, operators, discovery.
-
-Why: a read from a socket that holds bytes already does not wait, so the loop that reads a connection did not
-give way; a body may have 256 KiB, and parsing a chunk takes as long as parsing a long piece.
-
-What showed it: the longest delays of this test; the five other floods delayed nobody by more than 4 ms.
+Regression: a client that sent a request body in chunks of one byte, as fast as the gateway read them, delayed
+all other work by 0.7 s: event streams, `GET /up`, operators and discovery. A read from a socket that already
+holds bytes does not wait, so the loop that reads a connection never yielded to other tasks. A body may have
+256 KiB, and parsing a chunk of one byte takes as long as parsing a large one. The five other floods of this
+test delayed other work by at most 4 ms.
 """
 
 from __future__ import annotations
@@ -24,7 +22,7 @@
 from tests.standins import Program, until
 
 FLOOD_SECONDS = 1.0
-# In a process of its own, so that it is as fast as the kernel and does not delay the probes.
+# The flood runs in a separate process, so that it is as fast as the kernel and does not delay the probes.
 FLOOD = """
 import socket, sys, time
 port, seconds = int(sys.argv[1]), float(sys.argv[3])
@@ -53,8 +51,8 @@
 
 
 @pytest.mark.parametrize("name", FLOODS)
-def test_a_flood_delays_nobody_else(name: str, tmp_path: Path) -> None:
-    """Of the platform's port, of the operators' port and of the batch port."""
+def test_flood_does_not_delay_other_work(name: str, tmp_path: Path) -> None:
+    """The flood goes to the client port, the operator port and the batch port in turn."""
     first, repeated = FLOODS[name]
     options = ("--batch", batch_config(tmp_path))
 
@@ -67,7 +65,7 @@
         async with running() as program:
             await until(lambda: program.log("operators_listening") is not None)
             await until(lambda: program.log("batch_listening") is not None)
-            operators = program.log("operators_listening")["port"]  # type: ignore[index]  # awaited above
+            operators = program.log("operators_listening")["port"]  # type: ignore[index]  # `until` has waited for this line.
             for port in (program.port, batch_port(program), operators):
                 await flood(program, port)
             assert await program.terminate() == 0
--- a/tests/wire/clients/test_request_fields.py
+++ b/tests/wire/clients/test_request_fields.py
@@ -1,4 +1,4 @@
-"""The header fields with which clients describe their requests."""
+"""Tests of the decoding of `Req-*` header fields."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def request_headers(**changes: str) -> Headers:
-    """Return the fields of a request with some of them changed; names are given with underscores."""
+    """Return header fields of a request with some of them changed; the names have underscores for hyphens."""
     fields = {
         "req-id": "9b1f",
         "req-kind": "chat",
@@ -20,12 +20,12 @@
     return Headers((fields | {name.replace("_", "-"): value for name, value in changes.items()}).items())
 
 
-def test_fields_of_a_request() -> None:
+def test_valid_fields_are_decoded() -> None:
     fields = decode_request_fields(request_headers())
     assert (fields.request_id, fields.kind, fields.deadline_ms, fields.key) == ("9b1f", "chat", 4800, "7f3a")
     assert (fields.prefix, fields.prompt_len, fields.prefix_len, fields.max_out) == ("5c0f", 5120, 2048, 800)
     assert not fields.retry and decode_request_fields(request_headers(req_retry="1")).retry
-    # The continuation of a stream is not a retry of something that failed.
+    # The continuation of a stream is not a retry of a failed request.
     assert not decode_request_fields(request_headers(req_retry="again")).retry
     assert (fields.tenant, decode_request_fields(request_headers(req_owner="north")).tenant) == ("", "north")
 
