--- a/lockspoke/wire/operators/__init__.py
+++ b/lockspoke/wire/operators/__init__.py
@@ -1,1 +1,1 @@
-"""The operators: their requests, and the listener for them."""
+"""The operator front: the listener for operators and their requests."""
--- a/lockspoke/wire/operators/api.py
+++ b/lockspoke/wire/operators/api.py
@@ -1,4 +1,7 @@
-"""The requests of operators: one per connection, answered with 200 or an error that names the reason."""
+"""Decodes the requests of operators.
+
+A connection carries one request, whose response is a 200 or an error with the reason in its text.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 _PATH_PATTERN = re.compile(
     r"/control/(?:(?P<command>[a-z-]+)|replicas/(?P<uid>[^/]+)/(?P<replica_command>[a-z]+))"
 )
-_MAX_ECHOED_PATH = 200  # characters of a path that an error repeats
+_MAX_ECHOED_CHARACTERS = 200  # An error message repeats at most this much of a path.
 
 
 class OperatorCommand(Enum):
@@ -34,25 +37,25 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorRequest:
-    """A decoded request."""
+    """A decoded request of an operator."""
 
     command: OperatorCommand
-    uid: str = ""  # of the replica, for a command about one
+    uid: str = ""  # The uid of the replica, for a command that concerns one replica.
 
 
 def decode_operator_request(request: Request) -> OperatorRequest:
     """Return the operator's request.
 
     Raises:
-        HttpError: 404 for an unknown path, 405 for another method than the path's.
+        HttpError: The path is unknown (status 404), or the method is not the one that it requires (405).
     """
     head = request.head
     decoded = _decode_path(head.path)
     if decoded is None:
-        raise HttpError(404, f"no such call: {head.path[:_MAX_ECHOED_PATH]}")
+        raise HttpError(404, f"no such call: {head.path[:_MAX_ECHOED_CHARACTERS]}")
     method = "GET" if decoded.command is OperatorCommand.READY else "POST"
     if head.method != method:
-        raise HttpError(405, f"{head.path[:_MAX_ECHOED_PATH]} wants {method}")
+        raise HttpError(405, f"{head.path[:_MAX_ECHOED_CHARACTERS]} wants {method}")
     return decoded
 
 
--- a/lockspoke/wire/operators/front.py
+++ b/lockspoke/wire/operators/front.py
@@ -1,4 +1,4 @@
-"""The operators' front: a listener of its own, so that clients cannot use up its connections."""
+"""The operator front, which has a separate listener so that clients cannot use up its connections."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 from .api import OperatorRequest, decode_operator_request
 
-MAX_CONNECTIONS = 16  # past which the connection that is silent for longest is closed
-CONNECTION_TIMEOUT_SECONDS = 5.0  # from accept to close: a request is one small message
-CROWDED_CONNECTION_TIMEOUT_SECONDS = 0.5  # the same, with more than half of the connections open
-READ_SIZE = 4096  # bytes
+MAX_CONNECTIONS = 16  # Beyond this, the connection that has been silent for longest is closed.
+CONNECTION_TIMEOUT_SECONDS = 5.0  # This is the limit from accept to close, as a request is one small message.
+REDUCED_CONNECTION_TIMEOUT_SECONDS = 0.5  # This applies instead while over half of MAX_CONNECTIONS are open.
+READ_SIZE_BYTES = 4096
 TEXT_HEADERS = {"Content-Type": "text/plain; charset=utf-8"}
 
-OperatorHandler = Callable[[OperatorRequest], str]  # returns the text of a 200; raises HttpError
+OperatorHandler = Callable[[OperatorRequest], str]  # Returns the text of a 200 response or raises HttpError.
 
 
 class OperatorFront:
@@ -38,21 +38,21 @@
         return OperatorConnection(self.handler, stream)
 
     def run_periodic_checks(self) -> None:
-        """Close the connections that are open for longer than any request takes."""
-        crowded = len(self.listener.connections) > MAX_CONNECTIONS // 2
-        timeout = CROWDED_CONNECTION_TIMEOUT_SECONDS if crowded else CONNECTION_TIMEOUT_SECONDS
-        before = asyncio.get_running_loop().time() - timeout
+        """Close connections that have been open for longer than a request should take."""
+        many_connections = len(self.listener.connections) > MAX_CONNECTIONS // 2
+        timeout = REDUCED_CONNECTION_TIMEOUT_SECONDS if many_connections else CONNECTION_TIMEOUT_SECONDS
+        cutoff = asyncio.get_running_loop().time() - timeout
         for connection in list(self.listener.connections):
-            if connection.opened_at < before and not connection.reader.has_unread:
+            if connection.opened_at < cutoff and not connection.reader.has_unread:
                 close(connection, CloseReason.STALLED)
 
 
 class OperatorConnection:
-    """One operator's connection."""
+    """A connection of an operator."""
 
     def __init__(self, handler: OperatorHandler, stream: IOStream) -> None:
         self.stream = stream
-        self.reader = FairReader(stream, READ_SIZE)
+        self.reader = FairReader(stream, READ_SIZE_BYTES)
         self.opened_at = self.active_at = self.queued_since = asyncio.get_running_loop().time()
         self.has_received = False
         self.close_reason: CloseReason | None = None
@@ -61,11 +61,11 @@
 
     @property
     def idle(self) -> bool:
-        """Whether the connection may be closed for another: always, until its request is complete."""
+        """Whether the connection may be closed to make room for another; true as long as it is open."""
         return not self.stream.closed()
 
     async def run(self) -> None:
-        """Read one request, answer it, close."""
+        """Read one request and send its response; the listener then closes the connection."""
         with contextlib.suppress(StreamClosedError):
             await self.stream.write(await self._response())
 
