--- a/lockspoke/wire/discovery/connection.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -113,7 +113,7 @@
         while True:
             await asyncio.wait([connection.pending], timeout=max(0.0, deadline - loop.time()))
             if not connection.unread:
-                raise TimeoutError("no response within the time limit")
+                raise TimeoutError("no data within the time limit")
             if not reader.started:
                 deadline = loop.time() + RESPONSE_TIMEOUT_SECONDS
             body = reader.feed(await connection.read())
--- a/lockspoke/wire/discovery/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -24,7 +24,7 @@
 
 # A hold is the time that discovery waits for a change before it responds without one.
 MIN_HOLD_MS = 1500
-HOLD_STEP_MS = 10  # The holds of gateways differ, so that they do not all poll at the same time.
+HOLD_STEP_MS = 10  # Successive holds differ by this much, so that gateways do not all poll at the same time.
 MAX_HOLD_SPREAD_MS = 2000  # The longest hold exceeds the shortest one by at most this much.
 
 log = structlog.get_logger()
@@ -140,7 +140,7 @@
             self.listener.endpoint_list_failed()
 
     def report_failing(self, reason: str) -> None:
-        """Log that discovery is failing, once until it recovers."""
+        """Log that discovery is failing, but only once until it recovers."""
         if not self._failing:
             log.warning("discovery_failing", reason=reason)
         self._failing = True
