--- a/lockspoke/address/connections.py
+++ b/lockspoke/address/connections.py
@@ -9,7 +9,7 @@
 from lockspoke.core.core import Core
 from lockspoke.wire.clients.connection import ClientConnection
 from lockspoke.wire.clients.front import ClientFront
-from lockspoke.wire.tcp.accepted_connection import close_if_quiet
+from lockspoke.wire.tcp.accepted_connection import close_if_no_input
 from lockspoke.wire.tcp.close_reason import CloseReason
 
 IDLE_BEFORE_CLOSE = 0.3  # seconds that a connection has to be idle before it is closed
@@ -67,6 +67,6 @@
     def _close_idle(self, connections: set[ClientConnection], idle_since: float) -> None:
         for connection in list(connections):
             if connection.idle and connection.active_at <= idle_since:
-                close_if_quiet(connection, CloseReason.IDLE)
+                close_if_no_input(connection, CloseReason.IDLE)
             if connection.stream.closed():
                 connections.discard(connection)
--- a/lockspoke/wire/clients/connection.py
+++ b/lockspoke/wire/clients/connection.py
@@ -17,7 +17,7 @@
 from lockspoke.wire.http.encoding import encode_head
 from lockspoke.wire.http.messages import HttpError, Request
 from lockspoke.wire.http.request_assembler import RequestAssembler
-from lockspoke.wire.tcp.accepted_connection import close, close_if_quiet
+from lockspoke.wire.tcp.accepted_connection import close, close_if_no_input
 from lockspoke.wire.tcp.arrival import seconds_since_last_data
 from lockspoke.wire.tcp.close_reason import CloseReason
 from lockspoke.wire.tcp.fair_reader import FairReader
@@ -150,7 +150,7 @@
             close(self, CloseReason.RESPONDED if lingered else CloseReason.STALLED)
             self.closed_by_timeout.set()
         elif not self.has_received and now - self.opened_at > FIRST_BYTE_TIMEOUT_SECONDS:
-            close_if_quiet(self, CloseReason.NO_REQUEST)
+            close_if_no_input(self, CloseReason.NO_REQUEST)
         elif self._is_receiving_request() and now - self.active_at > REQUEST_TIMEOUT_SECONDS:
             self._reject_and_close(HttpError(408, "request took too long"))
 
--- a/lockspoke/wire/clients/responses.py
+++ b/lockspoke/wire/clients/responses.py
@@ -11,7 +11,7 @@
 from lockspoke.units import SECOND
 from lockspoke.wire.http.encoding import encode_chunk, encode_head, encode_response
 from lockspoke.wire.http.messages import Request
-from lockspoke.wire.tcp.closing import is_quiet
+from lockspoke.wire.tcp.closing import is_open_without_input
 from lockspoke.wire.tcp.outgoing import OutgoingBuffer
 
 STREAM_HEADERS = {"Content-Type": "text/event-stream", "Cache-Control": "no-store"}
@@ -69,7 +69,7 @@
     @property
     def has_unread_input(self) -> bool:
         """Whether the client has sent bytes, or closed, and the gateway has not read this yet."""
-        return not is_quiet(self.connection.stream)
+        return not is_open_without_input(self.connection.stream)
 
     def write(self, data: bytes) -> asyncio.Future[None] | None:
         """Send events without delay, the first together with the head.
--- a/lockspoke/wire/tcp/accepted_connection.py
+++ b/lockspoke/wire/tcp/accepted_connection.py
@@ -36,13 +36,13 @@
         connection.stream.close()
 
 
-def close_if_quiet(connection: AcceptedConnection, reason: CloseReason) -> bool:
-    """Close an idle connection, unless its next request has come: that one is still answered.
+def close_if_no_input(connection: AcceptedConnection, reason: CloseReason) -> bool:
+    """Close an idle connection unless input has arrived on it: a request in that input is still answered.
 
     Returns:
         Whether the connection was closed.
     """
-    quiet = connection.reader.is_quiet
-    if quiet:
+    closable = connection.reader.is_open_without_input
+    if closable:
         close(connection, reason)
-    return quiet
+    return closable
--- a/lockspoke/wire/tcp/closing.py
+++ b/lockspoke/wire/tcp/closing.py
@@ -7,11 +7,11 @@
 from tornado.iostream import IOStream
 
 
-def is_quiet(stream: IOStream) -> bool:
-    """Return whether a connection is open and the kernel holds no unread input of it.
+def is_open_without_input(stream: IOStream) -> bool:
+    """Return whether a connection is open and the kernel holds no unread input for it.
 
-    The kernel may hold input that the event loop has not seen: a request on a connection that is about to be
-    closed; bytes behind a response, or the peer's close, on one that is about to be reused.
+    The kernel may hold input that the event loop has not read: a request on a connection that is about to be
+    closed, or, on one that is about to be reused, bytes after a response or the peer's close.
     """
     if stream.closed():
         return False
--- a/lockspoke/wire/tcp/fair_reader.py
+++ b/lockspoke/wire/tcp/fair_reader.py
@@ -6,7 +6,7 @@
 
 from tornado.iostream import IOStream
 
-from .closing import is_quiet
+from .closing import is_open_without_input
 from .reading import start_read
 
 READ_SIZE = 16 * 1024  # bytes
@@ -39,9 +39,9 @@
         return self.giving_way or (self._reading is not None and self._reading.done())
 
     @property
-    def is_quiet(self) -> bool:
+    def is_open_without_input(self) -> bool:
         """Whether the connection is open, and no bytes of it wait here or in the kernel."""
-        return not self.has_unread and is_quiet(self._stream)
+        return not self.has_unread and is_open_without_input(self._stream)
 
     async def read(self) -> bytes:
         """Return the next bytes.
--- a/lockspoke/wire/tcp/idle_order.py
+++ b/lockspoke/wire/tcp/idle_order.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-from .accepted_connection import AcceptedConnection, close_if_quiet
+from .accepted_connection import AcceptedConnection, close_if_no_input
 from .close_reason import CloseReason
 
 SCAN_INTERVAL_SECONDS = 0.05  # between two passes over all connections
@@ -58,7 +58,7 @@
             candidate = self._candidates.popleft()
             if not candidate.still_idle:
                 continue
-            if close_if_quiet(candidate.connection, CloseReason.DISPLACED):
+            if close_if_no_input(candidate.connection, CloseReason.DISPLACED):
                 return candidate.connection
             self._scanned_at = float("-inf")  # it will be idle again once its input is processed
         return None
--- a/lockspoke/wire/tcp/listener.py
+++ b/lockspoke/wire/tcp/listener.py
@@ -12,7 +12,7 @@
 from tornado.iostream import IOStream
 from tornado.netutil import bind_sockets
 
-from .accepted_connection import AcceptedConnection, close, close_if_quiet
+from .accepted_connection import AcceptedConnection, close, close_if_no_input
 from .acceptor import Acceptor
 from .close_reason import CloseReason
 from .fair_reader import READ_SIZE
@@ -138,7 +138,7 @@
         before = asyncio.get_running_loop().time() - idle_seconds
         for connection in list(self.connections):
             if connection.idle and connection.active_at <= before:
-                close_if_quiet(connection, CloseReason.IDLE)
+                close_if_no_input(connection, CloseReason.IDLE)
 
     def close_all(self) -> None:
         """Close every connection."""
--- a/lockspoke/wire/tcp/read_ahead.py
+++ b/lockspoke/wire/tcp/read_ahead.py
@@ -6,7 +6,7 @@
 
 from tornado.iostream import IOStream
 
-from .closing import is_quiet
+from .closing import is_open_without_input
 from .dialing import READ_SIZE
 from .reading import start_read
 
@@ -27,7 +27,7 @@
     @property
     def unread(self) -> bool:
         """Whether bytes, or the end, have come that `read` has not returned."""
-        return self.pending.done() or not is_quiet(self.stream)
+        return self.pending.done() or not is_open_without_input(self.stream)
 
     async def read(self) -> bytes:
         """Return the next bytes.
--- a/tests/wire/tcp/test_listener.py
+++ b/tests/wire/tcp/test_listener.py
@@ -14,7 +14,7 @@
 from lockspoke.batch.connection import BatchConnection
 from lockspoke.wire.clients.connection import ClientConnection
 from lockspoke.wire.operators.front import OperatorConnection
-from lockspoke.wire.tcp.accepted_connection import close_if_quiet
+from lockspoke.wire.tcp.accepted_connection import close_if_no_input
 from lockspoke.wire.tcp.acceptor import MAX_ACCEPTS_PER_TURN
 from lockspoke.wire.tcp.close_reason import CloseReason
 from lockspoke.wire.tcp.fair_reader import FairReader
@@ -59,7 +59,7 @@
         def close_in_the_turn_of_the_read() -> None:
             loop.remove_reader(triggered)
             assert not task.done()
-            closed.set_result(close_if_quiet(connection, CloseReason.DISPLACED))
+            closed.set_result(close_if_no_input(connection, CloseReason.DISPLACED))
 
         loop.add_reader(triggered, close_in_the_turn_of_the_read)
         peer.sendall(b"G")
