--- a/lockspoke/wire/__init__.py
+++ b/lockspoke/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken: parsers that are fed bytes and know no socket, and the thin drivers beside them."""
+"""The network protocols: parsers that do no I/O, and the code that reads and writes their connections."""
--- a/lockspoke/wire/http/encoding.py
+++ b/lockspoke/wire/http/encoding.py
@@ -1,4 +1,4 @@
-"""Requests, responses and chunks as bytes."""
+"""Encodes requests, responses and chunks."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def encode_request(method: str, target: str, headers: Mapping[str, str], body: bytes = b"") -> bytes:
-    """Return a request with a body of known length."""
+    """Return a request whose body has a Content-Length."""
     if body or method != "GET":
         headers = {**headers, "Content-Length": str(len(body))}
     return f"{method} {target} HTTP/1.1\r\n{_encode_fields(headers)}\r\n".encode("latin-1") + body
@@ -44,16 +44,16 @@
 def encode_response(
     status: int, body: bytes, headers: Mapping[str, str], keep_alive: bool, method: str = "GET"
 ) -> bytes:
-    """Return a complete response to a request of that method."""
+    """Return a complete response to a request with the given method."""
     fields = {**headers, "Content-Length": str(len(body))}
     if not keep_alive:
         fields["Connection"] = "close"
-    # The client of a HEAD request would take a body for the next response.
+    # A client that sent HEAD would parse a body as the next response.
     return encode_head(status, fields) + (b"" if method == "HEAD" else body)
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """Return one chunk; the empty one ends the body."""
+    """Return one chunk; an empty one ends the body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
--- a/lockspoke/wire/http/messages.py
+++ b/lockspoke/wire/http/messages.py
@@ -1,4 +1,4 @@
-"""The messages of HTTP/1.1: heads, header fields, parts of a body, and the error of a malformed message."""
+"""HTTP/1.1 messages: heads, header fields and body parts, and the error for a malformed message."""
 
 from __future__ import annotations
 
@@ -86,11 +86,11 @@
 
 
 class HttpError(ValueError):
-    """The peer broke the protocol, or a request is rejected.
+    """The peer violated the protocol, or a request is rejected.
 
     Attributes:
-        status: The status with which a server answers.
-        parsed: What a parser completed before the error, from the same bytes.
+        status: The status of the server's response.
+        parsed: The message parts that the same bytes completed before the error.
     """
 
     def __init__(self, status: int, text: str) -> None:
--- a/lockspoke/wire/http/parser.py
+++ b/lockspoke/wire/http/parser.py
@@ -1,7 +1,7 @@
 """The part of an HTTP/1.1 parser that requests and responses share: header fields and body framing.
 
-A parser is a state machine that is fed bytes; it uses no socket and no clock. Where the standard leaves a
-choice it is strict: a gateway that guesses where a message ends lets a client smuggle a second one past it.
+A parser is a state machine that takes bytes; it uses no socket and no clock. Where the standard allows a
+choice it is strict: a gateway that guesses where a message ends is open to request smuggling.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 
 @dataclass(slots=True)
 class BodyFraming:
-    """How the end of a body is found: by its length in bytes, or by its chunks."""
+    """How the end of a body is found: by its length in bytes, or by its last chunk."""
 
     length: int = 0
     chunked: bool = False
 
 
 class MessageParser:
-    """Splits bytes into message parts; subclasses read the start line."""
+    """Parses bytes into message parts; subclasses parse the start line."""
 
-    chunk_limit: int | None = None  # bytes
+    chunk_limit: int | None = None  # bytes; None for no limit
 
     def __init__(self, body_limit: int | None) -> None:
         self.body_limit = body_limit
         self._state = ParserState.HEAD
         self._buffer = bytearray()
-        self._searched = 0  # bytes of an incomplete head that hold no end: they are not searched again
-        self._remaining = 0  # bytes of a sized body or a chunk
-        self._body_size = 0  # bytes, the sum of the chunk sizes
+        self._searched = 0  # bytes of an incomplete head that have been searched for its end
+        self._remaining = 0  # bytes of a sized body or a chunk that have not been read
+        self._body_size = 0  # bytes; the sum of the chunk sizes
         self._trailer_size = 0  # bytes
 
     @property
@@ -72,7 +72,7 @@
         """Take bytes and return the message parts that they complete.
 
         Raises:
-            HttpError: The message is malformed. The parser stays failed: each further call raises.
+            HttpError: The message is malformed. Each further call raises, too.
         """
         if self._state is ParserState.FAILED:
             raise HttpError(400, "fed after an error")
@@ -135,7 +135,7 @@
         """Return the framing that the header fields declare, or None.
 
         Raises:
-            HttpError: The framing is declared twice, unknown or malformed, or the body is too large.
+            HttpError: The framing is declared more than once, unknown or malformed, or the body is too large.
         """
         lengths, codings = headers.all("content-length"), headers.all("transfer-encoding")
         if len(lengths) + len(codings) > 1:
@@ -170,7 +170,7 @@
         self._state = ParserState.HEAD
 
     def _read_counted_data(self, parts: list[MessagePart]) -> bool:
-        """Read what the buffer holds of a sized body or a chunk."""
+        """Read the buffered bytes of a sized body or a chunk."""
         if not self._buffer:
             return False
         data = self._consume(min(self._remaining, len(self._buffer)))
@@ -193,7 +193,7 @@
         return True
 
     def _read_line(self) -> bytes | None:
-        """Return a line of the chunked framing without its end, or None if it is incomplete."""
+        """Return a line of the chunked framing without its CRLF, or None if it is incomplete."""
         end = self._buffer.find(b"\r\n")
         if end > CHUNK_LINE_LIMIT or (end < 0 and len(self._buffer) > CHUNK_LINE_LIMIT):
             raise HttpError(400, "chunk line too long")
@@ -248,6 +248,6 @@
 
 
 def allows_keep_alive(minor_version: int, headers: Headers) -> bool:
-    """Return whether the connection may carry another message: the default depends on the version."""
+    """Return whether the connection may carry another message; the default depends on the HTTP version."""
     options = headers.tokens("connection")
     return "close" not in options if minor_version else "keep-alive" in options
--- a/lockspoke/wire/http/request_assembler.py
+++ b/lockspoke/wire/http/request_assembler.py
@@ -1,4 +1,4 @@
-"""Complete requests out of a connection's bytes."""
+"""Assembles complete requests from the bytes of a connection."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class RequestAssembler:
-    """Joins the parts of requests, for a front that needs them complete."""
+    """Joins the parts of each request, for a front that handles complete requests only."""
 
     parser: RequestParser = field(default_factory=RequestParser)
     head: RequestHead | None = None  # of the incomplete request
     body_chunks: list[bytes] = field(default_factory=list)
-    body_size: int = 0  # bytes of the incomplete request
+    body_size: int = 0  # bytes of the incomplete request's body
     continue_checked: bool = False
 
     @property
     def idle(self) -> bool:
-        """Whether no byte of a next request has arrived."""
+        """Whether no byte of the next request has arrived."""
         return self.head is None and self.parser.is_between_messages
 
     def take_expect_continue(self) -> bool:
-        """Return whether the client waits for a 100 before it sends the body; true once a request."""
+        """Return whether the client waits for a 100 before it sends the body; at most once per request."""
         if self.head is None or self.continue_checked or self.body_size:
             return False
         self.continue_checked = True
@@ -34,8 +34,8 @@
         """Take bytes and return the requests that they complete.
 
         Raises:
-            HttpError: A request is malformed. Requests that were completed by the same bytes are returned
-                instead, so that they are answered first; then the next call raises.
+            HttpError: A request is malformed. If the same bytes completed other requests before it, these are
+                returned, so that they are answered first, and the next call raises.
         """
         try:
             return self._assemble(self.parser.feed(data))
--- a/lockspoke/wire/http/request_parser.py
+++ b/lockspoke/wire/http/request_parser.py
@@ -1,4 +1,4 @@
-"""Requests as a server parses them."""
+"""The parser of HTTP/1.1 requests."""
 
 from __future__ import annotations
 
--- a/lockspoke/wire/http/response_parser.py
+++ b/lockspoke/wire/http/response_parser.py
@@ -1,4 +1,4 @@
-"""A response as a client parses it."""
+"""The parser of HTTP/1.1 responses."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from .messages import Headers, HttpError, MessageEnd, MessagePart, ResponseHead
 from .parser import BodyFraming, MessageParser, ParserState, allows_keep_alive
 
-# A replica's chunk holds one event or a few: a larger size means malformed framing.
+# A replica's chunk holds a few events: a larger size means that the framing is malformed.
 RESPONSE_CHUNK_LIMIT = 1024 * 1024  # bytes
 MAX_INTERIM_RESPONSES = 8  # with a status below 200, before the final one
 STATUSES_WITHOUT_BODY = (204, 304)
@@ -17,7 +17,7 @@
 
 
 class ResponseParser(MessageParser):
-    """Parses one response; bytes behind it are not parsed."""
+    """Parses one response; bytes after it are not parsed."""
 
     chunk_limit = RESPONSE_CHUNK_LIMIT
 
@@ -27,11 +27,11 @@
 
     @property
     def ended_cleanly(self) -> bool:
-        """Whether the response is complete and no bytes have arrived behind it."""
+        """Whether the response is complete and no bytes have arrived after it."""
         return self._state is ParserState.DONE and not self._buffer
 
     def _read_head(self, parts: list[MessagePart]) -> bool:
-        # Checked from the first bytes: garbage without a line end would be awaited until the deadline.
+        # Checked from the first byte: else garbage without a line end would be buffered until the deadline.
         if not _STATUS_LINE_START.startswith(bytes(self._buffer[: len(_STATUS_LINE_START)])):
             raise HttpError(502, "bad status line")
         return super()._read_head(parts)
@@ -48,7 +48,7 @@
         if status < 200:
             self._interim_responses += 1
             if self._interim_responses > MAX_INTERIM_RESPONSES:
-                raise HttpError(502, "no end of interim answers")
+                raise HttpError(502, "too many interim responses")
             return  # the final response follows
         framing = BodyFraming() if status in STATUSES_WITHOUT_BODY else self._declared_framing(headers)
         keep_alive = allows_keep_alive(minor_version, headers) and framing is not None
@@ -59,7 +59,7 @@
             self._start_body(framing, parts)
 
     def connection_closed(self) -> bool:
-        """Note the end of the connection; return whether it completes the response."""
+        """Handle the end of the connection; return whether it completes the response."""
         completes = self._state is ParserState.BODY_UNTIL_CLOSE
         self._state = ParserState.FAILED
         return completes
--- a/lockspoke/wire/replicas/connection.py
+++ b/lockspoke/wire/replicas/connection.py
@@ -19,17 +19,17 @@
         self.replica = replica
         self.endpoint = replica.endpoint
         self.idle_since = 0.0  # seconds of the event loop's clock
-        self.idle_duration = 0.0  # seconds it was idle before the current attempt; 0: a new connection
+        self.idle_duration = 0.0  # seconds it was idle before the current attempt; 0 if it is new
         self.response_started = False  # whether a byte of the current response has been read
 
     @property
     def reused(self) -> bool:
-        """Whether it has been idle, so that the replica may have closed it meanwhile."""
+        """Whether it has been idle: the replica may have closed it in that time."""
         return self.idle_duration > 0.0
 
     @property
     def reusable(self) -> bool:
-        """Whether its replica is still in use at the same address, and the connection is open and idle."""
+        """Whether its replica is still ready at the same address, with the connection open and no input."""
         return (
             self.replica.state == ReplicaState.READY
             and self.replica.endpoint == self.endpoint
@@ -38,10 +38,14 @@
         )
 
     async def read(self) -> bytes:
-        """The next bytes; raises StreamClosedError at the end."""
+        """Return the next bytes.
+
+        Raises:
+            StreamClosedError: The connection has ended.
+        """
         if self.pending.done():
-            # Bytes that are there already would be read without waiting: a replica that streams as fast as
-            # it is read would keep the event loop.
+            # Reading bytes that have already arrived does not suspend the task: a replica that streams as
+            # fast as it is read would starve all other tasks.
             await asyncio.sleep(0)
         data = await super().read()
         self.response_started = True
--- a/lockspoke/wire/replicas/connection_pool.py
+++ b/lockspoke/wire/replicas/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to all replicas, within the bound on file descriptors."""
+"""The pool of connections to all replicas, which limits how many file descriptors they use."""
 
 from __future__ import annotations
 
@@ -15,42 +15,42 @@
 from .errors import ConnectError, ConnectionLimitError
 from .keepalive import MIN_IDLE_TIMEOUT, KeepAlive
 
-SETTLE_TIME = 0.01  # seconds before reuse, in which unexpected bytes after a response would arrive
+SETTLE_TIME = 0.01  # seconds from a response to reuse, in which unexpected bytes after it can arrive
 IDLE_TIMEOUT_SHARE = 0.8  # of the replicas' idle timeout: the gateway closes a connection before they do
 
 
 class ConnectionPool:
     """Opens connections to replicas and keeps them idle between attempts.
 
-    For each connection that `acquire` returns, the caller calls `release` or `close` once.
+    The caller calls `release` or `close` exactly once for each connection that `acquire` returns.
     """
 
     def __init__(self, connect_timeout: int, keepalive: int, max_connections: int, dial: Dial) -> None:
         self.open_connections = 0
-        self.idle: dict[int, deque[ReplicaConnection]] = {}  # by replica number, the last used at the right
+        self.idle: dict[int, deque[ReplicaConnection]] = {}  # by replica number, the most recently used last
         # By replica number, in seconds: the idle timeout of replicas that close connections early.
         self._learned_idle_timeouts: dict[int, float] = {}
         self._dial = dial
         self.reconfigure(connect_timeout, keepalive, max_connections)
 
     def reconfigure(self, connect_timeout: int, keepalive: int, max_connections: int) -> None:
-        """Apply new settings; connections above a lower bound are closed as they become idle.
+        """Apply new settings; connections above a lowered limit are closed as they become idle.
 
         Args:
             connect_timeout: nanoseconds until a connection must be established.
             keepalive: nanoseconds after which replicas close an idle connection.
-            max_connections: bound on open connections to all replicas.
+            max_connections: limit on open connections to all replicas.
         """
         self._connect_timeout = connect_timeout / 1e9
         self.keep_alive = KeepAlive(IDLE_TIMEOUT_SHARE * keepalive / 1e9)
         self._max_connections = max_connections
 
     async def acquire(self, replica: Replica) -> ReplicaConnection:
-        """An idle connection to a replica, or a new one.
+        """Return an idle connection to a replica, or open a new one.
 
         Raises:
             ConnectError: a new connection could not be established.
-            ConnectionLimitError: the bound is reached and no connection is idle.
+            ConnectionLimitError: the limit is reached and no connection is idle.
         """
         self.close_expired()
         connection = self._take_idle(replica)
@@ -71,7 +71,7 @@
             raise
 
     def _take_idle(self, replica: Replica) -> ReplicaConnection | None:
-        """The idle connection to a replica that was used last; those with unexpected bytes are closed."""
+        """Return the most recently used idle connection to a replica; close those with unexpected bytes."""
         connections = self.idle.get(replica.number, deque())
         settled = asyncio.get_running_loop().time() - SETTLE_TIME
         for connection in [one for one in reversed(connections) if one.idle_since <= settled]:
@@ -111,12 +111,12 @@
             self._learned_idle_timeouts.pop(replica.number, None)
 
     def close_expired(self) -> None:
-        """Close connections past their idle timeout: a request written as the replica closes is lost."""
+        """Close connections past their idle timeout: a request written while the replica closes is lost."""
         now = asyncio.get_running_loop().time()
         idle_timeout = self.keep_alive.idle_timeout(now)
         for number, connections in list(self.idle.items()):
-            oldest = now - min(idle_timeout, self._learned_idle_timeouts.get(number, idle_timeout))
-            while connections and connections[0].idle_since <= oldest:
+            cutoff = now - min(idle_timeout, self._learned_idle_timeouts.get(number, idle_timeout))
+            while connections and connections[0].idle_since <= cutoff:
                 self.close(connections.popleft())
             if not connections:
                 del self.idle[number]
@@ -132,10 +132,10 @@
         self.keep_alive.connection_rejected(asyncio.get_running_loop().time())
 
     def connection_stale(self, connection: ReplicaConnection) -> None:
-        """Note that a reused connection broke under its request: the replica closes idle ones early.
+        """Note that a reused connection broke during a request: the replica closes idle ones early.
 
-        The replica's other idle connections are as old or older and are closed. Later ones may be idle for
-        at most half the time that this one was.
+        The replica's other idle connections have been idle as long or longer and are closed. From then on,
+        its connections may be idle for at most half the time that this one was.
         """
         replica = connection.replica
         if not connection.reused or replica.state == ReplicaState.REMOVED:
--- a/lockspoke/wire/replicas/errors.py
+++ b/lockspoke/wire/replicas/errors.py
@@ -4,8 +4,8 @@
 
 
 class ConnectError(Exception):
-    """No connection took the complete request: it cannot have run."""
+    """The request was not written completely, so the replica cannot have run it."""
 
 
 class ConnectionLimitError(Exception):
-    """Every descriptor reserved for replicas is in use by an attempt."""
+    """The limit on connections to replicas is reached, and attempts use all of them."""
--- a/lockspoke/wire/replicas/exchange.py
+++ b/lockspoke/wire/replicas/exchange.py
@@ -1,4 +1,4 @@
-"""One request to a replica and its response, on a connection that is established."""
+"""Exchanges one request and its response with a replica over an established connection."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
     """How a replica responded to one attempt."""
 
     outcome: Outcome
-    cached_tokens: int = 0  # of the prompt, found in the replica's cache
-    load_report: str = ""  # as the replica wrote it
+    cached_tokens: int = 0  # prompt tokens that the replica found in its cache
+    load_report: str = ""  # as the replica sent it; empty if it sent none
     connection_reusable: bool = False
-    malformed: bool = False  # the response could not be read
+    malformed: bool = False  # the response violated HTTP or its event stream, or its first event was late
 
 
 class Exchange:
     """Sends one attempt's request and reads the response, forwarding its events as they arrive."""
 
-    __slots__ = ("_attempt", "_connection", "_events", "_head", "_outcome", "_parser")
+    __slots__ = ("_attempt", "_connection", "_event_stream", "_head", "_outcome", "_parser")
 
     def __init__(self, connection: ReplicaConnection, attempt: Attempt) -> None:
         self._connection = connection
         self._attempt = attempt
         self._parser = ResponseParser()
-        self._events = EventStream()
+        self._event_stream = EventStream()
         self._head: ResponseHead | None = None
         self._outcome = Outcome.RESET
 
@@ -77,7 +77,7 @@
             raise ConnectError from None
 
     async def _read_response(self, first_event_timeout: asyncio.Timeout) -> ReplicaResponse:
-        attempt, connection, events = self._attempt, self._connection, self._events
+        attempt, connection, event_stream = self._attempt, self._connection, self._event_stream
         loop = asyncio.get_running_loop()
         while True:
             received = await connection.read()
@@ -86,7 +86,7 @@
             body, complete = self._parse(received)
             if self._outcome is Outcome.OK:
                 # Events that arrive together are forwarded together, in a single write to the client.
-                data = events.feed(body) + (events.remainder() if complete else b"")
+                data = event_stream.feed(body) + (event_stream.remainder() if complete else b"")
                 if data:
                     first_event_timeout.reschedule(None)
                     backpressure = attempt.stream_received(data)
@@ -95,44 +95,46 @@
             if complete and self._head is not None:
                 return ReplicaResponse(
                     self._outcome,
-                    events.cached_tokens,
+                    event_stream.cached_tokens,
                     self._load_report(),
                     connection_reusable=self._head.keep_alive and self._parser.ended_cleanly,
                 )
 
     def _parse(self, received: bytes) -> tuple[bytes, bool]:
-        """The body bytes in what was received, and whether it ends the response."""
+        """Parse received bytes; return the body bytes in them, and whether they end the response."""
         body, complete = b"", False
-        for piece in self._parser.feed(received):
-            if isinstance(piece, ResponseHead):
-                self._head, self._outcome = piece, outcome_of_response(piece)
-            elif isinstance(piece, BodyChunk):
-                body += piece.data
+        for part in self._parser.feed(received):
+            if isinstance(part, ResponseHead):
+                self._head, self._outcome = part, outcome_of_response(part)
+            elif isinstance(part, BodyChunk):
+                body += part.data
             else:
-                complete = isinstance(piece, MessageEnd)
+                complete = isinstance(part, MessageEnd)
         return body, complete
 
     def _broken_response(self, error: Exception) -> ReplicaResponse:
-        """The result of a response that ended with an error."""
+        """Return the result of a response that ended with an error."""
         outcome, malformed = self._outcome, False
         if outcome in (Outcome.OK, Outcome.RESET) and not isinstance(error, StreamClosedError):
-            # The replica ran the request and responded incorrectly; the connection is not at fault.
+            # The replica ran the request and responded incorrectly; the connection itself did not fail.
             outcome, malformed = Outcome.ERROR, True
         elif outcome is Outcome.OK:
             outcome = Outcome.RESET
         return ReplicaResponse(outcome, load_report=self._load_report(), malformed=malformed)
 
     def _load_report(self) -> str:
-        """The last load report: from the stream's comments, else from the head."""
-        return self._events.load or (self._head.headers.get("srv-load") if self._head is not None else "")
+        """Return the last load report: from the stream's comments, else from the header fields."""
+        return self._event_stream.latest_load_report or (
+            self._head.headers.get("srv-load") if self._head is not None else ""
+        )
 
 
 def outcome_of_response(head: ResponseHead) -> Outcome:
-    """The outcome of an attempt by its response's status, as the replicas' protocol defines it."""
+    """Return an attempt's outcome by its response's status, as defined by the replicas' protocol."""
     if head.status == 200:
         return Outcome.OK
     if head.status in (503, 504) and head.headers.get("srv-declined") == "1":
         return Outcome.OVERLOADED
     if 400 <= head.status < 500 and head.status not in (408, 429):
-        return Outcome.INVALID_REQUEST  # the client's fault says nothing about the replica's health
+        return Outcome.INVALID_REQUEST  # a client error says nothing about the replica's health
     return Outcome.ERROR
--- a/lockspoke/wire/replicas/load_report.py
+++ b/lockspoke/wire/replicas/load_report.py
@@ -7,9 +7,9 @@
 
 
 def decode_load_report(text: str, names: Sequence[str]) -> tuple[float, ...]:
-    """Return the values of a load report in the order of the settings' names.
+    """Return the values of a load report in the order of the names.
 
-    A report that is malformed or lacks a value gives an empty tuple.
+    The names come from the settings. Returns an empty tuple if the report is malformed or lacks a value.
     """
     values: dict[str, float] = {}
     for item in text.split(","):
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -22,7 +22,7 @@
 
 
 class ReplicaTransport:
-    """The core's transport: one task and one connection for each attempt."""
+    """The core's transport: it runs each attempt in a task of its own, over one connection."""
 
     def __init__(
         self,
@@ -35,25 +35,26 @@
     ) -> None:
         self.pool = ConnectionPool(connect_timeout, keepalive, max_connections, dial)
         self.malformed_responses = 0
-        self.exchanges: dict[Attempt, ReplicaConnection] = {}  # attempts that await or read a response
+        # Of attempts that send their request or read the response.
+        self.active_connections: dict[Attempt, ReplicaConnection] = {}
         self._load_names = load_names
         self._now = now
         self._tasks: dict[Attempt, asyncio.Task[None]] = {}
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open, idle ones included."""
+        """The number of open connections, idle ones included."""
         return self.pool.open_connections
 
     def reconfigure(
         self, load_names: Sequence[str], connect_timeout: int, keepalive: int, max_connections: int
     ) -> None:
-        """Apply new settings; times in nanoseconds, as for `ConnectionPool.reconfigure`."""
+        """Apply new settings; times are in nanoseconds, as in `ConnectionPool.reconfigure`."""
         self._load_names = load_names
         self.pool.reconfigure(connect_timeout, keepalive, max_connections)
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt."""
+        """Start an attempt."""
         task = asyncio.ensure_future(self._run(attempt))
         self._tasks[attempt] = task
         task.add_done_callback(lambda _: self._tasks.pop(attempt, None))
@@ -65,8 +66,8 @@
             task.cancel()
 
     def has_unread_response(self, attempt: Attempt) -> bool:
-        """Whether bytes of a response, or its end, have arrived that the attempt's task has not read."""
-        connection = self.exchanges.get(attempt)
+        """Whether input has arrived, or the connection has ended, and the attempt's task has not read it."""
+        connection = self.active_connections.get(attempt)
         return connection is not None and connection.unread
 
     def close_idle_connections(self, replica: Replica) -> None:
@@ -84,7 +85,7 @@
         self.pool.close_all_idle()
 
     async def _run(self, attempt: Attempt) -> None:
-        """The task of one attempt."""
+        """Run one attempt; the body of its task."""
         try:
             connection = await self.pool.acquire(attempt.replica)
         except ConnectError:
@@ -95,10 +96,10 @@
         except Exception:
             self._fail(attempt)
         else:
-            await self._run_on(connection, attempt)
+            await self._run_on_connection(connection, attempt)
 
-    async def _run_on(self, connection: ReplicaConnection, attempt: Attempt) -> None:
-        """Carry out an attempt on a connection, which is released or closed in the end."""
+    async def _run_on_connection(self, connection: ReplicaConnection, attempt: Attempt) -> None:
+        """Run an attempt on a connection, which is released or closed afterwards."""
         released = False
         try:
             attempt.connection_reused = connection.reused
@@ -106,7 +107,7 @@
                 self.pool.release(connection)
                 released = True
                 return
-            self.exchanges[attempt] = connection
+            self.active_connections[attempt] = connection
             response = await Exchange(connection, attempt).run(self._now())
             released = self._finish_exchange(connection, response)
             load_report = decode_load_report(response.load_report, self._load_names)
@@ -117,12 +118,12 @@
         except Exception:
             self._fail(attempt)
         finally:
-            self.exchanges.pop(attempt, None)
+            self.active_connections.pop(attempt, None)
             if not released:
                 self.pool.close(connection)
 
     def _finish_exchange(self, connection: ReplicaConnection, response: ReplicaResponse) -> bool:
-        """Note what a response says about its connection; whether the connection went back to the pool."""
+        """Record what a response shows about its connection; return whether that went back to the pool."""
         if response.malformed:
             self.malformed_responses += 1
         if response.outcome is Outcome.OVERLOADED and not connection.reused:
@@ -136,16 +137,16 @@
 
     @staticmethod
     def _fail(attempt: Attempt) -> None:
-        """Log the exception that ended an attempt; the replica may have run it."""
+        """Log an unexpected exception and end the attempt; the replica may have run the request."""
         log.exception("attempt_failed", replica=attempt.replica.uid)
         attempt.end(Outcome.RESET)
 
 
 async def _wait_for_permission(attempt: Attempt) -> bool:
-    """Whether the attempt may send its first byte now; False if it has ended."""
+    """Wait until the attempt may send its first byte; return False if it ends before that."""
     while True:
         permission = attempt.permission_to_send()
         if permission is not SendPermission.CHECK_AGAIN:
             return permission is SendPermission.GRANTED
-        # Other tasks read what is unread in the loop's next iteration.
+        # In the next iteration of the loop, other tasks read the input that may change the decision.
         await asyncio.sleep(0)
--- a/tests/wire/http/test_sse.py
+++ b/tests/wire/http/test_sse.py
@@ -24,8 +24,8 @@
     stream = EventStream()
     forwarded = b"".join(stream.feed(piece) for piece in split_at(STREAM, positions))
     assert forwarded + stream.remainder() == STREAM
-    assert (stream.events, stream.done, stream.cached_tokens) == (3, True, 4096)
-    assert stream.load == "util=0.61,lat=3"
+    assert (stream.event_count, stream.done, stream.cached_tokens) == (3, True, 4096)
+    assert stream.latest_load_report == "util=0.61,lat=3"
 
 
 @reproducible
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -87,11 +87,11 @@
             number += 1
             client.send(request_bytes(number))
             await until(lambda: bool(self.gateway.core.requests))
-            await until(lambda: len(self.gateway.transport.exchanges) == 1)
+            await until(lambda: len(self.gateway.transport.active_connections) == 1)
             for done in [one for one in accepting if one.done()]:
                 lines[accepting.pop(done)] = done.result()
-            (exchange,) = self.gateway.transport.exchanges
-            line = lines[exchange.replica.uid]
+            (attempt,) = self.gateway.transport.active_connections
+            line = lines[attempt.replica.uid]
             await line.read_until(b"{}")
             line.send(RESPONSE)
             await client.read_until(b"0\r\n\r\n")
