--- a/lockspoke/wire/tcp/__init__.py
+++ b/lockspoke/wire/tcp/__init__.py
@@ -1,1 +1,1 @@
-"""TCP connections: listening, dialing, writing with backpressure, closing, reading ahead."""
+"""TCP connections: listening, connecting, reading, writing with backpressure, and closing."""
--- a/lockspoke/wire/tcp/accepted_connection.py
+++ b/lockspoke/wire/tcp/accepted_connection.py
@@ -1,4 +1,4 @@
-"""A connection that a listener has accepted, and the ways to close it."""
+"""A connection that a listener has accepted, and functions that close it."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class AcceptedConnection(Protocol):
-    """A client's connection, as its listener needs it."""
+    """What a listener needs of a connection that it serves."""
 
     stream: IOStream
     reader: FairReader
-    queued_since: float  # when it can have come at the earliest, in seconds of the event loop's clock
-    active_at: float  # seconds of the event loop's clock
-    has_received: bool
-    close_reason: CloseReason | None  # why this gateway closed it; None while it has not
+    queued_since: float  # earliest time at which it can have arrived, in seconds of the event loop's clock
+    active_at: float  # when it was last active, in seconds of the event loop's clock
+    has_received: bool  # whether any byte has been received
+    close_reason: CloseReason | None  # why this gateway closed it; None if it has not
 
     @property
     def idle(self) -> bool:
@@ -30,7 +30,7 @@
 
 
 def close(connection: AcceptedConnection, reason: CloseReason) -> None:
-    """Close a connection for a reason; the first reason counts."""
+    """Close a connection and record the reason; the first reason is kept."""
     if not connection.stream.closed():
         connection.close_reason = connection.close_reason or reason
         connection.stream.close()
--- a/lockspoke/wire/tcp/acceptor.py
+++ b/lockspoke/wire/tcp/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepting the connections that wait in the kernel's queue of a listening socket."""
+"""Accepts the connections that wait in a listening socket's queue in the kernel."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from lockspoke.rate_limited_log import RateLimitedLog
 
-MAX_ACCEPTS_PER_TURN = 16  # of the event loop, so that everything else goes on between them
-# After a failure of the system, such as too many open files; doubled with each further one.
+MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop, so that other tasks run in between
+# Delays after a system error, such as too many open files; each further error doubles the delay.
 MIN_RETRY_DELAY_SECONDS = 0.001
 MAX_RETRY_DELAY_SECONDS = 0.05
-# Errors of the connection that was to be accepted, as Linux documents them: the next one is not affected.
+# Errors of the connection being accepted, as documented by Linux: they do not affect the next one.
 CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
@@ -34,45 +34,45 @@
 class Acceptor:
     """Accepts connections while it is not paused, and passes each to a function.
 
-    Where the system has no resources for another connection, it tries again after a while.
+    When the system lacks the resources for another connection, it retries after a delay.
     """
 
     def __init__(self, listening: socket.socket, serve: Callable[[socket.socket], object]) -> None:
-        """Take a listening socket, which does not block; `serve` is called with each connection."""
+        """Take a non-blocking listening socket, and the function that is called with each connection."""
         self.paused = True
-        # Since when connections can have been waiting; None: the queue was empty when it was last looked at.
+        # Earliest time at which a queued connection can have arrived; None if the queue was last seen empty.
         self._waiting_since: float | None = None
         self._listening = listening
         self._serve = serve
         self._retry_delay = MIN_RETRY_DELAY_SECONDS
-        self._retry: asyncio.TimerHandle | None = None  # while it waits after a failure of the system
+        self._retry: asyncio.TimerHandle | None = None  # pending after a system error
         self._failure_log = RateLimitedLog("accept_failed")
 
     def resume(self) -> None:
-        """Accept from now on."""
+        """Start accepting."""
         if self.paused:
             self.paused = False
             self._watch()
 
     def pause(self) -> None:
-        """Leave new connections in the kernel's queue."""
+        """Stop accepting; new connections stay in the kernel's queue."""
         self.paused = True
-        self._note_waiting()
+        self._set_waiting_since()
         self._unwatch()
 
     @property
     def waiting_since(self) -> float:
-        """When the connection that was accepted last can have come at the earliest, by the loop's clock."""
+        """Earliest time at which the last accepted connection can have arrived, by the event loop's clock."""
         now = asyncio.get_running_loop().time()
         return now if self._waiting_since is None else self._waiting_since
 
-    def _note_waiting(self) -> None:
+    def _set_waiting_since(self) -> None:
         if self._waiting_since is None:
             self._waiting_since = asyncio.get_running_loop().time()
 
     def _watch(self) -> None:
         self._unwatch()
-        asyncio.get_running_loop().add_reader(self._listening, self._accept_some)
+        asyncio.get_running_loop().add_reader(self._listening, self._accept_ready)
 
     def _unwatch(self) -> None:
         if self._retry is not None:
@@ -81,7 +81,7 @@
         asyncio.get_running_loop().remove_reader(self._listening)
 
     def accept(self) -> socket.socket | None:
-        """Accept one connection; returns None if none waits.
+        """Accept one connection; return None if the queue is empty.
 
         Raises:
             OSError: The system cannot accept a connection now.
@@ -99,9 +99,9 @@
                 self._retry_delay = MIN_RETRY_DELAY_SECONDS
                 return accepted
 
-    def _accept_some(self) -> None:
-        self._note_waiting()
-        for _ in range(MAX_ACCEPTS_PER_TURN):
+    def _accept_ready(self) -> None:
+        self._set_waiting_since()
+        for _ in range(MAX_ACCEPTS_PER_ITERATION):
             try:
                 accepted = None if self.paused else self.accept()
             except OSError as error:
@@ -114,7 +114,7 @@
     def _retry_later(self, error: OSError) -> None:
         loop = asyncio.get_running_loop()
         self._failure_log.info(loop.time(), reason=str(error))
-        # The socket stays ready: watched on, it would keep the event loop turning.
+        # The socket stays readable: if it were still watched, the event loop would spin.
         self._unwatch()
         self._retry = loop.call_later(self._retry_delay, self._watch)
         self._retry_delay = min(2 * self._retry_delay, MAX_RETRY_DELAY_SECONDS)
@@ -123,7 +123,7 @@
         """Accept the connections in the kernel's queue while there is capacity, paused or not.
 
         Returns:
-            Whether none is left that could be accepted; False where the system cannot accept it now.
+            Whether all that there is capacity for are accepted; False if the system cannot accept one now.
         """
         while has_capacity():
             try:
--- a/lockspoke/wire/tcp/arrival.py
+++ b/lockspoke/wire/tcp/arrival.py
@@ -1,4 +1,4 @@
-"""When bytes arrived that the kernel held while their connection waited to be accepted."""
+"""How long ago the kernel received a connection's last bytes, which may be before it was accepted."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def seconds_since_last_data(connected: socket.socket) -> float:
-    """Return for how long the last bytes that a peer sent have been here; 0.0 where the system can't tell."""
+    """Return how long ago the last bytes of the peer arrived; 0.0 if the system cannot tell."""
     try:
         info = connected.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, _LAST_DATA_RECEIVED.size)
     except OSError:
--- a/lockspoke/wire/tcp/close_reason.py
+++ b/lockspoke/wire/tcp/close_reason.py
@@ -6,12 +6,12 @@
 
 
 class CloseReason(Enum):
-    """Why a connection ended; the values are the names of the counts in the log."""
+    """Why a connection ended; the log counts connections under these values."""
 
     PEER = "peer"  # the peer closed or reset it, or an error ended it
     DISPLACED = "displaced"  # it was idle, and the limit was reached
     IDLE = "idle"  # it was idle for too long
     NO_REQUEST = "no_request"  # no byte came within the time for the first one
-    RESPONDED = "responded"  # after its last response, its client did not close it
-    STALLED = "stalled"  # its client sent or took nothing for too long, amid a request or a response
+    RESPONDED = "responded"  # its client did not close it after the last response
+    STALLED = "stalled"  # its client sent or read nothing for too long during a request or a response
     STOPPED = "stopped"  # its listener closed all connections
--- a/lockspoke/wire/tcp/dialing.py
+++ b/lockspoke/wire/tcp/dialing.py
@@ -10,27 +10,27 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 READ_SIZE = 16 * 1024  # bytes
-# What this machine lacks for a moment: it says nothing about the peer.
+# Temporary shortages of this machine, which say nothing about the peer.
 LOCAL_ERRORS = frozenset(
     {errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENETUNREACH, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 )
-# After such an error; doubled with each further one.
+# Delays after such an error; each further error doubles the delay.
 MIN_RETRY_DELAY_SECONDS = 0.002
 MAX_RETRY_DELAY_SECONDS = 0.05
 
-Address = tuple[str, int]  # an IP address, and a port
+Address = tuple[str, int]  # an IP address and a port
 Dial = Callable[[Address], Awaitable[IOStream]]  # raises OSError or StreamClosedError
 
 
 async def dial(endpoint: Address) -> IOStream:
-    """Open a connection that sends small writes at once.
+    """Open a connection that sends small writes immediately.
 
-    Where this machine lacks something for another connection it tries again, until it is cancelled: the
-    caller bounds the time.
+    When this machine lacks the resources for another connection, it retries until it is cancelled: the
+    caller sets the time limit.
 
     Raises:
-        OSError: The connection cannot be made.
-        StreamClosedError: The peer has refused it.
+        OSError: The connection cannot be established.
+        StreamClosedError: The connection attempt failed, for example because the peer refused it.
     """
     delay = MIN_RETRY_DELAY_SECONDS
     while True:
@@ -56,7 +56,7 @@
 
 
 def _system_error(error: OSError) -> int | None:
-    """The number of the system's error; a closed stream holds the one that closed it."""
+    """Return the error number; a StreamClosedError holds the error that closed the stream."""
     if isinstance(error, StreamClosedError) and isinstance(error.real_error, OSError):
         return error.real_error.errno
     return error.errno
--- a/lockspoke/wire/tcp/idle_order.py
+++ b/lockspoke/wire/tcp/idle_order.py
@@ -1,4 +1,4 @@
-"""The order in which idle connections are closed when a listener is at its limit."""
+"""The order in which a listener at its limit closes idle connections."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 from .accepted_connection import AcceptedConnection, close_if_no_input
 from .close_reason import CloseReason
 
-SCAN_INTERVAL_SECONDS = 0.05  # between two passes over all connections
-NEW_CONNECTION_GRACE_SECONDS = 0.25  # for which a new connection does not count as idle
+SCAN_INTERVAL_SECONDS = 0.05  # between two scans of all connections
+NEW_CONNECTION_GRACE_SECONDS = 0.25  # in which a new connection does not count as idle
 
 ConnectionT = TypeVar("ConnectionT", bound=AcceptedConnection)
 
 
 @dataclass(frozen=True, slots=True)
 class _Candidate(Generic[ConnectionT]):
-    """A connection that was idle when all were last looked at."""
+    """A connection that was idle at the last scan."""
 
     connection: ConnectionT
     active_at: float
 
     @property
     def still_idle(self) -> bool:
-        """Whether it has been idle ever since."""
+        """Whether it has been idle since the scan."""
         connection = self.connection
         return connection.active_at == self.active_at and connection.idle and not connection.stream.closed()
 
 
 class IdleOrder(Generic[ConnectionT]):
-    """Finds the connection that is to be closed for a new one.
+    """Selects the idle connection to close for a new one.
 
-    One pass over all connections serves for many new ones: with hundreds of connections a pass takes longer
-    than to accept one.
+    One scan of all connections serves many new ones: with hundreds of connections, a scan takes longer than
+    accepting one.
     """
 
     def __init__(self, connections: Collection[ConnectionT]) -> None:
-        """Choose among these connections, as they are at each call."""
+        """Take the collection to choose from; the listener keeps it up to date."""
         self._connections = connections
         self._candidates: deque[_Candidate[ConnectionT]] = deque()
         self._scanned_at = float("-inf")
 
-    def close_first(self, now: float) -> ConnectionT | None:
-        """Close the connection that is idle for longest: its client can open another one.
+    def close_longest_idle(self, now: float) -> ConnectionT | None:
+        """Close a connection, the longest idle first: its client can open another one.
 
         Args:
             now: Seconds of the event loop's clock.
 
         Returns:
-            The connection, or None where none is idle.
+            The connection, or None if none is idle.
         """
         if now - self._scanned_at >= SCAN_INTERVAL_SECONDS:
             self._scan(now)
@@ -60,14 +60,15 @@
                 continue
             if close_if_no_input(candidate.connection, CloseReason.DISPLACED):
                 return candidate.connection
-            self._scanned_at = float("-inf")  # it will be idle again once its input is processed
+            # The next call scans again: this connection will be idle once its input has been processed.
+            self._scanned_at = float("-inf")
         return None
 
     def _scan(self, now: float) -> None:
         self._scanned_at = now
-        # Not a connection that has just been accepted: its first request may be on its way.
-        before = now - NEW_CONNECTION_GRACE_SECONDS
-        idle = [one for one in self._connections if one.active_at < before and one.idle]
-        # Those that never sent a byte go first: hundreds of them must not displace active clients.
+        # A connection that has just been accepted is left out: its first request may be on its way.
+        cutoff = now - NEW_CONNECTION_GRACE_SECONDS
+        idle = [one for one in self._connections if one.active_at < cutoff and one.idle]
+        # Those that never sent a byte are closed first: hundreds of them must not displace active clients.
         idle.sort(key=lambda one: (one.has_received, one.active_at))
         self._candidates = deque(_Candidate(one, one.active_at) for one in idle)
--- a/lockspoke/wire/tcp/listener.py
+++ b/lockspoke/wire/tcp/listener.py
@@ -1,4 +1,4 @@
-"""A listener: accepts connections up to a limit, and closes idle ones to stay within it."""
+"""A listener, which accepts connections up to a limit and closes idle ones to stay within it."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from .fair_reader import READ_SIZE
 from .idle_order import SCAN_INTERVAL_SECONDS, IdleOrder
 
-BACKLOG = 1024  # connections that the kernel queues
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
 MAX_STREAM_BUFFER = 1024 * 1024  # bytes
-LIMIT_WARNING_INTERVAL_SECONDS = 10.0  # at least, between two log lines about the limit
+LIMIT_WARNING_INTERVAL_SECONDS = 10.0  # minimum between two log lines about the limit
 
 log = structlog.get_logger()
 
@@ -31,7 +31,7 @@
     """Accepts connections at one address, up to a limit.
 
     Attributes:
-        max_connections: The limit; one more is open while an idle connection is looked for.
+        max_connections: The limit; while it looks for an idle connection to close, one more is open.
         connections: The connections that have not ended.
         last_accept: When a connection was last accepted, in seconds of the event loop's clock.
         closes: How many connections have ended, by reason.
@@ -44,16 +44,16 @@
         self.closes: Counter[CloseReason] = Counter()
         self._create_connection = create_connection
         self._idle_order = IdleOrder(self.connections)
-        self._displaced: set[ConnectionT] = set()  # closed for new ones; their tasks have not ended
+        self._displaced: set[ConnectionT] = set()  # closed for new ones, with tasks that have not ended
         self._limit_logged_at = -LIMIT_WARNING_INTERVAL_SECONDS
         self._tasks: set[asyncio.Task[None]] = set()
         self._acceptor: Acceptor | None = None  # None while not listening
 
     def listen(self, address: tuple[str, int], shared: bool = False) -> tuple[str, int]:
-        """Start to listen; return the address, whose port the kernel may have picked.
+        """Start listening; return the address, whose port the kernel may have chosen.
 
         Args:
-            address: Host and port; port 0 for any.
+            address: Host and port; with port 0 the kernel chooses a free one.
             shared: Whether another process, such as a new version, may listen at the same address.
         """
         listening = bind_sockets(address[1], address[0], backlog=BACKLOG, reuse_port=shared)[0]
@@ -65,7 +65,7 @@
         return host, port
 
     def _start_accepting(self) -> None:
-        """Start to accept, unless it is not listening, or is past the limit."""
+        """Start accepting, unless it is not listening or is above the limit."""
         if self._acceptor is not None and self._open_count <= self.max_connections:
             self._acceptor.resume()
 
@@ -77,16 +77,16 @@
         """Close an idle connection for a new one.
 
         Returns:
-            Whether a connection was closed; not where none is idle.
+            Whether a connection was closed; False if none is idle.
         """
-        closed = self._idle_order.close_first(asyncio.get_running_loop().time())
+        closed = self._idle_order.close_longest_idle(asyncio.get_running_loop().time())
         if closed is None:
             return False
         self._displaced.add(closed)
         return True
 
     def enforce_limit(self) -> None:
-        """Past the limit, close a connection that has become idle since."""
+        """Above the limit, close a connection that has become idle since accepting was paused."""
         paused = self._acceptor is not None and self._acceptor.paused
         if paused and self._open_count > self.max_connections:
             self._close_longest_idle()
@@ -96,7 +96,7 @@
 
         Args:
             accepted: The connection.
-            queued_since: When it can have come at the earliest, by the event loop's clock; None: just now.
+            queued_since: Earliest time at which it can have arrived, by the event loop's clock; None for now.
         """
         self.last_accept = asyncio.get_running_loop().time()
         accepted.setblocking(False)
@@ -134,10 +134,10 @@
         self._start_accepting()
 
     def close_idle(self, idle_seconds: float) -> None:
-        """Close the connections that have been between two requests for so long."""
-        before = asyncio.get_running_loop().time() - idle_seconds
+        """Close the connections that have been idle for at least this many seconds."""
+        cutoff = asyncio.get_running_loop().time() - idle_seconds
         for connection in list(self.connections):
-            if connection.idle and connection.active_at <= before:
+            if connection.idle and connection.active_at <= cutoff:
                 close_if_no_input(connection, CloseReason.IDLE)
 
     def close_all(self) -> None:
@@ -146,12 +146,12 @@
             close(connection, CloseReason.STOPPED)
 
     def accept_waiting(self) -> bool:
-        """Accept the connections in the kernel's queue, as far as the limit allows.
+        """Accept the connections in the kernel's queue, up to the limit.
 
-        A client may already have written a request to a connection in the queue.
+        A client may already have sent a request on a connection in the queue.
 
         Returns:
-            Whether all that the limit allows are accepted; False where the system cannot accept them now.
+            Whether all that the limit allows are accepted; False if the system cannot accept one now.
         """
         if self._acceptor is None:
             return True
--- a/lockspoke/wire/tcp/outgoing.py
+++ b/lockspoke/wire/tcp/outgoing.py
@@ -1,4 +1,4 @@
-"""Writes to a client that may be slow."""
+"""Buffered writes to a client that may be slow."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     """Writes to one client, and applies backpressure when it is slow.
 
     Attributes:
-        unsent: Bytes that were written here and not yet taken by the kernel.
-        progress_at: When the kernel last took some, in seconds of the event loop's clock.
-        ended_at: When everything was sent and the sending was shut down, or None before.
+        unsent: Bytes that were written here and that the kernel has not yet accepted.
+        progress_at: When the kernel last accepted bytes, in seconds of the event loop's clock.
+        ended_at: When everything was sent and the sending side was shut down; None before that.
     """
 
-    HIGH_WATER_MARK = 32 * 1024  # unsent bytes, past which the source has to wait
+    HIGH_WATER_MARK = 32 * 1024  # unsent bytes, above which the caller has to wait
 
     def __init__(self, stream: IOStream) -> None:
         self.stream = stream
@@ -30,31 +30,32 @@
         """Send bytes.
 
         Returns:
-            Past the high-water mark a future that is done when the client has taken them, else None.
+            Above the high-water mark, a future that is done when the kernel has accepted these bytes;
+            otherwise None.
         """
         try:
             written = asyncio.ensure_future(self.stream.write(data))
         except StreamClosedError:
-            return None  # the connection's reader raises it, too
+            return None  # the connection's reader raises the same error
         if written.done():
             return None
         if not self.unsent:
             self.progress_at = asyncio.get_running_loop().time()
         self.unsent += len(data)
-        written.add_done_callback(lambda done: self._note_written(len(data), done))
+        written.add_done_callback(lambda done: self._record_written(len(data), done))
         return written if self.unsent > self.HIGH_WATER_MARK else None
 
-    def _note_written(self, count: int, done: asyncio.Future[None]) -> None:
+    def _record_written(self, count: int, done: asyncio.Future[None]) -> None:
         self.unsent -= count
         self.progress_at = asyncio.get_running_loop().time()
         if not done.cancelled():
-            done.exception()  # retrieved, so that it is not logged as ignored
+            done.exception()  # retrieved, so that asyncio does not log it as never retrieved
 
     def finish(self) -> None:
-        """Send what was written, then shut down the sending only.
+        """Send what was written, then shut down the sending side only.
 
-        A close over unread input resets the connection, and the client loses the part of the response that
-        it has not taken. The owner of the connection therefore reads on, and closes after the client.
+        Closing a connection that has unread input resets it, and the client loses the part of the response
+        that it has not read. The owner therefore keeps reading, and closes the connection after the client.
         """
         try:
             flushed = asyncio.ensure_future(self.stream.write(b""))
@@ -70,5 +71,5 @@
             self.stream.socket.shutdown(socket.SHUT_WR)
 
     def stalled(self, now: float, timeout: float) -> bool:
-        """Return whether the client has taken nothing for that many seconds, with bytes unsent."""
+        """Return whether bytes are unsent and none was accepted for more than `timeout` seconds."""
         return self.unsent > 0 and now - self.progress_at > timeout
--- a/lockspoke/wire/tcp/read_ahead.py
+++ b/lockspoke/wire/tcp/read_ahead.py
@@ -1,4 +1,4 @@
-"""A connection on which a read is always pending, so that its end is noticed at any time."""
+"""A connection on which a read is always pending, so that its end is detected at any time."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
 
     def _start_read(self) -> asyncio.Future[bytes]:
         pending = start_read(self.stream, READ_SIZE)
-        # Retrieves the exception, so that an end that nobody awaits is not logged as an ignored error.
+        # Retrieves the exception: otherwise asyncio would log it if the connection ends while nobody reads.
         pending.add_done_callback(lambda done: done.cancelled() or done.exception())
         return pending
 
     @property
     def unread(self) -> bool:
-        """Whether bytes, or the end, have come that `read` has not returned."""
+        """Whether bytes have arrived, or the connection has ended, and `read` has not reported it."""
         return self.pending.done() or not is_open_without_input(self.stream)
 
     async def read(self) -> bytes:
--- a/lockspoke/wire/tcp/reading.py
+++ b/lockspoke/wire/tcp/reading.py
@@ -1,4 +1,4 @@
-"""Starting a read of a connection."""
+"""Starts a read of a connection."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def start_read(stream: IOStream, size: int) -> asyncio.Future[bytes]:
-    """Start to read the next bytes, `size` at most; never raises.
+    """Start reading the next bytes, at most `size`; never raises.
 
     Returns:
-        A future of the bytes. However the connection has ended, its exception is StreamClosedError: Tornado
-        itself raises other errors than a reset as they are, such as a host that cannot be reached any more.
+        A future of the bytes. Its exception is StreamClosedError however the connection has ended: Tornado
+        raises errors other than a reset as they are, such as a host that has become unreachable.
     """
     try:
         return asyncio.ensure_future(stream.read_bytes(size, partial=True))
--- a/tests/wire/tcp/test_fair_reader.py
+++ b/tests/wire/tcp/test_fair_reader.py
@@ -34,7 +34,7 @@
 
         async def other() -> None:
             while len(turns) < 3:
-                turns.append(reader.giving_way)
+                turns.append(reader.yielding)
                 await asyncio.sleep(0)
 
         task = asyncio.ensure_future(other())
@@ -44,7 +44,7 @@
             await reader.read()
         await task
         assert turns == [True, True, True]
-        assert not reader.giving_way
+        assert not reader.yielding
 
     asyncio.run(scenario())
 
@@ -74,7 +74,7 @@
         owner = cast(ConnectionOwner, cast(Core, None))
         connection = ClientConnection(owner, cast(IOStream, ReadyStream()))
         assert connection.idle
-        connection.reader.giving_way = True
+        connection.reader.yielding = True
         assert not connection.idle
 
     asyncio.run(scenario())
--- a/tests/wire/tcp/test_listener.py
+++ b/tests/wire/tcp/test_listener.py
@@ -15,7 +15,7 @@
 from lockspoke.wire.clients.connection import ClientConnection
 from lockspoke.wire.operators.front import OperatorConnection
 from lockspoke.wire.tcp.accepted_connection import close_if_no_input
-from lockspoke.wire.tcp.acceptor import MAX_ACCEPTS_PER_TURN
+from lockspoke.wire.tcp.acceptor import MAX_ACCEPTS_PER_ITERATION
 from lockspoke.wire.tcp.close_reason import CloseReason
 from lockspoke.wire.tcp.fair_reader import FairReader
 from lockspoke.wire.tcp.listener import Listener
@@ -144,7 +144,7 @@
         asyncio.get_running_loop().call_soon(note_turn)
         await until(lambda: accepted_by_turn[-1] >= 50)
         steps = [after - before for before, after in itertools.pairwise(accepted_by_turn)]
-        assert max(steps) <= MAX_ACCEPTS_PER_TURN
+        assert max(steps) <= MAX_ACCEPTS_PER_ITERATION
         end(listener, clients)
 
     asyncio.run(scenario())
