--- a/tests/wire/drain_checker.py
+++ b/tests/wire/drain_checker.py
@@ -1,8 +1,8 @@
 """Checks the drain rule in a simulation.
 
-The checker records independently of the gateway when each change was made, when it was written to the
-gateway, and how long discovery has been reachable since. A request that is sent to a replica later than the
-grace period after the gateway was notified of its drain violates the rule.
+The checker records, independently of the gateway, when each change was made, when it was written to the
+gateway, and how long discovery has been reachable since then. A request violates the rule if it is sent to a
+replica after the grace period, which begins when the gateway is notified of the replica's drain.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class DrainChecker:
-    """Checks the drain rule, from its own records."""
+    """Records changes and requests, and collects violations of the drain rule."""
 
     def __init__(self, loop: ClockedLoop, schedule: Schedule) -> None:
         self.loop = loop
         self.start = loop.time()
         self.schedule = schedule
-        self.drained_at: dict[str, float] = {}  # by uid, of replicas that are draining or removed now
-        self.written_at: dict[str, float] = {}  # by uid, when that was first written to the gateway
+        self.drained_at: dict[str, float] = {}  # by uid, of replicas that are currently draining or removed
+        self.written_at: dict[str, float] = {}  # by uid, when that change was first written to the gateway
         self.banned: set[str] = set()
         self.requests = 0
         self.violations: list[str] = []
@@ -30,7 +30,7 @@
         return self.loop.time() - self.start
 
     def far_from_faults(self) -> bool:
-        """Whether no fault of the schedule is near."""
+        """Whether no scheduled fault is near the current time."""
         schedule = self.schedule
         times = [at for at, _ in schedule.faults] + [
             at for begin, end, _ in schedule.outages for at in (begin, end)
@@ -45,12 +45,12 @@
             self.drained_at[uid] = self.now()
 
     def record_written(self, uids: set[str]) -> None:
-        """A response with the drains of these replicas has been written completely."""
+        """Record that a response with the drains of these replicas has been written completely."""
         for uid in uids & self.drained_at.keys():
             self.written_at.setdefault(uid, self.now())
 
     def notified_at(self, uid: str) -> float:
-        """When the gateway counts as notified of the current drain."""
+        """Return when the gateway counts as notified of the current drain."""
         reached = max(self.drained_at[uid], 0.0)
         for begin, end, _ in self.schedule.outages:
             if begin < reached + MAX_PROPAGATION_TIME and end > reached:
@@ -60,9 +60,9 @@
     def record_request(self, uid: str) -> None:
         self.requests += 1
         if uid in self.banned:
-            self.violations.append(f"{uid} sent to at {self.now():.3f}: an operator has taken it out of use")
+            self.violations.append(f"{uid} got a request at {self.now():.3f}: an operator has banned it")
         if uid in self.drained_at and self.now() > (notified := self.notified_at(uid)) + DRAIN_GRACE:
             drained, written = self.drained_at[uid], self.written_at.get(uid)
             self.violations.append(
-                f"{uid} sent to at {self.now():.3f}: {drained=:.3f} {written=} {notified=:.3f}"
+                f"{uid} got a request at {self.now():.3f}: {drained=:.3f} {written=} {notified=:.3f}"
             )
--- a/tests/wire/drain_fakes.py
+++ b/tests/wire/drain_fakes.py
@@ -23,7 +23,7 @@
 
 
 class FakeConnections:
-    """The connections that a fake server has accepted, with a task for each."""
+    """The connections that a fake server has accepted, and the task that serves each."""
 
     def __init__(self) -> None:
         self.open: dict[socket.socket, asyncio.Task[None]] = {}
@@ -34,7 +34,7 @@
         task.add_done_callback(lambda _: self.open.pop(sock, None))
 
     def silence(self) -> None:
-        """Write no more responses; the connections stay open."""
+        """Stop responding; the connections stay open."""
         for task in self.open.values():
             task.cancel()
 
@@ -45,7 +45,7 @@
 
 
 async def read_requests(sock: socket.socket) -> AsyncIterator[Request]:
-    """The requests that arrive on a connection."""
+    """Yield the requests that arrive on a connection."""
     loop, assembler = asyncio.get_running_loop(), RequestAssembler()
     with contextlib.suppress(OSError):
         while data := await loop.sock_recv(sock, 65536):
@@ -54,19 +54,19 @@
 
 
 class FakeDiscovery:
-    """Discovery, at all of its addresses."""
+    """Discovery, which serves the same state at all of its addresses."""
 
     def __init__(self, random_: random.Random, checker: DrainChecker, network: Network) -> None:
         self.random = random_
         self.checker = checker
         self.network = network
         self.connections = FakeConnections()
-        self.silenced: list[socket.socket] = []  # referenced, so that they stay open
+        self.silenced: list[socket.socket] = []  # kept here, since sockets without a reference are closed
         self.version = 1
         self.states = {f"r{n}": "up" for n in range(REPLICAS)}
         self.history: list[tuple[int, str]] = []  # version and uid of each change
         self.changed = asyncio.Event()
-        self.fault: Fault | None = None  # of the next request
+        self.fault: Fault | None = None  # injected into the next request
         self.on_drain_written: Callable[[], None] = lambda: None
         self.current_outage: Outage | None = None
         for address in DISCOVERY_ADDRESSES:
@@ -173,16 +173,16 @@
             self.fault = Fault.LOST
             loop.call_soon(loop.pass_time, 0.3)
         elif drains and random_value < 0.5:
-            # The loop is busy while the drain is unread; requests that arrive meanwhile are read with it.
+            # The loop is busy while the drain is unread; requests that arrive in that time are read with it.
             loop.call_soon(loop.pass_time, self.random.uniform(0.2, 0.5))
         elif drains and random_value < 0.8 and self.checker.far_from_faults():
-            # Discovery moves while the drain is unread; its new address does not respond at first.
+            # Discovery moves to another address while the drain is unread, and does not respond at first.
             self.fault = Fault.LOST
             loop.call_soon(self.on_drain_written)
 
 
 class FakeReplicas:
-    """All replicas: they respond, reject, reset or hang."""
+    """All replicas: at random they respond, reject a request, reset a connection or do not respond."""
 
     def __init__(self, random_: random.Random, network: Network) -> None:
         self.random = random_
--- a/tests/wire/drain_schedule.py
+++ b/tests/wire/drain_schedule.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-MAX_PROPAGATION_TIME = 6.0  # seconds after discovery had a change and could be reached
+MAX_PROPAGATION_TIME = 6.0  # seconds from when discovery had a change and was reachable
 DURATION = 45.0  # seconds
 REPLICAS = 6
 
 
 class Fault(Enum):
-    """A single fault of discovery: of the next request, or of all open connections."""
+    """A single fault of discovery, which affects the next request or all open connections."""
 
     SILENCED = auto()  # open connections get no more responses and stay open
     RESET = auto()  # open connections are closed
@@ -20,13 +20,13 @@
     LOST = auto()  # the next request never gets a response
     TRUNCATED = auto()  # the next response ends in the middle
     SPLIT = auto()  # the second half of the next response is late
-    BAD_ENTRY = auto()  # the next response has an entry that can't be decoded
-    STALE = auto()  # the next response is the list as it was at the start
+    BAD_ENTRY = auto()  # the next response has an entry that cannot be decoded
+    STALE = auto()  # the next response is the initial list
     LATE = auto()  # the next response arrives just before its deadline, and the one after it is lost
 
 
 class Outage(Enum):
-    """Why discovery can't be reached for a while."""
+    """How discovery is unavailable for some time."""
 
     REFUSES = auto()
     CONNECT_HANGS = auto()
@@ -37,22 +37,22 @@
 
 @dataclass
 class Schedule:
-    """The events of one simulation; times in seconds from its start."""
+    """The events of one simulation; times are in seconds from its start."""
 
     outages: list[tuple[float, float, Outage]] = field(default_factory=list)
     faults: list[tuple[float, Fault]] = field(default_factory=list)
     endpoint_changes: list[float] = field(default_factory=list)
-    # When the event loop is busy, and for how long.
+    # Start and duration of periods in which the event loop is busy.
     busy_periods: list[tuple[float, float]] = field(default_factory=list)
-    changes: list[tuple[float, str, str]] = field(default_factory=list)  # when, uid, state
-    bans: list[tuple[float, float, str]] = field(default_factory=list)  # from when to when, uid
+    changes: list[tuple[float, str, str]] = field(default_factory=list)  # time, uid, state
+    bans: list[tuple[float, float, str]] = field(default_factory=list)  # start, end, uid
 
 
 def draw_schedule(random_: random.Random, faults_in_a_row: int) -> Schedule:
-    """Draw a schedule: periods with this many faults within the propagation time, each followed by quiet.
+    """Draw a schedule: this many faults within the propagation time, then a time without any, repeatedly.
 
-    The end of an outage counts as a fault. With a single fault, so does the start, since hundreds of gateways
-    that start together are polling in turn.
+    The end of an outage counts as a fault. With a single fault, so does the start of the simulation, since
+    hundreds of gateways that start together are polling one after another.
     """
     schedule = Schedule()
     now = random_.uniform(0.0, 4.0) + (MAX_PROPAGATION_TIME if faults_in_a_row == 1 else 0.0)
@@ -62,7 +62,7 @@
             end = now + random_.uniform(0.5, 7.0)
             schedule.outages.append((now, end, random_.choice(list(Outage))))
             now, remaining = end, remaining - 1
-        # A stale list that arrives twice is applied, rightly: so no fault occurs twice.
+        # The faults are distinct: a stale list that arrives twice is applied, which is correct.
         for fault in random_.sample(list(Fault), remaining):
             now += random_.uniform(0.0, 2.0)
             schedule.faults.append((now, fault))
@@ -75,7 +75,7 @@
     outage_ends = [end for _, end, _ in schedule.outages]
     times = [*fault_times, *outage_ends, *schedule.endpoint_changes, 0.0]
     for uid in random_.sample(range(REPLICAS), REPLICAS - 2):
-        # Drains are close to other events: before, during and soon after them.
+        # Drains are scheduled close to other events: shortly before or after them.
         at = max(-3.0, random_.choice(times) + random_.uniform(-1.5, 2.5))
         schedule.changes.append((at, f"r{uid}", random_.choice(("draining", "removed"))))
         if random_.random() < 0.4:
--- a/tests/wire/drain_simulation.py
+++ b/tests/wire/drain_simulation.py
@@ -1,6 +1,6 @@
-"""Random simulations of the drain rule: the real watch, core and transport, under a simulated clock.
+"""Random simulations of the drain rule, with the real watch, core and transport and a simulated clock.
 
-Discovery and the replicas are fakes, and a checker records what is sent.
+Discovery and the replicas are fakes, and a checker records each request that is sent.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 
 class DrainSimulation:
-    """One gateway, with the events of one schedule."""
+    """One gateway that runs through the events of one schedule."""
 
     def __init__(self, loop: ClockedLoop, seed: int, gateways: int, faults_in_a_row: int) -> None:
         self.loop = loop
@@ -118,11 +118,11 @@
         self.core.endpoint_list_changed(ReplicaListUpdate(1, True, known), cached=True)
 
     def _ban(self, uid: str, banned: bool) -> None:
-        if self.core.set_banned(uid, banned):  # a removed replica may be unknown and can't be banned
+        if self.core.set_banned(uid, banned):  # False for a removed replica that is no longer known
             (self.checker.banned.add if banned else self.checker.banned.discard)(uid)
 
     def _submit_request(self) -> None:
         request = ClientRequest(DiscardingWriter(), 0, 3 * SECOND, "id", "POST", "/x", {"host": "h"}, b"{}")
         request.session = self.random.getrandbits(32)
-        request.background = self.random.random() < 0.1  # as a line of a batch
+        request.background = self.random.random() < 0.1  # like a line of a batch
         self.core.submit(request)
--- a/tests/wire/http/samples.py
+++ b/tests/wire/http/samples.py
@@ -1,4 +1,4 @@
-"""Messages that the tests of the parsers share."""
+"""Messages shared by the tests of the parsers."""
 
 from __future__ import annotations
 
--- a/tests/wire/http/test_garbage.py
+++ b/tests/wire/http/test_garbage.py
@@ -1,4 +1,4 @@
-"""Garbage gives no error but HttpError, with a status of the parsers."""
+"""The parsers raise no error but HttpError for garbage, with one of their statuses."""
 
 from __future__ import annotations
 
@@ -38,5 +38,5 @@
     error = feed_until_error(parser, pieces)
     if error is not None:
         assert error.status in STATUSES
-        with pytest.raises(HttpError):  # a failed parser does not start anew
+        with pytest.raises(HttpError):  # a parser that has failed stays failed
             parser.feed(GET)
--- a/tests/wire/http/test_request_assembler.py
+++ b/tests/wire/http/test_request_assembler.py
@@ -1,4 +1,4 @@
-"""Complete requests come out of a connection's bytes."""
+"""The assembly of complete requests from the bytes of a connection."""
 
 from __future__ import annotations
 
--- a/tests/wire/http/test_request_parser.py
+++ b/tests/wire/http/test_request_parser.py
@@ -1,4 +1,4 @@
-"""Requests parse alike however they are split; malformed ones give an error with their status."""
+"""Requests are parsed the same however their bytes are split; malformed ones raise an error with a status."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @reproducible
 @given(st.lists(st.sampled_from([SIZED, CHUNKED, GET]), min_size=1, max_size=4), st.lists(st.integers(0)))
-def test_requests_parse_alike_however_they_are_split(messages: list[bytes], positions: list[int]) -> None:
+def test_requests_parse_the_same_however_they_are_split(messages: list[bytes], positions: list[int]) -> None:
     data = b"".join(messages)
     parts: list[MessagePart] = []
     parser = RequestParser()
--- a/tests/wire/http/test_response_parser.py
+++ b/tests/wire/http/test_response_parser.py
@@ -1,4 +1,4 @@
-"""Responses parse alike however they are split; malformed ones are detected at once."""
+"""Responses are parsed the same however their bytes are split; malformed ones are detected at once."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 @given(
     st.sampled_from([OK, BUSY]), st.sampled_from([b"", BUSY, b"\x00noise\r\n\r\n"]), st.lists(st.integers(0))
 )
-def test_responses_parse_alike_however_they_are_split(
+def test_responses_parse_the_same_however_they_are_split(
     message: bytes, trailing: bytes, positions: list[int]
 ) -> None:
-    """One response is parsed; bytes behind it neither make it malformed nor become the next one."""
+    """Only one response is parsed; bytes after it neither make it malformed nor become the next one."""
     parts: list[MessagePart] = []
     parser = ResponseParser()
     for piece in split_at(INTERIM_RESPONSES + message + trailing, positions):
--- a/tests/wire/http/test_sse.py
+++ b/tests/wire/http/test_sse.py
@@ -20,7 +20,7 @@
 
 @reproducible
 @given(st.lists(st.integers(0)))
-def test_stream_parses_alike_however_it_is_split(positions: list[int]) -> None:
+def test_stream_parses_the_same_however_it_is_split(positions: list[int]) -> None:
     stream = EventStream()
     forwarded = b"".join(stream.feed(piece) for piece in split_at(STREAM, positions))
     assert forwarded + stream.remainder() == STREAM
@@ -56,7 +56,7 @@
     ],
 )
 def test_malformed_stream_is_detected(data: bytes) -> None:
-    """Forwarded, it would reach the client as if a replica had sent it, and nothing bounds its size."""
+    """If it were forwarded, the client would receive invalid events, of unlimited size."""
     with pytest.raises(EventStreamError):
         EventStream().feed(data)
 
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -1,4 +1,4 @@
-"""The idle timeout of connections to replicas, by given times and by the responses of a replica."""
+"""The idle timeout of connections to replicas: its arithmetic, and which responses of a replica halve it."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from tests.standins import until
 
-START = 5_000_000.0  # a machine that has been running for a long time
+START = 5_000_000.0  # seconds; the monotonic clock of a machine that has been running for a long time
 
 
 def test_rejected_connections_halve_the_idle_timeout_and_it_recovers() -> None:
@@ -31,7 +31,7 @@
     assert keep_alive.idle_timeout(START + 3 * RECOVERY_INTERVAL) == 8.0
 
 
-def test_the_idle_timeout_has_a_minimum_from_which_it_recovers_as_fast() -> None:
+def test_idle_timeout_has_a_minimum_and_recovers_from_it() -> None:
     keep_alive = KeepAlive(8.0)
     for step in range(1000):
         keep_alive.connection_rejected(START + step)
@@ -39,7 +39,7 @@
     assert keep_alive.idle_timeout(START + 1000 + 6 * RECOVERY_INTERVAL) == 8.0
 
 
-def test_an_idle_timeout_below_the_minimum_in_the_settings_is_not_raised() -> None:
+def test_configured_idle_timeout_below_the_minimum_is_kept() -> None:
     keep_alive = KeepAlive(0.1)
     keep_alive.connection_rejected(START)
     assert keep_alive.idle_timeout(START) == 0.1 and KeepAlive(0.0).idle_timeout(START) == 0.0
--- a/tests/wire/tcp/test_acceptor.py
+++ b/tests/wire/tcp/test_acceptor.py
@@ -1,4 +1,4 @@
-"""What `accept` may return on Linux, one connection at a time or for a while."""
+"""Errors that `accept` may return on Linux: of a single connection, or a shortage on the machine."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FailingSocket:
-    """A listening socket whose next accepts fail."""
+    """A listening socket whose next calls of `accept` fail, one for each error in `errors`."""
 
     def __init__(self, listening: socket.socket) -> None:
         self.listening = listening
@@ -36,7 +36,7 @@
         self.listening.close()
 
 
-class Scene:
+class AcceptorSetup:
     """An acceptor with two connections in the kernel's queue."""
 
     def __init__(self) -> None:
@@ -54,79 +54,79 @@
 
 
 @pytest.mark.parametrize("error", sorted(CONNECTION_ERRORS))
-def test_an_error_of_one_connection_does_not_keep_the_next_in_the_queue(error: int) -> None:
+def test_error_of_one_connection_does_not_block_the_next(error: int) -> None:
     async def scenario() -> None:
-        scene = Scene()
-        scene.socket.errors = [error, error]
-        assert scene.acceptor.accept_waiting(lambda: True)
-        assert len(scene.accepted) == 2
-        scene.close()
+        setup = AcceptorSetup()
+        setup.socket.errors = [error, error]
+        assert setup.acceptor.accept_waiting(lambda: True)
+        assert len(setup.accepted) == 2
+        setup.close()
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("error", SHORTAGES)
-def test_a_shortage_is_waited_for_and_does_not_turn_the_loop(error: int) -> None:
+def test_resource_shortage_is_retried_without_spinning(error: int) -> None:
     failures: list[object] = []
 
     async def scenario() -> None:
         asyncio.get_running_loop().set_exception_handler(lambda _, context: failures.append(context))
-        scene = Scene()
-        scene.socket.errors = [error] * 1000
-        scene.acceptor.resume()
+        setup = AcceptorSetup()
+        setup.socket.errors = [error] * 1000
+        setup.acceptor.resume()
         await asyncio.sleep(0.3)
-        assert scene.socket.accepts <= 20, "it turns the event loop"
-        scene.socket.errors = []
-        await until(lambda: len(scene.accepted) == 2)
-        scene.close()
+        assert setup.socket.accepts <= 20, "the event loop spins"
+        setup.socket.errors = []
+        await until(lambda: len(setup.accepted) == 2)
+        setup.close()
 
     asyncio.run(scenario())
     assert not failures
 
 
-def test_failures_of_a_moment_cost_a_moment() -> None:
-    """Otherwise a crowd in the queue would hold back a request past its deadline."""
+def test_brief_failures_delay_accepting_only_briefly() -> None:
+    """Otherwise a request behind many queued connections could miss its deadline."""
 
     async def scenario() -> None:
-        scene = Scene()
-        scene.acceptor.resume()
+        setup = AcceptorSetup()
+        setup.acceptor.resume()
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         for _ in range(20):
-            scene.socket.errors = [errno.ENFILE]
-            count = len(scene.accepted)
-            scene.clients.append(socket.create_connection(scene.socket.listening.getsockname()))
-            await until(lambda expected=count + 1: len(scene.accepted) >= expected)  # type: ignore[misc]  # mypy infers no lambda with a default
+            setup.socket.errors = [errno.ENFILE]
+            count = len(setup.accepted)
+            setup.clients.append(socket.create_connection(setup.socket.listening.getsockname()))
+            await until(lambda expected=count + 1: len(setup.accepted) >= expected)  # type: ignore[misc]  # mypy infers no lambda with a default
         assert loop.time() - started_at < 0.5
-        scene.close()
+        setup.close()
 
     asyncio.run(scenario())
 
 
-def test_connections_that_cannot_be_accepted_for_a_while_are_reported_as_waiting() -> None:
+def test_accept_waiting_reports_that_connections_were_not_accepted() -> None:
     async def scenario() -> None:
-        scene = Scene()
-        scene.socket.errors = [errno.ENFILE]
-        assert not scene.acceptor.accept_waiting(lambda: True)
-        assert scene.acceptor.accept_waiting(lambda: True)
-        assert len(scene.accepted) == 2
-        scene.close()
+        setup = AcceptorSetup()
+        setup.socket.errors = [errno.ENFILE]
+        assert not setup.acceptor.accept_waiting(lambda: True)
+        assert setup.acceptor.accept_waiting(lambda: True)
+        assert len(setup.accepted) == 2
+        setup.close()
 
     asyncio.run(scenario())
 
 
-def test_a_pause_ends_the_wait_after_a_shortage() -> None:
+def test_pause_cancels_the_retry_after_a_shortage() -> None:
     async def scenario() -> None:
-        scene = Scene()
-        scene.socket.errors = [errno.ENFILE] * 1000
-        scene.acceptor.resume()
-        await until(lambda: scene.socket.accepts >= 2)
-        scene.acceptor.pause()
-        scene.socket.errors = []
+        setup = AcceptorSetup()
+        setup.socket.errors = [errno.ENFILE] * 1000
+        setup.acceptor.resume()
+        await until(lambda: setup.socket.accepts >= 2)
+        setup.acceptor.pause()
+        setup.socket.errors = []
         await asyncio.sleep(0.15)
-        assert not scene.accepted
-        scene.acceptor.resume()
-        await until(lambda: len(scene.accepted) == 2)
-        scene.close()
+        assert not setup.accepted
+        setup.acceptor.resume()
+        await until(lambda: len(setup.accepted) == 2)
+        setup.close()
 
     asyncio.run(scenario())
--- a/tests/wire/tcp/test_broken_reads.py
+++ b/tests/wire/tcp/test_broken_reads.py
@@ -1,4 +1,4 @@
-"""A read that ends with another error than a reset keeps the bytes that came, and ends the connection."""
+"""A read error, of whichever kind, loses no bytes received before it and ends the connection."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 from lockspoke.wire.tcp.fair_reader import FairReader
 from lockspoke.wire.tcp.read_ahead import ReadAhead
 
-# What the system returns where a connection breaks without a word of the peer, and a reset.
-BREAKS = (errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT, errno.ECONNRESET, errno.ENOBUFS)
+# What the system returns for a broken connection: a network failure, a reset or a lack of buffers.
+READ_ERRORS = (errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT, errno.ECONNRESET, errno.ENOBUFS)
 
 
 class BreakingStream(IOStream):
-    """Returns what its peer has sent once, then fails."""
+    """Returns the bytes of its peer in the first read, then fails."""
 
-    break_error = 0
+    read_error = 0
     reads = 0
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
         self.reads += 1
         if self.reads > 1:
-            raise OSError(self.break_error, os.strerror(self.break_error))
+            raise OSError(self.read_error, os.strerror(self.read_error))
         return super().read_from_fd(buf)
 
 
@@ -40,7 +40,7 @@
         served.setblocking(False)
         peer.sendall(b"the end of an answer")
         stream = BreakingStream(served)
-        stream.break_error = error
+        stream.read_error = error
         await test(stream)
         assert stream.closed()
         peer.close()
@@ -49,8 +49,8 @@
     assert not failures
 
 
-@pytest.mark.parametrize("error", BREAKS)
-def test_bytes_that_came_before_the_break_are_not_lost(error: int) -> None:
+@pytest.mark.parametrize("error", READ_ERRORS)
+def test_read_ahead_returns_the_bytes_before_an_error(error: int) -> None:
     async def test(stream: IOStream) -> None:
         reader = ReadAhead(stream)
         assert await reader.read() == b"the end of an answer"
@@ -60,8 +60,8 @@
     run_with_broken_stream(error, test)
 
 
-@pytest.mark.parametrize("error", BREAKS)
-def test_a_read_of_a_broken_connection_raises_what_every_reader_expects(error: int) -> None:
+@pytest.mark.parametrize("error", READ_ERRORS)
+def test_fair_reader_returns_the_bytes_before_an_error(error: int) -> None:
     async def test(stream: IOStream) -> None:
         reader = FairReader(stream)
         assert await reader.read() == b"the end of an answer"
--- a/tests/wire/tcp/test_dialing.py
+++ b/tests/wire/tcp/test_dialing.py
@@ -1,4 +1,4 @@
-"""A shortage on this machine is waited for: it says nothing about the peer."""
+"""Connecting is retried during a shortage on this machine, which says nothing about the peer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FailingSocket(socket.socket):
-    """Fails as often as there are errors."""
+    """A socket whose creation and connect fail, once for each error in the lists."""
 
     socket_errors: list[int] = []  # noqa: RUF012  the tests fill and empty it
     connect_errors: list[int] = []  # noqa: RUF012
@@ -44,7 +44,7 @@
 async def connect(
     address: tuple[str, int], socket_errors: list[int] | None = None, connect_errors: list[int] | None = None
 ) -> None:
-    # Only now: the event loop has made its own sockets.
+    # Set only here, since the event loop has created its own sockets by now.
     FailingSocket.socket_errors, FailingSocket.connect_errors = socket_errors or [], connect_errors or []
     async with asyncio.timeout(1.0):
         stream = await dial(address)
@@ -52,22 +52,22 @@
 
 
 @pytest.mark.parametrize("error", sorted(LOCAL_ERRORS))
-def test_a_shortage_of_a_moment_does_not_fail_the_connection(listening: tuple[str, int], error: int) -> None:
-    """Otherwise it would count against the replica, or put off the next poll of discovery."""
+def test_brief_shortage_does_not_fail_the_connection(listening: tuple[str, int], error: int) -> None:
+    """Otherwise it would count as a failure of the replica, or delay the next poll of discovery."""
     socket_errors, connect_errors = [error] * 3, [error] * 3
     asyncio.run(connect(listening, socket_errors, connect_errors))
     assert not socket_errors and not connect_errors
 
 
-def test_a_shortage_that_lasts_ends_with_the_callers_time(listening: tuple[str, int]) -> None:
+def test_lasting_shortage_ends_with_the_callers_timeout(listening: tuple[str, int]) -> None:
     errors = [errno.ENFILE] * 1000
     with pytest.raises(TimeoutError):
         asyncio.run(connect(listening, errors))
-    assert len(errors) > 900, "it turns the event loop"
+    assert len(errors) > 900, "the event loop spins"
 
 
 @pytest.mark.parametrize("error", [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT])
-def test_what_the_peer_or_the_way_to_it_says_fails_at_once(listening: tuple[str, int], error: int) -> None:
+def test_error_of_the_peer_or_network_fails_at_once(listening: tuple[str, int], error: int) -> None:
     errors = [error] * 2
     with pytest.raises(StreamClosedError):
         asyncio.run(connect(listening, connect_errors=errors))
--- a/tests/wire/tcp/test_fair_reader.py
+++ b/tests/wire/tcp/test_fair_reader.py
@@ -1,4 +1,4 @@
-"""Reads give way to other tasks, and only where they did not have to wait."""
+"""A reader yields to other tasks, but only after a read that did not have to wait."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ReadyStream:
-    """Holds bytes for ever: no read has to wait, unless it is told to."""
+    """A stream that always holds bytes: no read waits, except while `waiting` is set."""
 
     def __init__(self) -> None:
         self.waiting: asyncio.Future[bytes] | None = None
@@ -26,30 +26,30 @@
         return done
 
 
-def test_other_tasks_run_between_reads_of_bytes_that_are_there() -> None:
+def test_other_tasks_run_between_reads_of_available_bytes() -> None:
     async def scenario() -> None:
         stream = ReadyStream()
         reader = FairReader(cast(IOStream, stream), 4)
-        turns: list[bool] = []  # whether the reader was giving way, in each turn of another task
+        yielding_when_run: list[bool] = []  # whether the reader was yielding, each time another task ran
 
         async def other() -> None:
-            while len(turns) < 3:
-                turns.append(reader.yielding)
+            while len(yielding_when_run) < 3:
+                yielding_when_run.append(reader.yielding)
                 await asyncio.sleep(0)
 
         task = asyncio.ensure_future(other())
         assert await reader.read() == b"xxxx"
-        assert not turns, "the first read is not delayed"
+        assert not yielding_when_run, "the first read is not delayed"
         for _ in range(3):
             await reader.read()
         await task
-        assert turns == [True, True, True]
+        assert yielding_when_run == [True, True, True]
         assert not reader.yielding
 
     asyncio.run(scenario())
 
 
-def test_a_read_that_waited_is_followed_by_one_at_once() -> None:
+def test_read_after_a_waiting_read_starts_at_once() -> None:
     async def scenario() -> None:
         stream = ReadyStream()
         reader = FairReader(cast(IOStream, stream), 4)
@@ -67,8 +67,8 @@
     asyncio.run(scenario())
 
 
-def test_a_client_connection_that_gives_way_is_not_idle() -> None:
-    """Otherwise it could be closed over a request that the stream has read from the kernel already."""
+def test_yielding_client_connection_is_not_idle() -> None:
+    """Otherwise it could be closed although the stream has already read a request from the kernel."""
 
     async def scenario() -> None:
         owner = cast(ConnectionOwner, cast(Core, None))
--- a/tests/wire/tcp/test_listener.py
+++ b/tests/wire/tcp/test_listener.py
@@ -1,4 +1,4 @@
-"""Idle connections give way to new ones, but never over bytes that were read, nor at everybody's cost."""
+"""Idle connections are closed for new ones: without losing bytes that were read, and at a low cost."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from lockspoke.wire.tcp.listener import Listener
 from tests.standins import until
 
-READABLE = 0.2  # seconds in which the connection's first read begins
+READ_START_TIME = 0.2  # seconds until the connection's first read has begun
 
 
 def client_connection(stream: IOStream) -> ClientConnection:
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("create", [client_connection, batch_connection, operator_connection])
 def test_a_connection_with_a_finished_read_is_not_closed_as_idle(create: Any) -> None:
-    """Its task runs in the next turn of the loop; what was read would never be answered."""
+    """Its task runs in the next iteration of the loop; a request that was read would get no answer."""
 
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
@@ -53,15 +53,15 @@
         served.setblocking(False)
         connection = create(IOStream(served))
         task = asyncio.ensure_future(connection.reader.read())
-        await asyncio.sleep(READABLE)
+        await asyncio.sleep(READ_START_TIME)
         closed: asyncio.Future[bool] = loop.create_future()
 
-        def close_in_the_turn_of_the_read() -> None:
+        def close_in_the_iteration_of_the_read() -> None:
             loop.remove_reader(triggered)
             assert not task.done()
             closed.set_result(close_if_no_input(connection, CloseReason.DISPLACED))
 
-        loop.add_reader(triggered, close_in_the_turn_of_the_read)
+        loop.add_reader(triggered, close_in_the_iteration_of_the_read)
         peer.sendall(b"G")
         trigger.sendall(b"x")
         assert not await closed
@@ -75,9 +75,9 @@
 
 
 class IdleConnection:
-    """Counts how often it is looked at."""
+    """A connection that counts how often it is checked for being idle."""
 
-    looks = 0
+    idle_checks = 0
     close_reason: CloseReason | None = None
     has_received = False
 
@@ -88,7 +88,7 @@
 
     @property
     def idle(self) -> bool:
-        IdleConnection.looks += 1
+        IdleConnection.idle_checks += 1
         return not self.reader.has_unread
 
     async def run(self) -> None:
@@ -97,14 +97,14 @@
 
 
 async def full_listener(count: int) -> tuple[Listener[IdleConnection], tuple[str, int], list[socket.socket]]:
-    """A listener at its limit, all of whose connections are idle for long."""
+    """A listener at its limit, whose connections have all been idle for a long time."""
     listener = Listener(IdleConnection, count)
     address = listener.listen(("127.0.0.1", 0))
     clients = [socket.create_connection(address) for _ in range(count)]
     await until(lambda: len(listener.connections) == count)
     for number, connection in enumerate(listener.connections):
         connection.active_at = number - 1000.0
-    IdleConnection.looks = 0
+    IdleConnection.idle_checks = 0
     return listener, address, clients
 
 
@@ -115,35 +115,35 @@
         client.close()
 
 
-def test_many_new_connections_at_the_limit_do_not_each_take_a_pass_over_all() -> None:
-    """With some hundreds of idle connections a pass takes longer than everything else about an accept."""
+def test_one_scan_serves_many_new_connections_at_the_limit() -> None:
+    """With hundreds of idle connections, a scan takes longer than all other work of an accept."""
     count, new = 300, 100
 
     async def scenario() -> None:
         listener, address, clients = await full_listener(count)
         clients += [socket.create_connection(address) for _ in range(new)]
         await until(lambda: listener.closes[CloseReason.DISPLACED] == new)
-        assert IdleConnection.looks < count * new / 4
+        assert IdleConnection.idle_checks < count * new / 4
         end(listener, clients)
 
     asyncio.run(scenario())
 
 
-def test_accepting_gives_way_to_the_rest_of_the_event_loop() -> None:
-    """Connections that wait in the kernel's queue hold back neither streams nor timers."""
+def test_accepting_does_not_block_the_event_loop() -> None:
+    """Accepting the connections in the kernel's queue delays neither streams nor timers."""
 
     async def scenario() -> None:
         listener, address, clients = await full_listener(50)
-        accepted_by_turn = [0]
+        accepted_by_iteration = [0]
 
-        def note_turn() -> None:
-            accepted_by_turn.append(listener.closes[CloseReason.DISPLACED])
-            asyncio.get_running_loop().call_soon(note_turn)
+        def record_iteration() -> None:
+            accepted_by_iteration.append(listener.closes[CloseReason.DISPLACED])
+            asyncio.get_running_loop().call_soon(record_iteration)
 
         clients += [socket.create_connection(address) for _ in range(100)]
-        asyncio.get_running_loop().call_soon(note_turn)
-        await until(lambda: accepted_by_turn[-1] >= 50)
-        steps = [after - before for before, after in itertools.pairwise(accepted_by_turn)]
+        asyncio.get_running_loop().call_soon(record_iteration)
+        await until(lambda: accepted_by_iteration[-1] >= 50)
+        steps = [after - before for before, after in itertools.pairwise(accepted_by_iteration)]
         assert max(steps) <= MAX_ACCEPTS_PER_ITERATION
         end(listener, clients)
 
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline that a replica receives never exceeds the time that its client still waits."""
+"""The deadline that a replica receives never exceeds the time that remains to its client."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 
 DEADLINE_MS = 4000
 TOLERANCE_MS = 150  # required
-BUSY_TIME = 0.4  # seconds for which the loop is busy
+BUSY_TIME = 0.4  # seconds for which a test blocks the event loop or delays a step
 
 
 def run_scenario(
-    test: Callable[[Gateway, ScriptedServer], Awaitable[None]], full: bool = False, **settings: Any
+    test: Callable[[Gateway, ScriptedServer], Awaitable[None]],
+    with_full_backlog: bool = False,
+    **settings: Any,
 ) -> None:
     async def scenario() -> None:
-        peer = ScriptedServer(backlog_full=full)
+        peer = ScriptedServer(backlog_full=with_full_backlog)
         async with Gateway(peer, **settings) as gateway:
             await test(gateway, peer)
 
@@ -29,15 +31,15 @@
         runner.run(scenario())
 
 
-async def received_deadline_ms(line: RawConnection) -> int:
-    """The deadline in the request on a replica's connection."""
-    found = re.search(rb"(?i)req-deadline-ms: (\d+)", await line.read_until(b"{}"))
+async def received_deadline_ms(connection: RawConnection) -> int:
+    """Return the deadline in the request on a replica's connection."""
+    found = re.search(rb"(?i)req-deadline-ms: (\d+)", await connection.read_until(b"{}"))
     assert found is not None
     return int(found[1])
 
 
 def remaining_ms(sent_at: float) -> float:
-    """Milliseconds that remain until the client's deadline, plus the tolerance."""
+    """Return the milliseconds that remain until the client's deadline, plus the tolerance."""
     return DEADLINE_MS - (time.monotonic() - sent_at) * 1000 + TOLERANCE_MS
 
 
@@ -47,10 +49,10 @@
         sent_at = time.monotonic()
         client.send(request_bytes(1, DEADLINE_MS))
         await until(lambda: gateway.core.totals.attempts == 1 and time.monotonic() - sent_at > BUSY_TIME)
-        line = await peer.free_backlog_and_accept()
-        assert await received_deadline_ms(line) <= remaining_ms(sent_at)
+        connection = await peer.free_backlog_and_accept()
+        assert await received_deadline_ms(connection) <= remaining_ms(sent_at)
 
-    run_scenario(test, full=True)
+    run_scenario(test, with_full_backlog=True)
 
 
 def test_a_retry_gets_the_time_that_remains_after_the_first_attempt() -> None:
@@ -62,38 +64,44 @@
         client.send(request_bytes(1, DEADLINE_MS))
         accepting = {asyncio.ensure_future(one.accept()) for one in (peer, second)}
         done, accepting = await asyncio.wait(accepting, return_when=asyncio.FIRST_COMPLETED)
-        line = done.pop().result()
-        await received_deadline_ms(line)
+        connection = done.pop().result()
+        await received_deadline_ms(connection)
         await until(lambda: time.monotonic() - sent_at > BUSY_TIME)
-        line.send(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+        connection.send(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
         assert await received_deadline_ms(await accepting.pop()) <= remaining_ms(sent_at)
 
     run_scenario(test)
 
 
 def test_a_pipelined_request_gets_the_time_that_remains_after_the_one_before_it() -> None:
-    """Regression: its deadline began with its turn, so that it had more time than its client."""
+    """Regression: its deadline was counted from its turn in the pipeline, later than its client sent it."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         sent_at = time.monotonic()
         client.send(request_bytes(1, DEADLINE_MS) + request_bytes(2, DEADLINE_MS))
-        line = await peer.accept()
-        await received_deadline_ms(line)
+        connection = await peer.accept()
+        await received_deadline_ms(connection)
         await until(lambda: time.monotonic() - sent_at > BUSY_TIME)
-        line.send(STREAM_HEAD + chunk(EVENTS[0]) + chunk(b""))
-        assert await second_deadline_ms(line, peer) <= remaining_ms(sent_at)
+        connection.send(STREAM_HEAD + chunk(EVENTS[0]) + chunk(b""))
+        assert await second_deadline_ms(connection, peer) <= remaining_ms(sent_at)
 
     run_scenario(test)
 
 
-async def second_deadline_ms(line: RawConnection, peer: ScriptedServer) -> int:
-    """The deadline in the next request, on the first connection or, until that has settled, a new one."""
+async def second_deadline_ms(connection: RawConnection, peer: ScriptedServer) -> int:
+    """Return the deadline in the next request, which arrives on the first connection or on a new one.
+
+    A new one is opened if the first has been idle for less than the settle time.
+    """
 
     async def on_new_connection() -> int:
         return await received_deadline_ms(await peer.accept())
 
-    reads = {asyncio.ensure_future(received_deadline_ms(line)), asyncio.ensure_future(on_new_connection())}
+    reads = {
+        asyncio.ensure_future(received_deadline_ms(connection)),
+        asyncio.ensure_future(on_new_connection()),
+    }
     done, others = await asyncio.wait(reads, return_when=asyncio.FIRST_COMPLETED)
     for other in others:
         other.cancel()
--- a/tests/wire/test_drain_simulation.py
+++ b/tests/wire/test_drain_simulation.py
@@ -8,7 +8,7 @@
 from tests.wire.drain_checker import DrainChecker
 from tests.wire.drain_simulation import DrainSimulation
 
-SEEDS = 8  # simulations of each size that CI runs
+SEEDS = 8  # simulations per parameter set that CI runs
 
 
 def simulate(seed: int, gateways: int, faults_in_a_row: int) -> DrainChecker:
@@ -36,10 +36,10 @@
 
 
 def test_hundreds_of_gateways_keep_the_rule_through_two_faults_in_a_row() -> None:
-    """Discovery fails twice in a row for one of 200 gateways, which learns of a drain after the 6 s.
+    """Two faults of discovery in a row make one of 200 gateways learn of a drain too late.
 
-    Why: its hold (up to 3.5 s), the failed request (up to 1.5 s) and the backoff, which is spread over 3.5 s
-    so that hundreds of gateways do not ask together, add up to 10 s. The bound is the rule's: at the latest
-    6 s after discovery had the change and could be reached, whatever the last request did.
+    The hold (up to 3.5 s), the failed request (up to 1.5 s) and the backoff, which is spread over 3.5 s so
+    that hundreds of gateways do not poll at once, add up to 10 s. The rule allows at most 6 s after discovery
+    had the change and was reachable, whatever happened to the last request.
     """
     assert not simulate(28, gateways=200, faults_in_a_row=2).violations
