--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -55,7 +55,7 @@
     run_scenario(test, with_full_backlog=True)
 
 
-def test_a_retry_gets_the_time_that_remains_after_the_first_attempt() -> None:
+def test_a_retry_gets_the_remaining_time() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         second = ScriptedServer()
         gateway.add_replicas(second)
@@ -73,7 +73,7 @@
     run_scenario(test)
 
 
-def test_a_pipelined_request_gets_the_time_that_remains_after_the_one_before_it() -> None:
+def test_a_pipelined_request_gets_the_remaining_time() -> None:
     """Regression: its deadline was counted from its turn in the pipeline, later than its client sent it."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
@@ -108,7 +108,7 @@
     return await done.pop()
 
 
-def test_the_time_a_request_was_unread_in_a_busy_loop_is_taken_from_the_deadline() -> None:
+def test_the_time_unread_in_a_busy_loop_is_taken_from_the_deadline() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         await until(lambda: len(gateway.front.listener.connections) == 1)
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -125,7 +125,7 @@
     return client
 
 
-def test_a_drain_unread_while_the_loop_is_busy_is_applied_before_any_request_is_sent() -> None:
+def test_a_drain_unread_in_a_busy_loop_is_applied_before_a_request_is_sent() -> None:
     """Regression: after a pause of the loop, requests were written before the drain was read."""
 
     async def test(setup: DrainScenario) -> None:
@@ -225,7 +225,7 @@
     run_scenario(test)
 
 
-def test_the_complete_list_is_requested_from_a_restarted_service_with_lower_versions() -> None:
+def test_the_complete_list_is_requested_after_a_response_with_a_lower_version() -> None:
     """Regression: the changes up to the former service's version were never requested."""
 
     async def test(setup: DrainScenario) -> None:
@@ -288,7 +288,7 @@
     run_scenario(test)
 
 
-def test_a_service_that_responds_at_once_without_changes_is_not_polled_in_a_tight_loop() -> None:
+def test_immediate_responses_without_changes_are_not_polled_in_a_tight_loop() -> None:
     async def test(setup: DrainScenario) -> None:
         peer_connection, loop = await setup.start_watch(), asyncio.get_running_loop()
         began = loop.time()
@@ -302,7 +302,7 @@
     run_scenario(test)
 
 
-def test_the_last_response_of_a_former_service_does_not_end_the_poll_of_the_new_one() -> None:
+def test_a_response_of_the_former_service_does_not_end_the_poll_of_the_new_one() -> None:
     """Regression: it counted as the response to the failed poll, so the list was not polled again."""
 
     async def test(setup: DrainScenario) -> None:
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -1,4 +1,4 @@
-"""Pairs of concurrent events, always in the order that does harm: see docs/design/races.md."""
+"""Races: each test forces two concurrent events into their harmful order. See docs/design/races.md."""
 
 from __future__ import annotations
 
@@ -27,15 +27,17 @@
 OVERLOADED_RESPONSE = (
     b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
-BUSY_TIME = 0.2  # seconds for which the loop is blocked: longer than a disconnect may stay unnoticed
+BUSY_TIME = 0.2  # seconds for which the event loop is blocked: longer than a disconnect may remain undetected
 LONG_EVENT = b"data: " + b"x" * 30_000 + b"\n\n"
 
 
 def run_scenario(
-    test: Callable[[Gateway, ScriptedServer], Awaitable[None]], full: bool = False, **settings: Any
+    test: Callable[[Gateway, ScriptedServer], Awaitable[None]],
+    with_full_backlog: bool = False,
+    **settings: Any,
 ) -> None:
     async def scenario() -> None:
-        peer = ScriptedServer(backlog_full=full)
+        peer = ScriptedServer(backlog_full=with_full_backlog)
         async with Gateway(peer, **settings) as gateway:
             await test(gateway, peer)
 
@@ -79,7 +81,7 @@
     run_scenario(test)
 
 
-def test_a_first_request_that_arrives_as_its_silent_connection_is_closed_is_answered() -> None:
+def test_a_first_request_is_answered_although_its_connection_times_out() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         await until(lambda: len(gateway.front.listener.connections) == 1)
@@ -91,7 +93,10 @@
 
 
 async def slow_stream(gateway: Gateway, peer: ScriptedServer) -> tuple[RawConnection, RawConnection]:
-    """A stream to a client with a small receive buffer, of a gateway that is stopping."""
+    """Start a stream to a client with a small receive buffer, on a gateway that is stopping.
+
+    Returns the connections of the client and of the replica.
+    """
     gateway.front.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
     client = await gateway.connect_client(SO_RCVBUF=4096)
     client.send(request_bytes(1))
@@ -101,7 +106,7 @@
 
 
 def test_a_slow_client_gets_the_end_of_its_last_response_after_the_linger_time() -> None:
-    """Regression: the connection was closed with bytes that the client had not received."""
+    """Regression: the connection was closed before the client had received all bytes."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, replica = await slow_stream(gateway, peer)
@@ -118,7 +123,7 @@
 
 
 def test_bytes_received_during_the_last_response_do_not_truncate_it() -> None:
-    """Regression: a close over unread input resets the connection, and the rest of the response was lost."""
+    """Regression: closing a connection with unread input reset it, and the rest of the response was lost."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, replica = await slow_stream(gateway, peer)
@@ -150,7 +155,7 @@
         await replica.read_until(b"{}")
         replica.send(STREAM_HEAD)
         for event in (EVENTS[0], EVENTS[1], EVENTS[0]):
-            replica.send(chunk(event))  # the next is not written before this one has been forwarded
+            replica.send(chunk(event))  # the next one is written once this one has been forwarded
             assert (await client.read_until(chunk(event))).endswith(chunk(event))
         replica.send(chunk(b""))
         assert (await client.read_to_end()).endswith(chunk(b""))
@@ -160,7 +165,7 @@
 
 
 async def idle_connection_pair(gateway: Gateway, peer: ScriptedServer) -> tuple[RawConnection, RawConnection]:
-    """A client that has its first response, and an idle connection to the replica that can be reused."""
+    """Return a client that has received its first response, and the replica's idle, reusable connection."""
     client = await gateway.connect_client()
     client.send(request_bytes(1))
     replica = await peer.accept()
@@ -175,11 +180,11 @@
 @pytest.mark.parametrize(
     "late", [RESPONSE, b"HTTP/1.1 2", b""], ids=["a second response", "half a line", "a close"]
 )
-def test_what_a_replica_sends_after_its_response_is_never_read_as_the_next_response(late: bytes) -> None:
+def test_bytes_after_a_response_are_not_read_as_the_next_one(late: bytes) -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client, first = await idle_connection_pair(gateway, peer)
         client.send(request_bytes(2))
-        # Read from the client before the loop polls the replica's connection.
+        # The request is read before the event loop polls the replica's connection.
         connection = client_connection(gateway)
         data = connection.stream.socket.recv(65536)
         if late:
@@ -198,17 +203,19 @@
 @pytest.mark.parametrize(
     ("complete", "outcome", "status"), [(False, "connect_failed", b"503"), (True, "reset", b"502")]
 )
-def test_a_replica_that_resets_may_have_run_a_request_only_if_its_last_byte_was_written(
+def test_after_a_reset_a_request_counts_as_run_only_if_it_was_written_completely(
     monkeypatch: pytest.MonkeyPatch, complete: bool, outcome: str, status: bytes
 ) -> None:
-    """Of a class that is not idempotent: if rejected, its client retries; if failed, it does not."""
+    """The request is not idempotent: its client retries it after a rejection, but not after a failure."""
 
-    def small(sock: socket.socket, **options: int) -> IOStream:
+    def with_small_send_buffer(sock: socket.socket, **options: int) -> IOStream:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return IOStream(sock, **options)
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)  # and of what it accepts
+        peer.sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, 4096
+        )  # also applies to the connections that it accepts
         client = await gateway.connect_client()
         sent = request_bytes(1, body=b"x" * 200_000)
         await asyncio.get_running_loop().sock_sendall(client.sock, sent)
@@ -218,7 +225,7 @@
         assert status in await client.read_until(b"\r\n\r\n")
         assert gateway.core.totals.attempt_outcomes[Outcome[outcome.upper()]] == gateway.core.totals.attempts
 
-    monkeypatch.setattr(dialing, "IOStream", small)
+    monkeypatch.setattr(dialing, "IOStream", with_small_send_buffer)
     run_scenario(test, classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
 
 
@@ -235,9 +242,9 @@
     )  # it becomes ready at another address
 
 
-@pytest.mark.parametrize("happens", [disconnect_client, drain_and_move_replica])
+@pytest.mark.parametrize("interrupt", [disconnect_client, drain_and_move_replica])
 def test_nothing_is_written_to_a_connection_that_is_established_too_late(
-    happens: Callable[[Gateway, RawConnection], Awaitable[None]],
+    interrupt: Callable[[Gateway, RawConnection], Awaitable[None]],
 ) -> None:
     """Regression: the request was written although the client had disconnected or the replica had moved."""
 
@@ -246,14 +253,14 @@
         client.send(request_bytes(1))
         await until(lambda: gateway.core.totals.attempts == 1)
         (request,) = gateway.core.requests.values()
-        await happens(gateway, client)
+        await interrupt(gateway, client)
         late = await peer.free_backlog_and_accept()
         await until(lambda: request.attempts[0].outcome is not None)
         assert request.attempts[0].outcome is Outcome.NEVER_SENT
         gateway.transport.close()
         assert await late.read_to_end() == b""
 
-    run_scenario(test, full=True)
+    run_scenario(test, with_full_backlog=True)
 
 
 async def wait_after_overload(gateway: Gateway, peer: ScriptedServer) -> None:
@@ -262,7 +269,7 @@
     replica = await peer.accept()
     await replica.read_until(b"{}")
     replica.send(OVERLOADED_RESPONSE)
-    # In the same loop iteration: after the rejection the request would wait for capacity and a retry.
+    # In the same loop iteration: after the overload reply the request would wait for capacity to retry.
     client.close()
 
 
@@ -277,15 +284,15 @@
     await until(lambda: not gateway.core.requests)
 
 
-@pytest.mark.parametrize("waits", [wait_after_overload, wait_in_pipeline])
-def test_nothing_is_sent_for_a_client_that_disconnected_while_its_request_waited(
-    waits: Callable[[Gateway, ScriptedServer], Awaitable[None]],
+@pytest.mark.parametrize("wait_and_disconnect", [wait_after_overload, wait_in_pipeline])
+def test_a_waiting_request_is_not_sent_after_its_client_disconnected(
+    wait_and_disconnect: Callable[[Gateway, ScriptedServer], Awaitable[None]],
 ) -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
-        await waits(gateway, peer)
+        await wait_and_disconnect(gateway, peer)
         await until(lambda: gateway.core.totals.request_outcomes[RequestOutcome.CLIENT_DISCONNECTED] == 1)
         other = await gateway.connect_client()
-        other.send(request_bytes(3))  # it would be sent after those that wait
+        other.send(request_bytes(3))  # it would be sent after the waiting requests
         replica = await peer.accept()
         assert b"0000000000000003" in await replica.read_until(b"{}")
         assert gateway.core.totals.attempts == 2, "one for each of two requests"
@@ -294,7 +301,7 @@
 
 
 @pytest.mark.parametrize("pipelined", [False, True])
-def test_nothing_is_sent_for_a_client_whose_close_is_unread_in_a_busy_loop(pipelined: bool) -> None:
+def test_a_request_is_not_sent_if_the_close_of_its_client_is_unread(pipelined: bool) -> None:
     """Regression: the request was written more than 0.1 s after its client had disconnected."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
@@ -345,8 +352,8 @@
     run_scenario(test)
 
 
-def test_a_request_that_arrives_after_the_last_response_of_a_stopping_gateway_is_not_run() -> None:
-    """It arrives after the response that ends the connection: its client retries it."""
+def test_a_request_after_the_last_response_of_a_stopping_gateway_is_not_run() -> None:
+    """It crosses the response that ends the connection, so its client retries it."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await idle_client(gateway)
@@ -354,7 +361,7 @@
         client.send(READINESS_CHECK)
         connection = client_connection(gateway)
         connection._receive(connection.stream.socket.recv(65536))
-        client.send(request_bytes(2))  # the last response is written, and the loop has not polled since
+        client.send(request_bytes(2))  # the last response is written; the loop has not polled since then
         assert (await client.read_to_end()).count(b"HTTP/1.1") == 1
         assert not gateway.core.totals.requests
         client.close()
@@ -363,7 +370,7 @@
     run_scenario(test)
 
 
-def test_a_stream_that_its_replica_has_finished_is_completed_despite_the_hand_off() -> None:
+def test_a_stream_finished_by_its_replica_is_completed_despite_a_hand_off() -> None:
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
         client.send(request_bytes(1))
@@ -389,6 +396,6 @@
         await client.read_until(EVENTS[0])
         gateway.core.hand_off(immediately=False)
         assert chunk(b"") not in await client.read_to_end()
-        assert await replica.read_some() == b"", "its replica is cancelled too"
+        assert await replica.read_some() == b"", "the replica's connection is closed, too"
 
     run_scenario(test)
