--- a/lockspoke/wire/http/messages.py
+++ b/lockspoke/wire/http/messages.py
@@ -38,7 +38,7 @@
 
     method: str
     target: str
-    minor_version: int  # of HTTP/1: 0, or 1 for anything later
+    minor_version: int  # 0 for HTTP/1.0, 1 for any later HTTP/1 version
     headers: Headers
     keep_alive: bool
 
--- a/lockspoke/wire/http/parser.py
+++ b/lockspoke/wire/http/parser.py
@@ -13,7 +13,7 @@
 from .messages import BodyChunk, Headers, HttpError, MessageEnd, MessagePart
 
 HEAD_LIMIT = 16 * 1024  # bytes
-BODY_LIMIT = 256 * 1024  # bytes of a request's body that the platform's protocol allows
+BODY_LIMIT = 256 * 1024  # bytes; the platform's protocol allows no larger request body
 CHUNK_LINE_LIMIT = 256  # bytes
 
 TOKEN_PATTERN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
--- a/lockspoke/wire/http/request_assembler.py
+++ b/lockspoke/wire/http/request_assembler.py
@@ -13,7 +13,7 @@
     """Joins the parts of each request, for a front that handles complete requests only."""
 
     parser: RequestParser = field(default_factory=RequestParser)
-    head: RequestHead | None = None  # of the incomplete request
+    head: RequestHead | None = None  # the head of the incomplete request, once it is read
     body_chunks: list[bytes] = field(default_factory=list)
     body_size: int = 0  # bytes of the incomplete request's body
     continue_checked: bool = False
--- a/lockspoke/wire/http/response_parser.py
+++ b/lockspoke/wire/http/response_parser.py
@@ -9,7 +9,7 @@
 
 # A replica's chunk holds a few events: a larger size means that the framing is malformed.
 RESPONSE_CHUNK_LIMIT = 1024 * 1024  # bytes
-MAX_INTERIM_RESPONSES = 8  # with a status below 200, before the final one
+MAX_INTERIM_RESPONSES = 8  # responses with a status below 200 that may precede the final one
 STATUSES_WITHOUT_BODY = (204, 304)
 
 _STATUS_LINE_PATTERN = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [\t\x20-\x7e\x80-\xff]*)?")
--- a/lockspoke/wire/replicas/connection_pool.py
+++ b/lockspoke/wire/replicas/connection_pool.py
@@ -16,7 +16,8 @@
 from .keepalive import MIN_IDLE_TIMEOUT, KeepAlive
 
 SETTLE_TIME = 0.01  # seconds from a response to reuse, in which unexpected bytes after it can arrive
-IDLE_TIMEOUT_SHARE = 0.8  # of the replicas' idle timeout: the gateway closes a connection before they do
+# Fraction of the replicas' idle timeout, so that the gateway closes a connection before the replica does.
+IDLE_TIMEOUT_SHARE = 0.8
 
 
 class ConnectionPool:
@@ -91,7 +92,7 @@
         self.close(min(queues, key=lambda queue: queue[0].idle_since).popleft())
 
     def release(self, connection: ReplicaConnection) -> None:
-        """Keep a connection idle for a later attempt, or close it if it can't be used again."""
+        """Keep a connection idle for a later attempt, or close it if it cannot be reused."""
         if not connection.reusable:
             self.close(connection)
             return
@@ -128,11 +129,11 @@
                 self.close(connections.pop())
 
     def connection_rejected(self) -> None:
-        """Note that a replica did not accept a new connection, or rejected the first request on it."""
+        """Record that a replica did not accept a new connection, or rejected the first request on it."""
         self.keep_alive.connection_rejected(asyncio.get_running_loop().time())
 
     def connection_stale(self, connection: ReplicaConnection) -> None:
-        """Note that a reused connection broke during a request: the replica closes idle ones early.
+        """Record that a reused connection broke during a request: the replica closes idle ones early.
 
         The replica's other idle connections have been idle as long or longer and are closed. From then on,
         its connections may be idle for at most half the time that this one was.
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -1,4 +1,4 @@
-"""Carries out attempts over pooled TCP connections to replicas."""
+"""Runs attempts over pooled TCP connections to replicas."""
 
 from __future__ import annotations
 
--- a/lockspoke/wire/tcp/acceptor.py
+++ b/lockspoke/wire/tcp/acceptor.py
@@ -9,7 +9,7 @@
 
 from lockspoke.rate_limited_log import RateLimitedLog
 
-MAX_ACCEPTS_PER_ITERATION = 16  # of the event loop, so that other tasks run in between
+MAX_ACCEPTS_PER_ITERATION = 16  # the event loop then runs other tasks before the next ones
 # Delays after a system error, such as too many open files; each further error doubles the delay.
 MIN_RETRY_DELAY_SECONDS = 0.001
 MAX_RETRY_DELAY_SECONDS = 0.05
--- a/lockspoke/wire/tcp/outgoing.py
+++ b/lockspoke/wire/tcp/outgoing.py
@@ -18,7 +18,7 @@
         ended_at: When everything was sent and the sending side was shut down; None before that.
     """
 
-    HIGH_WATER_MARK = 32 * 1024  # unsent bytes, above which the caller has to wait
+    HIGH_WATER_MARK = 32 * 1024  # bytes; the caller has to wait while more than this is unsent
 
     def __init__(self, stream: IOStream) -> None:
         self.stream = stream
--- a/lockspoke/wire/tcp/reading.py
+++ b/lockspoke/wire/tcp/reading.py
@@ -11,7 +11,7 @@
     """Start reading the next bytes, at most `size`; never raises.
 
     Returns:
-        A future of the bytes. Its exception is StreamClosedError however the connection has ended: Tornado
+        A future of the bytes. Its exception is StreamClosedError however the connection ended: Tornado itself
         raises errors other than a reset as they are, such as a host that has become unreachable.
     """
     try:
