--- a/lockspoke/address/__init__.py
+++ b/lockspoke/address/__init__.py
@@ -1,1 +1,1 @@
-"""A service address that moves to another instance when its holder dies, and never has two holders."""
+"""A service address that moves to another instance if its holder fails, and never has two holders."""
--- a/lockspoke/address/actions.py
+++ b/lockspoke/address/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the election returns to its driver."""
+"""The actions that the election returns and that `Node` carries out."""
 
 from __future__ import annotations
 
--- a/lockspoke/address/candidate.py
+++ b/lockspoke/address/candidate.py
@@ -1,4 +1,4 @@
-"""Voting, standing for the lease and renewing it: the part of the election without planned transfers.
+"""Voting, candidacy and renewal of the lease: the part of the election without planned transfers.
 
 See `election` for the algorithm.
 """
@@ -33,7 +33,7 @@
         priority: int,
     ) -> None:
         if name not in config.members:
-            raise ValueError(f"{name} is no member")
+            raise ValueError(f"{name} is not a member")
         self.name = name
         self.membership = Membership(name, config, now)
         self.random = random
@@ -45,9 +45,9 @@
         self.voter = Voter(vote_until=now, voted_term=first_term)
         self.vote_round: VoteRound | None = None
         self.lease = Lease()
-        self.term_is_stale = False  # a voter has voted for another candidate in this term
-        self.candidacy_at = self.silent_until  # the earliest time to stand
-        self._serial = now  # grows over restarts of the process as long as the clock does
+        self.term_is_stale = False  # True if a voter has voted for another candidate in this term.
+        self.candidacy_at = self.silent_until  # The member becomes a candidate at this time at the earliest.
+        self._serial = now  # Keeps growing over restarts of the process as long as the clock does.
         self._actions: list[Action] = []
 
     @property
@@ -111,12 +111,12 @@
         self._reply(sender, kind, message, now)
 
     def _on_vote_request(self, sender: str, message: ElectionMessage, now: int) -> None:
-        """Handle a request that is not out of date."""
+        """Handle a vote request that is newer than the earlier ones of its sender."""
         is_compatible = (
             self.membership.may_grant(message, now) and message.duration == self.config.lease_duration
         )
         if is_compatible:
-            self._yield_to(sender, message.term, now)
+            self._resolve_split_vote(sender, message.term, now)
         if not is_compatible or not self._may_vote_for(sender, now):
             self._reply(sender, MessageKind.VOTE_DENIED, message, now)
             return
@@ -128,15 +128,15 @@
             self.vote_round, self.role = None, ElectionRole.FOLLOWER
         self._reply(sender, MessageKind.VOTE_GRANTED, message, now)
 
-    def _yield_to(self, candidate: str, term: int, now: int) -> None:
-        """Resolve a split vote: of two candidates that voted for themselves, one withdraws."""
+    def _resolve_split_vote(self, candidate: str, term: int, now: int) -> None:
+        """Withdraw if a competing candidate takes precedence: both have voted for themselves."""
         vote_round, voter = self.vote_round, self.voter
         if self.role is not ElectionRole.CANDIDATE or vote_round is None or voter.voted_for != self.name:
             return
         if (term, candidate) <= (vote_round.term, self.name):
             return
-        # The round ends here, so votes that arrive later don't count. Since this member never holds by that
-        # term, it may vote for the other candidate in it.
+        # The round ends here, so votes that arrive later don't count. Since this member can no longer become
+        # the holder in that term, it may vote for the other candidate in it.
         self.vote_round, self.role = None, ElectionRole.FOLLOWER
         self._release_votes(now)
         if voter.voted_term_for == self.name and voter.voted_term == vote_round.term:
@@ -148,29 +148,29 @@
         successor = message.holder
         if successor in ("", sender):
             self.voter.vote_until = now
-            # The other members are released at the same time and may stand as well.
+            # The other members are released at the same time and may become candidates as well.
             self.candidacy_at = now + self._candidacy_delay()
             return
         # The vote stays valid for as long as before, even if this member's list lacks the successor.
         self.voter.voted_for = successor
         if successor == self.name:
-            # If the transfer is lost, stand for election instead.
+            # If the transfer message is lost, this member becomes a candidate instead.
             self.candidacy_at = now + self.config.vote_timeout
 
-    # Standing and holding
+    # Candidacy and holding
 
     def _candidacy_delay(self) -> int:
-        """Time to let others stand first: the skew by priority as in VRRP, and a random part."""
+        """The delay before becoming a candidate: a skew by priority as in VRRP, and a random part."""
         share = (MAX_PRIORITY - self.priority) / 256 / 2 + self.random() / 2
         return int(share * self.config.vote_timeout)
 
-    def _should_stand(self, now: int) -> bool:
+    def _should_become_candidate(self, now: int) -> bool:
         if self.role is not ElectionRole.FOLLOWER or not self.healthy or not self.may_hold:
             return False
         return now >= self.candidacy_at and self.voter.is_free_for(self.name, now)
 
     def _start_round(self, kind: MessageKind, now: int) -> None:
-        """Request votes from all members, this one included. The lease counts from this moment."""
+        """Request votes from all members, this one included. The lease is counted from this moment."""
         serial = self._next_serial(now)
         term = self.term
         if kind is MessageKind.VOTE_REQUEST:
@@ -189,8 +189,8 @@
     def _next_round_term(self) -> int:
         """The term to request votes for.
 
-        A holder renews in its own term unless a voter has voted in a higher one: that voter would never join
-        and would stand against this holder again and again.
+        A holder renews in its own term unless a voter has voted in a higher one: that voter would never vote
+        for the holder in the lower term and would become a candidate against it again and again.
         """
         renews = self.role is ElectionRole.HOLDER and self.lease.term == self.term
         if renews and not self.lease.is_transferred and not self.term_is_stale:
@@ -210,7 +210,7 @@
             return
         until = vote_round.started_at + self.config.holder_lease
         if now >= until:
-            return  # the votes are so late that some may have expired
+            return  # The votes are so late that some may have expired.
         if self.role is not ElectionRole.HOLDER:
             self.role, self.lease.until = ElectionRole.HOLDER, 0
         self.lease.term, self.lease.is_transferred = vote_round.term, False
@@ -222,10 +222,10 @@
         if action is not None:
             self._actions.append(action)
 
-    def _on_denied(self, message: ElectionMessage, now: int) -> None:
+    def _on_vote_denied(self, message: ElectionMessage, now: int) -> None:
         vote_round = self.vote_round
         if vote_round is None or message.serial != vote_round.serial or self.role is ElectionRole.HOLDER:
-            return  # a holder continues until its lease ends: a quorum may still renew it
+            return  # A holder continues until its lease ends, since a quorum may still renew it.
         wait = min(message.duration, self.config.voter_lease) + self._candidacy_delay()
         self.candidacy_at = max(self.candidacy_at, now + wait)
 
@@ -233,7 +233,7 @@
         if self.vote_round is not None and message.serial == self.vote_round.serial:
             self.term_is_stale = True
 
-    def _give_up(self, now: int, reason: str, release: bool) -> None:
+    def _step_down(self, now: int, reason: str, release: bool) -> None:
         """End the lease or the candidacy."""
         if self.role is ElectionRole.HOLDER:
             self._actions.append(LoseLease(reason))
@@ -254,5 +254,5 @@
 
     def _stop(self, now: int) -> None:
         if self.role.is_active:
-            self._give_up(now, "it stops", release=True)
+            self._step_down(now, "it is shutting down", release=True)
         self.role = ElectionRole.LEAVING
--- a/lockspoke/address/election.py
+++ b/lockspoke/address/election.py
@@ -1,18 +1,20 @@
-"""The election: a lease by majority, as a pure step function.
+"""The election: a lease granted by a majority of the members, as a pure step function.
 
-A candidate requests the votes of all members. A member votes for one candidate at a time and is bound until
-that vote has expired by its own clock. The candidate holds the lease while the votes of a quorum are valid,
-calculated by its own clock from *before* it sent the request. Two quorums share a voter, and that voter was
-bound to one of the candidates: so there are never two holders, even if messages are lost, late or repeated.
+A candidate requests the votes of all members. A member votes for one candidate at a time and is bound to that
+vote until it expires on the member's own clock. The candidate holds the lease while the votes of a quorum are
+valid, which it counts on its own clock from *before* it sent the request. Two quorums share a voter, and that
+voter is bound to only one of the candidates, so there are never two holders, even if messages are lost, late
+or repeated.
 
-Assumptions: clocks run at most `max_clock_drift` faster or slower than true time (what they show does not
-matter), and a holder respects its deadline (see `listener`). No disk is needed: a member that restarts has
-forgotten its votes, so it stays silent until the longest of them has expired.
+Assumptions: a clock runs at most `max_clock_drift` faster or slower than true time (clocks need not show the
+same time), and a holder stops using the address at its deadline (see `listener`). Votes are not stored on
+disk: a member that restarts has forgotten its votes, so it stays silent until the last of them has expired.
 
 The algorithm is PaxosLease (Trencseni, Gazso, Reinhardt, 2009). Its prepare phase is replaced by a pre-vote
 that is not binding, as in Raft (Ongaro, 2014, 9.6), so that a member that can't win does not disrupt the
-others. A planned transfer is like Raft's leadership transfer (3.10), but the successor also receives the rest
-of the lease: it became ready at a moment of its own clock, and the lease was transferred after that moment.
+others. A planned transfer is like Raft's leadership transfer (3.10), but the successor also receives the
+remaining time of the lease. The successor counts that time from the moment when it became ready, which it
+knows on its own clock and which is earlier than the transfer.
 """
 
 from __future__ import annotations
@@ -57,10 +59,10 @@
                 fencing tokens grow even if all members restart at once.
             no_earlier_votes: Whether it is certain that no vote of an earlier process is still valid; the
                 member then skips the silent period.
-            random: Returns a number from 0 to below 1; spreads the starts of candidates.
-            priority: From 0 to 255; a higher one makes the member stand sooner.
-            preempt_after: After being healthy for so long, the member requests the address from a holder of
-                lower priority; None: never.
+            random: Returns a number from 0 to below 1; spreads the times at which members become candidates.
+            priority: From 0 to 255; a higher one makes the member become a candidate sooner.
+            preempt_after: Nanoseconds for which the member must have been healthy before it requests the
+                address from a holder of lower priority; None: it never does.
 
         Raises:
             ValueError: `name` is not a member.
@@ -70,12 +72,12 @@
         self.transfer: LeaseTransfer | None = None
         self.transfer_offers = TransferOffers()
         self.preempt_after = preempt_after
-        self.preempt_at = now  # the earliest time of the next preempt request
+        self.preempt_at = now  # The next preempt request is sent at this time at the earliest.
 
     # Events
 
     def next_tick_at(self, now: int) -> int:
-        """When `tick` has to be called next; `now` if it is due."""
+        """The time at which `tick` has to be called next; `now` if a call is due."""
         config, vote_round = self.config, self.vote_round
         times = [now + config.lease_duration]
         if self.role is ElectionRole.SILENT:
@@ -96,14 +98,14 @@
         return max(now, min(times))
 
     def tick(self, now: int) -> list[Action]:
-        """Do what is due at this time."""
+        """Carry out everything that is due at this time."""
         self._advance(now)
         return self._take_actions()
 
     def set_health(self, healthy: bool, now: int) -> list[Action]:
-        """Set whether the member can serve; one that can't releases the lease and does not stand."""
+        """Set whether the member can serve; one that can't releases the lease and is no candidate."""
         if self.healthy and not healthy and self.role.is_active:
-            self._give_up(now, "it can't serve", release=True)
+            self._step_down(now, "it is not healthy", release=True)
         if healthy and not self.healthy:
             self.candidacy_at = max(self.candidacy_at, now + self._candidacy_delay())
             self.healthy_since = now
@@ -111,13 +113,13 @@
         return self._take_actions()
 
     def move(self, successor: str, now: int) -> list[Action]:
-        """Begin a transfer: the successor gets ready, then this member sends it the rest of its lease.
+        """Begin a transfer: once the successor is ready, this member sends it the remaining lease.
 
         Raises:
             ValueError: The member does not hold the lease, or `successor` may not hold it.
         """
         if successor == self.name or not self.config.may_hold(successor):
-            raise ValueError(f"{successor} can't be handed the address")
+            raise ValueError(f"{successor} can't receive the address")
         if not self.holds(now):
             raise ValueError(f"{self.name} does not hold the address")
         self._begin_transfer(successor, now + 4 * self.config.lease_duration, now)
@@ -126,7 +128,7 @@
     def leave(self, now: int) -> list[Action]:
         """Shut down gracefully: transfer the lease to a member that is ready, then stop."""
         if self.holds(now):
-            # The members that have voted last are likely to be up.
+            # The members that voted for the latest renewal are likely to be running.
             self.succession.remaining = [name for name in self.lease.voters if name != self.name]
             self._try_next_successor(now)
         else:
@@ -134,7 +136,7 @@
         return self._take_actions()
 
     def stop(self, now: int) -> list[Action]:
-        """Shut down at once and release the lease, so that nobody has to wait for its end."""
+        """Shut down at once and release the lease, so that no candidate has to wait for its end."""
         self._stop(now)
         return self._take_actions()
 
@@ -144,10 +146,10 @@
         was_holding = self.holds(now)
         self.membership.adopt(config, now)
         if not self.may_hold and self.role.is_active:
-            self._give_up(now, "it is a witness now", release=True)
+            self._step_down(now, "it is a witness now", release=True)
         elif self.vote_round is not None and not was_holding:
-            self._give_up(now, "the members have changed", release=True)
-        self.vote_round = None  # its votes were counted by the previous list
+            self._step_down(now, "the members have changed", release=True)
+        self.vote_round = None  # Its votes were counted with the previous list.
         return self._take_actions()
 
     def receive(self, sender: str, message: ElectionMessage, now: int) -> list[Action]:
@@ -170,7 +172,7 @@
             case MessageKind.PREVOTE_GRANTED | MessageKind.VOTE_GRANTED:
                 self._on_vote(sender, message, now)
             case MessageKind.VOTE_DENIED:
-                self._on_denied(message, now)
+                self._on_vote_denied(message, now)
             case MessageKind.STALE_TERM:
                 self._on_stale_term(message)
             case MessageKind.RELEASE:
@@ -191,11 +193,11 @@
 
     def _advance(self, now: int) -> None:
         if self.role is ElectionRole.HOLDER and now >= self.lease.until:
-            self._give_up(now, "its lease has run out", release=False)
+            self._step_down(now, "its lease has expired", release=False)
         if self.role is ElectionRole.SILENT and now >= self.silent_until:
             self.role, self.candidacy_at = ElectionRole.FOLLOWER, now + self._candidacy_delay()
         if self.succession.is_shutting_down and self.role is not ElectionRole.HOLDER:
-            self.succession.remaining = None  # the lease was lost before a successor was ready
+            self.succession.remaining = None  # The lease was lost before a successor was ready.
             self._stop(now)
         vote_round = self.vote_round
         if self.role is ElectionRole.HOLDER:
@@ -204,7 +206,7 @@
             self._end_failed_round(vote_round, now)
         if self.transfer is not None and now >= self._next_transfer_at(self.transfer):
             self._send_transfer(now)
-        if self._should_stand(now):
+        if self._should_become_candidate(now):
             self.role = ElectionRole.PRE_CANDIDATE
             self._start_round(MessageKind.PREVOTE_REQUEST, now)
         if self._should_preempt(now):
@@ -218,12 +220,12 @@
         if self.role is ElectionRole.HOLDER and renewal_is_due:
             self._start_round(MessageKind.VOTE_REQUEST, now)
             if succession.successor:
-                self._prepare_successor(now)  # again: the first request may have been lost or ignored
+                self._prepare_successor(now)  # The first request may have been lost or ignored.
 
     def _end_failed_round(self, vote_round: VoteRound, now: int) -> None:
         if vote_round.kind is MessageKind.VOTE_REQUEST:
             self._release_votes(now)
-        self.vote_round = None  # late votes must not make this member the holder
+        self.vote_round = None  # Late votes must not make this member the holder.
         self.role = ElectionRole.FOLLOWER
         self.candidacy_at = now + self.config.vote_timeout + self._candidacy_delay()
 
@@ -242,12 +244,12 @@
         self._send(succession.successor, message, now)
 
     def _try_next_successor(self, now: int) -> None:
-        """Give the current successor up; a leaving holder tries the next one, or stops."""
+        """Abandon the current successor; a holder that shuts down tries the next one, or stops."""
         succession = self.succession
         succession.successor = ""
         if succession.remaining is None:
             return
-        # The member list may have changed since.
+        # The member list may have changed since the shutdown began.
         succession.remaining = [name for name in succession.remaining if self.config.may_hold(name)]
         if not succession.remaining or not self.holds(now):
             self._stop(now)
@@ -256,21 +258,21 @@
         self._begin_transfer(succession.remaining.pop(0), deadline, now)
 
     def _on_successor_ready(self, sender: str, message: ElectionMessage, now: int) -> None:
-        """Give the lease up and send what is left of it to the successor."""
+        """End the lease here and send its remaining time to the successor."""
         succession = self.succession
         if sender != succession.successor or message.serial != succession.serial or not self.holds(now):
             return
         if self.lease.is_transferred:
-            return  # only a lease with votes of its own can be transferred; the successor is prepared again
+            return  # A received lease must first be renewed by a quorum; the request is repeated.
         serial = self._next_serial(now)
         self.transfer = LeaseTransfer(sender, message.serial, self.lease.term, self.lease.until)
         is_shutting_down = succession.is_shutting_down
         succession.finish()
-        self._give_up(now, f"handed to {sender}", release=False)
+        self._step_down(now, f"handed to {sender}", release=False)
         self._send_transfer(now)
         if self.voter.voted_for == self.name:
             self.voter.voted_for = sender
-        # The votes stay valid, but for the successor.
+        # The votes stay valid and now count for the successor.
         self._send_all(ElectionMessage(MessageKind.RELEASE, self.term, serial, 0, sender), now)
         self.candidacy_at = now + self.config.voter_lease + self._candidacy_delay()
         if is_shutting_down:
@@ -292,7 +294,7 @@
         self._send(transfer.successor, message, now)
 
     def _confirm_transfer(self, successor: str) -> None:
-        """A vote request of the successor shows that it has the lease."""
+        """Stop sending the transfer: a vote request of the successor shows that it has received the lease."""
         if self.transfer is not None and self.transfer.successor == successor:
             self.transfer = None
 
@@ -306,7 +308,7 @@
     # Planned transfers, at the successor
 
     def _on_transfer_prepare(self, sender: str, message: ElectionMessage, now: int) -> None:
-        """Confirm to be ready. A transferred lease counts from the first confirmation."""
+        """Confirm that this member is ready. A transferred lease is counted from the first confirmation."""
         if not self.healthy or not self.may_hold or self.role is not ElectionRole.FOLLOWER:
             return
         if self.transfer_offers.accept_offer(sender, message.serial, now):
@@ -314,7 +316,7 @@
             self._send(sender, reply, now)
 
     def _on_transfer_lease(self, sender: str, message: ElectionMessage, now: int) -> None:
-        """Hold what is left of the former holder's lease, and request votes."""
+        """Hold the lease for the time that remained at the former holder, and request votes."""
         ready_at = self.transfer_offers.ready_at(sender, message.serial)
         if ready_at is None:
             return
@@ -331,7 +333,7 @@
         self._start_round(MessageKind.VOTE_REQUEST, now)
 
     def _usable_lease(self, remaining: int) -> int:
-        """How much of a transferred lease is usable if the sender's clock is fast and this one slow."""
+        """The usable part of a transferred lease, if the sender's clock is fast and the own one slow."""
         drift = self.config.max_clock_drift
         return int(min(remaining, self.config.holder_lease) * (1.0 - drift) / (1.0 + drift))
 
--- a/lockspoke/address/election_config.py
+++ b/lockspoke/address/election_config.py
@@ -1,4 +1,4 @@
-"""What all members of the election have to agree on."""
+"""The configuration that must be the same at all members of the election."""
 
 from __future__ import annotations
 
@@ -6,25 +6,27 @@
 from dataclasses import dataclass, field
 
 MAX_DRIFT = 0.1
-GENERATION_LIMIT = 1 << 32  # the wire has 32 bits
+GENERATION_LIMIT = 1 << 32  # The wire format has 32 bits.
 
 
 @dataclass(frozen=True, slots=True)
 class ElectionConfig:
-    """The members and the timing. Times in nanoseconds.
+    """The members and the timing. Times are in nanoseconds.
 
     Attributes:
         members: The names of all members.
         witnesses: Members that vote and never hold the lease.
-        lease_duration: How long a vote is valid at the candidate; the voter is bound for longer by the drift
-            of both clocks.
-        renew_interval: The holder's interval between two requests for votes.
+        lease_duration: How long a vote is valid in true time. The candidate counts less on its own clock and
+            the voter more, to allow for the drift of both clocks.
+        renew_interval: The interval at which the holder requests votes to renew its lease.
         vote_timeout: How long a candidate waits for votes.
         max_clock_drift: How much faster or slower than true time a clock may run, as a share.
-        release_margin: The holder gives the lease up this long before its end, since timers may fire late.
+        release_margin: The holder ends its lease this long before the votes expire, since timers may fire
+            late.
         generation: Counts the changes of `members`, which change one at a time.
-        settle_time: How long a voter that has adopted a member list still votes by the previous one.
-        members_digest: Of what must be the same at all members of a generation.
+        settle_time: How long a voter that has adopted a member list still votes for candidates with the
+            previous one.
+        members_digest: A digest of the values that must be the same at all members of a generation.
     """
 
     members: tuple[str, ...]
@@ -80,9 +82,9 @@
         return name in self.members and name not in self.witnesses
 
     def describe_fault_tolerance(self) -> str:
-        """The number of members that may fail, as a sentence for operators."""
+        """How many members may fail, as a sentence for operators."""
         tolerated = len(self.members) - self.quorum
         holders = len(self.members) - len(self.witnesses)
         if tolerated == 0:
-            return f"{len(self.members)} members: the address is nobody's as soon as one is lost or cut off"
-        return f"{len(self.members)} members, {holders} of which hold: {tolerated} may be lost or cut off"
+            return f"{len(self.members)} members: nobody can hold the address once one is lost or cut off"
+        return f"{len(self.members)} members, {holders} of which can hold: {tolerated} may be lost or cut off"
--- a/lockspoke/address/health.py
+++ b/lockspoke/address/health.py
@@ -2,8 +2,8 @@
 
 An instance that keeps failing must not keep taking the address back. Each loss of the address for reasons of
 health adds a penalty, which decays by half in each half-life as in route flap damping (RFC 2439). Above one
-threshold the instance is suppressed until the penalty has decayed below a lower threshold. So it comes back
-late after many failures and soon after one.
+threshold the instance is suppressed until the penalty has decayed below a lower threshold. So it can
+hold the address again soon after one failure, and later after many.
 
 Times are in nanoseconds and passed in by the caller; shares are from 0 to 1.
 """
@@ -18,27 +18,46 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthMetrics:
-    """What an instance measures of itself."""
+    """What an instance measures of itself.
+
+    Attributes:
+        ready_replicas: The number of ready replicas.
+        loop_lag: Seconds by which timers have recently fired late.
+        failure_share: The share of recent requests that failed or were rejected for overload.
+        requests: The number of recent requests.
+        descriptor_share: The share of the file descriptors that is in use.
+        memory_share: The share of the memory that is in use.
+    """
 
     ready_replicas: int
-    loop_lag: float  # seconds by which timers have fired late recently
-    failure_share: float  # of recent requests: failed or rejected for overload
-    requests: int  # the number of recent requests
-    descriptor_share: float  # of the file descriptors, in use
-    memory_share: float  # of the memory, in use
+    loop_lag: float
+    failure_share: float
+    requests: int
+    descriptor_share: float
+    memory_share: float
 
 
 @dataclass(frozen=True, slots=True)
 class HealthLimits:
-    """The limits of healthy metrics, and the parameters of flap damping."""
+    """The limits of healthy metrics, and the parameters of flap damping.
+
+    Attributes:
+        unhealthy_after: How long a limit must be exceeded until the instance is unhealthy.
+        healthy_after: How long the metrics must be within all limits until the instance is healthy.
+        penalty_per_loss: The penalty for each loss of the address for reasons of health.
+        suppress_threshold: From this penalty on the instance is suppressed.
+        reuse_threshold: Below this penalty the instance is no longer suppressed.
+        half_life: The time in which the penalty decays by half.
+        max_suppress_time: How long an instance is suppressed at most after its latest loss.
+    """
 
     min_ready_replicas: int = 1
     max_loop_lag: float = 0.25
     max_failure_share: float = 0.5
-    min_requests: int = 20  # with fewer requests the failure share is not significant
+    min_requests: int = 20  # With fewer requests the failure share is not significant.
     max_descriptor_share: float = 0.95
     max_memory_share: float = 0.95
-    unhealthy_after: int = 300_000_000  # a limit must be exceeded for this long: one late timer is harmless
+    unhealthy_after: int = 300_000_000  # One late timer is harmless.
     healthy_after: int = 2_000_000_000
     penalty_per_loss: float = 1_000.0
     suppress_threshold: float = 1_500.0
@@ -64,11 +83,11 @@
         """The limits that the metrics exceed, as texts for operators."""
         reasons = []
         if metrics.ready_replicas < self.min_ready_replicas:
-            reasons.append(f"{metrics.ready_replicas} ready workers, want {self.min_ready_replicas}")
+            reasons.append(f"{metrics.ready_replicas} ready replicas, want {self.min_ready_replicas}")
         if metrics.loop_lag > self.max_loop_lag:
             reasons.append(f"timers fire {metrics.loop_lag:.2f} s late")
         if metrics.requests >= self.min_requests and metrics.failure_share > self.max_failure_share:
-            reasons.append(f"{metrics.failure_share:.0%} of {metrics.requests} calls fail")
+            reasons.append(f"{metrics.failure_share:.0%} of {metrics.requests} requests fail")
         if metrics.descriptor_share > self.max_descriptor_share:
             reasons.append(f"{metrics.descriptor_share:.0%} of the descriptors are in use")
         if metrics.memory_share > self.max_memory_share:
@@ -93,7 +112,7 @@
     suppressed: bool = False
     _penalty: float = 0.0
     _penalty_at: int = 0
-    _differs_since: int | None = None  # since when the metrics contradict `_within_limits`
+    _differs_since: int | None = None  # Since then the metrics contradict `_within_limits`.
     _within_limits: bool = False
 
     def penalty(self, now: int) -> float:
@@ -101,7 +120,7 @@
         return float(self._penalty * 2.0 ** (-max(0, now - self._penalty_at) / self.limits.half_life))
 
     def record_loss(self, now: int) -> None:
-        """Record that the instance has lost the address since it is unhealthy."""
+        """Record that the instance has lost the address because it is unhealthy."""
         value = min(self.penalty(now) + self.limits.penalty_per_loss, self.limits.max_penalty)
         self._penalty, self._penalty_at = value, now
         self.suppressed = self.suppressed or value >= self.limits.suppress_threshold
--- a/lockspoke/address/lease_trace.py
+++ b/lockspoke/address/lease_trace.py
@@ -1,4 +1,4 @@
-"""A file with each change of a lease and its time, for checks from outside."""
+"""A file with each change of a lease and its time, so that tests can check that leases don't overlap."""
 
 from __future__ import annotations
 
--- a/lockspoke/address/measurements.py
+++ b/lockspoke/address/measurements.py
@@ -15,15 +15,15 @@
 
 from .health import HealthMetrics
 
-RESOURCE_INTERVAL = 1.0  # seconds between two readings of descriptors and memory, which cost more
-FAILURE_WINDOW = 5.0  # seconds over which failed requests are counted
-LAG_DECAY = 0.7  # of the previous loop lag, at each measurement
+RESOURCE_INTERVAL_SECONDS = 1.0  # Descriptors and memory cost more to read than the other metrics.
+FAILURE_WINDOW_SECONDS = 5.0  # Failed requests are counted over this time.
+LAG_DECAY = 0.7  # The previous loop lag is multiplied by this at each measurement.
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 @dataclass(frozen=True, slots=True)
 class _RequestSample:
-    """The number of requests since the start of the program, at a time of the event loop."""
+    """The request counts since the start of the program, read at the event loop's time `at`."""
 
     at: float
     finished: int
@@ -31,7 +31,7 @@
 
 
 class HealthMeter:
-    """Collects the metrics; times are seconds of the event loop."""
+    """Collects the metrics; times are in seconds on the clock of the event loop."""
 
     def __init__(self, gateway: GatewayConfig) -> None:
         self.gateway = gateway
@@ -50,7 +50,7 @@
         oldest, latest = self._samples[0], self._samples[-1]
         requests = latest.finished - oldest.finished
         failure_share = (latest.failed - oldest.failed) / requests if requests else 0.0
-        if now - self._resources_read_at >= RESOURCE_INTERVAL:
+        if now - self._resources_read_at >= RESOURCE_INTERVAL_SECONDS:
             self._resources_read_at = now
             self._descriptor_share = descriptor_share(self.gateway)
             self._memory_share = memory_share(self.gateway)
@@ -67,7 +67,7 @@
         outcomes = core.totals.request_outcomes
         failed = outcomes[RequestOutcome.FAILED] + outcomes[RequestOutcome.REJECTED]
         self._samples.append(_RequestSample(now, outcomes[RequestOutcome.SERVED] + failed, failed))
-        while self._samples[0].at < now - FAILURE_WINDOW:
+        while self._samples[0].at < now - FAILURE_WINDOW_SECONDS:
             self._samples.popleft()
 
 
--- a/lockspoke/address/member.py
+++ b/lockspoke/address/member.py
@@ -24,15 +24,15 @@
 from .settings import AddressSettings, parse_endpoint
 from .term_record import TermRecord
 
-MAX_HOLD_DOWN = 86400.0  # seconds for which an operator may hold an instance down
-LEAVE_POLL_INTERVAL = 0.005  # seconds
+MAX_HOLD_DOWN_SECONDS = 86400.0
+LEAVE_POLL_INTERVAL_SECONDS = 0.005
 FIXED_KEYS = ("service", "listen", "bind", "announce", "record", "control", "metrics", "trace", "name")
 
 log = structlog.get_logger()
 
 
 class Member:
-    """A member of the election. It is created without an event loop and runs on one from `start` on."""
+    """A member of the election. It can be created without an event loop; `start` needs a running one."""
 
     def __init__(self, settings: AddressSettings, name: str, announcer: Announcer) -> None:
         """Prepare a member.
@@ -53,7 +53,7 @@
         self._record_writer = RecordWriter(self.record) if self.record is not None else None
         self._trace = LeaseTrace(Path(settings.trace), name) if settings.trace else None
         self.health = HealthTracker(settings.health.limits())
-        self.held_down_until = 0  # by an operator
+        self.held_down_until = 0  # Until then an operator keeps the member from holding the address.
         self.node = self._create_node(keys, announcer)
         self._control: ControlServer | None = None
         if settings.control:
@@ -95,7 +95,7 @@
         self.save_record()
 
     def update_health(self, metrics: HealthMetrics) -> None:
-        """Evaluate new metrics; to be called several times a second."""
+        """Evaluate new metrics. Must be called several times a second."""
         now = self.node.clock()
         was_healthy, holding = self.health.healthy, self.node.holding
         healthy = self.health.update(metrics, now)
@@ -116,7 +116,7 @@
             log.warning("address_suppression_changed", suppressed=suppressed, penalty=penalty)
 
     def save_record(self) -> None:
-        """Have the term record written if needed, off the event loop."""
+        """Start to write the term record if needed, outside the event loop."""
         if self._record_writer is not None:
             election = self.node.election
             self._record_writer.save(election.term, election.config.generation)
@@ -158,7 +158,7 @@
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         while not self.node.has_left and loop.time() < deadline:  # noqa: ASYNC110 - the election has no events
-            await asyncio.sleep(LEAVE_POLL_INTERVAL)
+            await asyncio.sleep(LEAVE_POLL_INTERVAL_SECONDS)
 
     def stop(self) -> None:
         """Leave at once and close everything."""
@@ -180,7 +180,7 @@
         return status
 
     def _reasons_not_to_hold(self, node_reasons: list[str], now: int) -> list[str]:
-        """The node's reasons, with the reasons of its health in place of the general one."""
+        """The node's reasons, with the general reason `NOT_HEALTHY` replaced by the detailed ones."""
         health_reasons = list(self.health.reasons)
         if now < self.held_down_until:
             remaining = (self.held_down_until - now) / SECOND
@@ -207,11 +207,11 @@
             case "hold-down":
                 return self._hold_down(command.get("seconds"))
             case other:
-                raise ValueError(f"{other!r} is no word; known are status, move, hold-down")
+                raise ValueError(f"{other!r} is not a command; known are status, move, hold-down")
 
     def _hold_down(self, seconds: Any) -> JsonObject:
-        if not isinstance(seconds, int | float) or not 0 <= seconds <= MAX_HOLD_DOWN:
-            raise ValueError(f"seconds is {seconds!r}, want 0 to {MAX_HOLD_DOWN:.0f}")
+        if not isinstance(seconds, int | float) or not 0 <= seconds <= MAX_HOLD_DOWN_SECONDS:
+            raise ValueError(f"seconds is {seconds!r}, want 0 to {MAX_HOLD_DOWN_SECONDS:.0f}")
         self.held_down_until = self.node.clock() + int(seconds * SECOND)
         log.warning("address_operator_hold_down", seconds=seconds)
         self.node.set_health(self.health.healthy and not seconds)
--- a/lockspoke/address/membership.py
+++ b/lockspoke/address/membership.py
@@ -2,12 +2,12 @@
 
 Quorums of two lists that differ by one member share a member, so candidates with the lists of generations g
 and g+1 can't both win. Candidates with g and g+2 could. So a member adopts g+1 only when g has *settled*: a
-quorum of g's members has had it for so long that each of them has stopped voting by g-1 (after
-`settle_time`), and that the last such vote has expired. From then on no candidate with g-1 can find a quorum.
-A member that learns that a generation has settled includes it in each message.
+quorum of g's members has had it for so long that each of them has stopped voting for candidates with g-1
+(after `settle_time`), and that the last such vote has expired. From then on no candidate with g-1 can find a
+quorum. Each message of a member contains the latest generation that the member knows to have settled.
 
 Raft changes one member at a time for the same reason (Ongaro, 2014, 4.1). There a committed log entry shows
-that the previous change has reached a quorum; here there is no log, so time does.
+that the previous change has reached a quorum; here there is no log, so a waiting time ensures it.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerGeneration:
-    """The generation of another member's list, and since when it is known."""
+    """The generation of another member's list, and since when this member knows of it."""
 
     generation: int
     known_since: int
 
 
 class Membership:
-    """The member list in force, and what is known of the other members' lists. Times on the own clock."""
+    """The member list in force, and what is known of the other members' lists. Times are on the own clock."""
 
     def __init__(self, name: str, config: ElectionConfig, now: int) -> None:
         self.name, self.config = name, config
         self.adopted_at = now
-        self.known_settled = 0  # the latest generation that is known to have settled
+        self.known_settled = 0  # The latest generation that is known to have settled.
         self.peer_generations: dict[str, PeerGeneration] = {}
-        self.mismatches: dict[str, str] = {}  # by member, why its list is incompatible
+        self.mismatches: dict[str, str] = {}  # For each member with an incompatible list, the reason.
 
     def observe(self, sender: str, message: ElectionMessage, now: int) -> None:
         """Record what a message shows of its sender's list."""
@@ -44,9 +44,9 @@
         self.known_settled = max(self.known_settled, message.settled_generation)
         own = self.config
         if message.generation == own.generation and message.members_digest != own.members_digest:
-            self.mismatches[sender] = f"has other members, span or drift in generation {own.generation}"
+            self.mismatches[sender] = f"has different members, span or drift in generation {own.generation}"
         elif abs(message.generation - own.generation) > 1:
-            self.mismatches[sender] = f"is at generation {message.generation}, here is {own.generation}"
+            self.mismatches[sender] = f"is at generation {message.generation}, this one at {own.generation}"
         else:
             self.mismatches.pop(sender, None)
 
@@ -63,7 +63,7 @@
         """The latest generation that is known to have settled."""
         own = self.config
         if self.known_settled < own.generation:
-            # The own clock may be fast and the others' slow.
+            # The own clock may be fast and the clocks of the others slow.
             drift = own.max_clock_drift
             wait = int((own.settle_time + own.voter_lease) * (1.0 + drift) / (1.0 - drift))
             settled = [now - since >= wait for since in self._adoption_times()]
@@ -72,7 +72,7 @@
         return self.known_settled
 
     def _adoption_times(self) -> list[int]:
-        """For each member that is known to have the own generation or a later one, since when."""
+        """For each member known to have the own generation or a later one, since when it is known."""
         own = self.config
         times = [self.adopted_at]
         for name, known in self.peer_generations.items():
@@ -116,7 +116,7 @@
         self.mismatches.clear()
 
     def stamp(self, message: ElectionMessage, now: int) -> ElectionMessage:
-        """A copy of a message that names the own list."""
+        """A copy of a message with the generations and the digest of the own list."""
         return replace(
             message,
             generation=self.config.generation,
--- a/lockspoke/address/node.py
+++ b/lockspoke/address/node.py
@@ -21,8 +21,8 @@
 from .peer_socket import HostPort, PeerSocket
 from .role import ElectionRole
 
-CLAIM_RETRY_DELAY = SECOND  # before an address that was not available is tried again
-NOT_HEALTHY = "it is not fit"  # in the status; the member replaces it by the reasons
+CLAIM_RETRY_DELAY = SECOND  # This is the wait before an unavailable address is claimed again.
+NOT_HEALTHY = "it is not healthy"  # `Member.status` replaces it by the detailed reasons.
 
 log = structlog.get_logger()
 
@@ -60,7 +60,7 @@
             preempt_after=preempt_after,
         )
         self.on_lease_change = on_lease_change
-        self.healthy = False  # the election's `healthy` is also False while the address is not available
+        self.healthy = False  # `election.healthy` is also False while the address is unavailable.
         self.claim_retry_at = 0
         self.sent = self.received = self.moves = 0
         self.holding_changed_at = clock()
@@ -115,7 +115,7 @@
         self.abort()
 
     def abort(self) -> None:
-        """Leave without sending anything, as a process that crashes does."""
+        """Leave without sending anything, like a process that crashes."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -147,7 +147,7 @@
         try:
             received = self.channel.open(data, self.election.config.members)
         except DatagramError:
-            return  # counted by the channel
+            return  # The channel has counted it.
         self.received += 1
         if received.reply is not None:
             self._send_datagram(received.sender, received.reply)
@@ -157,7 +157,7 @@
     def _send_datagram(self, to: str, data: bytes) -> None:
         address = self.peer_addresses.get(to)
         if self._socket is not None and address is not None and self._socket.send(data, address):
-            self.sent += 1  # the election tolerates lost datagrams
+            self.sent += 1  # A failed send is ignored: the election tolerates lost datagrams.
 
     def _execute(self, actions: list[Action]) -> None:
         """Execute actions in order, so that an address is withdrawn before other members learn of it."""
@@ -175,14 +175,14 @@
     def _claim(self, action: HoldLease) -> bool:
         now = self.clock()
         if now >= action.until:
-            return True  # the lease has ended in the meantime; the next tick gives it up
+            return True  # The lease has ended in the meantime; the next tick handles that.
         try:
             if not self._claimed or action.token != self._claimed_token:
                 self.announcer.claim(action.token, lambda: self.election.lease.until)
                 self._claimed_token = action.token
         except OSError as error:
             log.error("address_claim_failed", token=action.token, reason=str(error))
-            # Give the lease up at once, for a member that can claim the address.
+            # Release the lease at once, so that another member can claim the address.
             self.claim_retry_at = now + CLAIM_RETRY_DELAY
             self._execute(self.election.set_health(False, now))
             return False
@@ -215,7 +215,7 @@
 
     @property
     def known_holder(self) -> str:
-        """The holder as far as this member knows; an empty string if there is none."""
+        """The holder as far as this member knows; an empty string if it knows of none."""
         now, election = self.clock(), self.election
         if election.holds(now):
             return self.name
@@ -223,7 +223,7 @@
         return voted_for if voted_for != self.name else ""
 
     def status(self) -> dict[str, Any]:
-        """The state as JSON values; times in milliseconds."""
+        """The state as JSON values; times are in milliseconds."""
         now, election = self.clock(), self.election
         membership, lease = election.membership, election.lease
         holds = election.holds(now)
@@ -258,15 +258,15 @@
             reasons.append("it is a witness: it votes and never holds")
         if election.role is ElectionRole.SILENT:
             remaining = (election.silent_until - now) // MILLISECOND
-            reasons.append(f"it has just started and may have granted before: silent for {remaining} ms more")
+            reasons.append(f"it has just started, earlier votes may be valid: silent for {remaining} ms more")
         if election.role is ElectionRole.LEAVING:
-            reasons.append("it stops")
+            reasons.append("it is shutting down")
         if now < self.claim_retry_at:
-            reasons.append("the address was not to be had here")
+            reasons.append("the address could not be claimed here")
         if not self.healthy:
             reasons.append(NOT_HEALTHY)
         if self.known_holder:
-            reasons.append(f"{self.known_holder} holds and is well")
+            reasons.append(f"{self.known_holder} holds the lease")
         if not reasons:
-            reasons.append(f"no majority of {election.config.quorum} has granted it")
+            reasons.append(f"no quorum of {election.config.quorum} members has voted for it")
         return reasons
--- a/lockspoke/address/record_writer.py
+++ b/lockspoke/address/record_writer.py
@@ -1,4 +1,4 @@
-"""Writes the term record off the event loop."""
+"""Writes the term record outside the event loop."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RecordWriter:
-    """Has a record written by a thread when that is needed, one write at a time."""
+    """Writes a record in a thread when needed, one write at a time."""
 
     def __init__(self, record: TermRecord) -> None:
         self.record = record
@@ -20,7 +20,7 @@
         self._logged_error = ""
 
     def save(self, term: int, generation: int) -> None:
-        """Start a write if the record needs one and none is running; logs changes of the latest error."""
+        """Start a write if the record needs one and none is running; log a change of the latest error."""
         if self._write is not None and not self._write.done():
             return
         self._log_error()
--- a/lockspoke/address/term_record.py
+++ b/lockspoke/address/term_record.py
@@ -1,8 +1,8 @@
 """A durable record of the highest term and generation, so that neither goes back after a restart.
 
 Votes are not recorded: a member that restarts is silent for the length of a lease instead, which is less than
-its start takes, and no vote has to wait for a disk. Terms are recorded with a margin ahead, so that the file
-is written when the margin is used up, not at each election.
+its start takes, and no vote has to wait for a disk. The recorded term is `TERMS_AHEAD` above the
+current one, so that the file is written when that margin is used up and not at each election.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class TermRecord:
-    """The record in a folder.
+    """The term record of a member, in a folder of its own.
 
     Attributes:
         path: The file.
@@ -34,7 +34,8 @@
         """Read the record if there is one.
 
         Raises:
-            RecordError: It is malformed, another member's, or not of this generation or the one before.
+            RecordError: It is malformed, belongs to another member, or its generation is neither this one nor
+                the previous one.
         """
         self.path, self.name = folder / FILE_NAME, name
         self.term, self.generation = 0, generation
@@ -74,7 +75,7 @@
     def write(self, term: int, generation: int) -> None:
         """Replace the record atomically. Blocks until the disk has it, so call it off the event loop.
 
-        A disk that is full or missing doesn't end a lease: `write_error` is set, and the next call retries.
+        A full or missing disk does not end the lease: `write_error` is set, and the next call retries.
         """
         recorded_term = max(self.term, term + TERMS_AHEAD)
         content = json.dumps({"name": self.name, "term": recorded_term, "generation": generation})
--- a/lockspoke/address/transfer.py
+++ b/lockspoke/address/transfer.py
@@ -9,30 +9,30 @@
 
 @dataclass(slots=True)
 class Succession:
-    """At the holder: the successor that it prepares, and further ones if it is leaving."""
+    """At the holder: the successor that it prepares, and the next ones to try if it is shutting down."""
 
     successor: str = ""
     deadline: int = 0
-    serial: int = 0  # of the prepare request; 0 before the first one
-    remaining: list[str] | None = None  # a list, even an empty one, while the holder is leaving
+    serial: int = 0  # The serial of the prepare request; it is 0 before the first one.
+    remaining: list[str] | None = None  # This is a list, maybe an empty one, during a shutdown.
 
     @property
     def is_shutting_down(self) -> bool:
-        """Whether the holder leaves as soon as a successor has the address."""
+        """Whether the holder shuts down as soon as a successor has the address."""
         return self.remaining is not None
 
     def prepare(self, successor: str, deadline: int) -> None:
-        """Choose a successor, to be ready until `deadline`."""
+        """Choose a successor, which has to be ready before `deadline`."""
         self.successor, self.deadline, self.serial = successor, deadline, 0
 
     def finish(self) -> None:
-        """The lease has been transferred."""
+        """Record that the lease was transferred."""
         self.remaining, self.successor = None, ""
 
 
 @dataclass(slots=True)
 class LeaseTransfer:
-    """At the former holder: a lease that is sent until the successor shows that it has it."""
+    """At the former holder: a lease that is sent again until the successor shows that it has it."""
 
     successor: str
     serial: int
@@ -69,7 +69,7 @@
     def accept_offer(self, holder: str, serial: int, now: int) -> bool:
         """Record a prepare request; False if it is out of date.
 
-        The time of the first one counts, since it is earlier than any transfer that follows.
+        The time of the first request with a serial is kept, since it is earlier than any transfer for it.
         """
         known = self.pending.get(holder)
         known_serial = known.serial if known is not None else 0
--- a/lockspoke/address/vote_round.py
+++ b/lockspoke/address/vote_round.py
@@ -9,9 +9,9 @@
 
 @dataclass(slots=True)
 class VoteRound:
-    """A request for votes that was sent to all members, and the members that have agreed."""
+    """A request for votes that was sent to all members, and the members that have voted for it."""
 
-    kind: MessageKind  # a pre-vote request or a vote request
+    kind: MessageKind  # It is either a pre-vote request or a vote request.
     serial: int
     started_at: int
     term: int
