--- a/lockspoke/address/announcer.py
+++ b/lockspoke/address/announcer.py
@@ -1,4 +1,4 @@
-"""Announcers bring the service address to the lease holder and take it away again."""
+"""Announcers make the service address reachable at the lease holder, and withdraw it when the lease ends."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class Announcer(Protocol):
-    """Brings the address to this instance, and takes it away. Neither method may block."""
+    """Makes the address reachable at this instance, and withdraws it. Neither method may block."""
 
     def claim(self, token: int, lease_until: Callable[[], int]) -> None:
-        """Bring the address here.
+        """Make the address reachable here.
 
-        Called again with a higher token while the address stays here.
+        Called again with a higher token while this instance keeps the address.
 
         Args:
             token: The fencing token of the lease.
@@ -23,7 +23,7 @@
         """
 
     def withdraw(self, reason: str) -> None:
-        """Take the address away: nothing may be accepted from here on."""
+        """Withdraw the address; no connection may be accepted after this call."""
 
 
 class AnnouncerGroup:
--- a/lockspoke/address/channel.py
+++ b/lockspoke/address/channel.py
@@ -16,19 +16,26 @@
 from .datagram import Datagram, DatagramError, decode, encode
 from .messages import ElectionMessage
 
-REPLAY_WINDOW = 64  # sequences behind the latest one that are still accepted, each once
+REPLAY_WINDOW = 64  # Sequence numbers in this window are accepted in any order, each once.
 
 
 @dataclass(slots=True)
 class PeerState:
-    """What is known of another member's process."""
+    """The state of the channel from another member.
+
+    Attributes:
+        epoch: The epoch of the member's process; 0 if unknown.
+        last_sequence: The highest sequence number that was accepted.
+        received_bits: A bit for each sequence number in the window, set if it was accepted; the lowest bit
+            is for `last_sequence`.
+    """
 
     epoch: int = 0
-    last_sequence: int = 0  # the highest one that was accepted
-    received_bits: int = 0  # a bit for each of the sequences in the window
+    last_sequence: int = 0
+    received_bits: int = 0
 
     def accept(self, epoch: int, sequence: int) -> bool:
-        """Record a sequence; False if it was accepted before or is too old to tell."""
+        """Record a sequence number; False if it was accepted before or is behind the window."""
         if epoch != self.epoch:
             self.epoch, self.last_sequence, self.received_bits = epoch, sequence, 1
             return True
@@ -52,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """An accepted datagram: its sender, its message if it has one to act on, and a reply to send if any."""
+    """An accepted datagram: its sender, its message unless it must be ignored, and a reply to send if any."""
 
     sender: str
     message: ElectionMessage | None = None
@@ -65,8 +72,11 @@
 
     Attributes:
         name: This member.
-        epoch: Above 0 and higher at each start, such as the wall clock in nanoseconds.
+        epoch: Identifies this process; above 0 and higher at each start, such as the wall clock in
+            nanoseconds.
         keys: The first is used for sending, all are accepted.
+        peers: By member, the state of the channel from it.
+        sequence: The sequence number of the latest datagram sent.
         rejected: The number of rejected datagrams by reason.
     """
 
@@ -112,10 +122,10 @@
             raise DatagramError("no_member")
         peer = self._peer(sender)
         if datagram.sender_epoch < peer.epoch:
-            raise DatagramError("old_epoch")  # from before the latest start of the sender
+            raise DatagramError("old_epoch")  # The datagram was sent before the latest start of its sender.
         if datagram.receiver_epoch != self.epoch:
-            # The sender does not know this process yet, or the datagram is a recorded one. The HELLO names
-            # the epoch of its receiver, which proves that the HELLO itself is not a recorded one.
+            # The sender does not know this process yet, or the datagram is replayed. The HELLO contains the
+            # epoch of its receiver, which proves that the HELLO itself is not replayed.
             return Received(sender, reply=self._seal(sender, datagram.sender_epoch, None))
         if not peer.accept(datagram.sender_epoch, datagram.sequence):
             raise DatagramError("repeated")
--- a/lockspoke/address/command_announcer.py
+++ b/lockspoke/address/command_announcer.py
@@ -1,4 +1,4 @@
-"""An announcer that runs an operator's command, which moves the address by the means of its site."""
+"""An announcer that runs an operator's command, which moves the address as the network there requires."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from lockspoke.units import MILLISECOND
 
-CLAIM, WITHDRAW = "claim", "withdraw"  # the last argument of the command
+CLAIM, WITHDRAW = "claim", "withdraw"  # One of them is the last argument of the command.
 
 log = structlog.get_logger()
 
@@ -19,8 +19,8 @@
     """Runs `command claim` and `command withdraw`, one after another, each with a timeout.
 
     The environment has LOCKSPOKE_TOKEN (the fencing token, which only grows), LOCKSPOKE_ADDRESS, and
-    LOCKSPOKE_LEASE_MS, the time that is left of the lease. A command that fails or times out is logged; one
-    that times out is killed. A waiting action is replaced by a later one.
+    LOCKSPOKE_LEASE_MS, the remaining time of the lease in milliseconds. A command that fails or times out is
+    logged; one that times out is also killed. A pending action is replaced by a later one.
     """
 
     def __init__(
@@ -36,12 +36,12 @@
         self._running: asyncio.Task[None] | None = None
 
     def claim(self, token: int, lease_until: Callable[[], int]) -> None:
-        """Start the command that brings the address here."""
+        """Start the command that moves the address here."""
         self._token, self._lease_until = token, lease_until
         self._request(CLAIM)
 
     def withdraw(self, reason: str) -> None:  # noqa: ARG002 - the protocol of announcers has it
-        """Start the command that takes the address away. The lease has ended, so nothing waits for it."""
+        """Start the command that withdraws the address. The lease has ended, so nothing waits for it."""
         self._request(WITHDRAW)
 
     def _request(self, action: str) -> None:
@@ -55,7 +55,7 @@
                 action, self._pending = self._pending, None
                 remaining_ms = (self._lease_until() - self.clock()) // MILLISECOND
                 if action == CLAIM and remaining_ms <= 0:
-                    continue  # the lease has ended in the meantime
+                    continue  # The lease has ended in the meantime.
                 await self._run(action, max(0, remaining_ms))
         finally:
             self._running = None
@@ -93,6 +93,6 @@
         log.error("address_command_failed", action=action, reason=reason)
 
     async def wait_idle(self) -> None:
-        """Wait until no command is running or waiting."""
+        """Wait until no command is running or pending."""
         while self._running is not None:
             await asyncio.shield(self._running)
--- a/lockspoke/address/connections.py
+++ b/lockspoke/address/connections.py
@@ -1,4 +1,4 @@
-"""The client connections that came over the service address."""
+"""The client connections that were accepted at the service address."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from lockspoke.wire.tcp.accepted_connection import close_if_no_input
 from lockspoke.wire.tcp.close_reason import CloseReason
 
-IDLE_BEFORE_CLOSE = 0.3  # seconds that a connection has to be idle before it is closed
-DRAIN_POLL_INTERVAL = 0.05  # seconds
+IDLE_BEFORE_CLOSE_SECONDS = 0.3  # A draining connection is closed after being idle for this time.
+DRAIN_POLL_INTERVAL_SECONDS = 0.05
 
 
 class ServiceConnections:
@@ -50,19 +50,19 @@
         Args:
             connections: The connections; closed ones are removed.
             hand_off_after: Seconds after which open requests are handed off.
-            may_hand_off: Whether clients support that, by the configuration in force.
+            may_hand_off: Returns whether the configuration in force says that clients resume streams.
         """
         loop = asyncio.get_running_loop()
         for connection in connections:
             connection.closes_after_response = True
         deadline = loop.time() + hand_off_after
         while connections:
-            self._close_idle(connections, loop.time() - IDLE_BEFORE_CLOSE)
+            self._close_idle(connections, loop.time() - IDLE_BEFORE_CLOSE_SECONDS)
             if connections and may_hand_off() and loop.time() >= deadline:
                 open_requests = [one.open_request for one in connections if one.open_request is not None]
                 self._core.hand_off(open_requests)
                 deadline = float("inf")
-            await asyncio.sleep(DRAIN_POLL_INTERVAL)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_SECONDS)
 
     def _close_idle(self, connections: set[ClientConnection], idle_since: float) -> None:
         for connection in list(connections):
--- a/lockspoke/address/control.py
+++ b/lockspoke/address/control.py
@@ -1,4 +1,4 @@
-"""Commands of an operator to a running instance: one line of JSON each way over a local socket."""
+"""Operators' commands to a running instance: a line of JSON as request and answer on a local socket."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from typing import Any
 
 MAX_COMMAND_BYTES = 4096
-COMMAND_TIMEOUT = 2.0  # seconds to receive a complete command
-ONLY_OWNER_UMASK = 0o177
+COMMAND_TIMEOUT_SECONDS = 2.0  # A complete command must arrive within this time.
+OWNER_ONLY_UMASK = 0o177
 JsonObject = dict[str, Any]
 
 
 class ControlServer:
-    """The instance's end. `handle` gets a command and returns the answer, or raises ValueError."""
+    """Serves commands; `handle` gets a command and returns the answer, or raises ValueError."""
 
     def __init__(self, path: Path, handle: Callable[[JsonObject], JsonObject]) -> None:
         self.path, self.handle = path, handle
@@ -28,7 +28,7 @@
         """Listen; raises OSError. A socket file that an earlier process has not removed is replaced."""
         if self.path.exists():
             self._remove_stale_socket()
-        previous_umask = os.umask(ONLY_OWNER_UMASK)
+        previous_umask = os.umask(OWNER_ONLY_UMASK)
         try:
             self._server = await asyncio.start_unix_server(self._serve, self.path, limit=MAX_COMMAND_BYTES)
         finally:
@@ -36,11 +36,11 @@
 
     def _remove_stale_socket(self) -> None:
         if not self.path.is_socket():
-            raise FileExistsError(f"{self.path} is there and no socket")
+            raise FileExistsError(f"{self.path} exists and is not a socket")
         with socket.socket(socket.AF_UNIX) as probe:
-            probe.settimeout(COMMAND_TIMEOUT)
+            probe.settimeout(COMMAND_TIMEOUT_SECONDS)
             if probe.connect_ex(str(self.path)) == 0:
-                raise FileExistsError(f"{self.path}: another instance listens there")
+                raise FileExistsError(f"{self.path}: another instance listens on it")
         self.path.unlink()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -52,7 +52,7 @@
 
     async def _answer(self, reader: asyncio.StreamReader) -> JsonObject:
         try:
-            async with asyncio.timeout(COMMAND_TIMEOUT):
+            async with asyncio.timeout(COMMAND_TIMEOUT_SECONDS):
                 line = await reader.readuntil()
             command = json.loads(line)
             if not isinstance(command, dict):
@@ -77,7 +77,7 @@
     Args:
         path: The control socket.
         command: The command.
-        timeout: Seconds to wait for each part of the answer.
+        timeout: Seconds to wait for the connection and for each part of the answer.
 
     Raises:
         OSError: No instance listens there.
@@ -92,7 +92,7 @@
             data += received
     answer = json.loads(data or b"{}")
     if not isinstance(answer, dict):
-        raise ValueError("no answer")  # noqa: TRY004 - a fault of the peer, not of the caller
+        raise ValueError("the answer is not a JSON object")  # noqa: TRY004 - a fault of the peer, not of the caller
     if "error" in answer:
         raise ValueError(answer["error"])
     return answer
--- a/lockspoke/address/datagram.py
+++ b/lockspoke/address/datagram.py
@@ -1,7 +1,8 @@
 """The wire format of messages between members: one message per datagram, versioned and authenticated.
 
-Each datagram carries an HMAC-SHA-256 (RFC 2104) under a key that all members share. Two keys are valid at
-once, so that they can be changed without a gap: all members accept a new key first, then use it.
+Each datagram carries an HMAC-SHA-256 (RFC 2104) under a key that all members share. Two keys can be
+valid at once, so that keys are rotated without an interruption: all members accept a new key before any of
+them uses it.
 
     4  magic and version      8  sender's epoch       1  kind          1+n  sender
     4  key's fingerprint      8  receiver's epoch     8  term          1+n  receiver
@@ -27,8 +28,8 @@
 MAX_DATAGRAM_BYTES = 512
 MAX_NAME_BYTES = 64
 MIN_KEY_BYTES = 16
-HELLO = 0  # a kind beside those of the election: it carries an epoch and no message
-_NAME_COUNT = 3  # sender, receiver, holder
+HELLO = 0  # This kind has only epochs and no election message; the kinds of messages start at 1.
+_NAME_COUNT = 3  # The names are the sender, the receiver and the holder.
 _HEADER = struct.Struct("!3sB4s")
 _BODY = struct.Struct("!QQQBQQQIII")
 _MAC_BYTES = 32
@@ -36,7 +37,7 @@
 
 
 class DatagramError(ValueError):
-    """A datagram that is rejected; `reason` is a short identifier for counters."""
+    """A datagram that is rejected; `reason` is a short identifier that counters use."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -65,14 +66,14 @@
 
 
 def check_key(key: bytes) -> bytes:
-    """Return the key; raises ValueError if it is too short to be secret."""
+    """Return the key; raises ValueError if it is too short to be secure."""
     if len(key) < MIN_KEY_BYTES:
         raise ValueError(f"the key has {len(key)} bytes, want at least {MIN_KEY_BYTES}")
     return key
 
 
 def fingerprint(key: bytes) -> bytes:
-    """Four bytes that identify one of the valid keys without revealing it."""
+    """Four bytes that tell the valid keys apart without revealing them."""
     return hashlib.sha256(b"lockspoke address key" + key).digest()[:4]
 
 
--- a/lockspoke/address/frames.py
+++ b/lockspoke/address/frames.py
@@ -1,7 +1,7 @@
 """Codecs of the messages that announce a moved address: VRRPv3 advertisements and gratuitous ARP.
 
-Sending them needs privileges that the program does not have. The codecs are for an operator's tool that gets
-the token and the address, and for decoding what such tools send.
+Sending them needs privileges that the program does not have. The codecs are for an operator's tool, which
+gets the token and the address, and for decoding what such tools send.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from dataclasses import dataclass
 
 IPAddress = ipaddress.IPv4Address | ipaddress.IPv6Address
-VRRP_PROTOCOL = 112  # of the IP header
+VRRP_PROTOCOL = 112  # This is the protocol number in the IP header.
 VRRP_GROUPS = {4: ipaddress.ip_address("224.0.0.18"), 6: ipaddress.ip_address("ff02::12")}
 _VRRP = struct.Struct("!BBBBHH")
-_VERSION_AND_TYPE = 3 << 4 | 1  # version 3, an advertisement
+_VERSION_AND_TYPE = 3 << 4 | 1  # Type 1 of version 3 is an advertisement.
 _ETHERNET = struct.Struct("!6s6sH")
 _ARP = struct.Struct("!HHBBH6s4s6s4s")
 BROADCAST = b"\xff" * 6
 _ARP_TYPE, _REQUEST, _REPLY = 0x0806, 1, 2
-_MIN_ETHERNET_FRAME = 60  # bytes
+_MIN_ETHERNET_FRAME_BYTES = 60
 
 
 class FrameError(ValueError):
@@ -30,8 +30,11 @@
 class Advertisement:
     """A VRRPv3 advertisement (RFC 5798, 5.2).
 
-    `router` from 1 to 255; `priority` 0 (the master gives up) to 255 (it owns the addresses); `interval` in
-    hundredths of a second, 1 to 4095; the addresses are all of one version.
+    Attributes:
+        router: The virtual router identifier, 1 to 255.
+        priority: From 0 (the master releases the addresses) to 255 (the router owns the addresses).
+        interval: The interval between advertisements in hundredths of a second, 1 to 4095.
+        addresses: The virtual addresses, all of one IP version.
     """
 
     router: int
@@ -44,7 +47,7 @@
         if not 1 <= self.router <= 255 or not 0 <= self.priority <= 255 or not 1 <= self.interval <= 4095:
             raise FrameError("router, priority or interval is out of its range")
         if not 1 <= len(self.addresses) <= 255 or len({one.version for one in self.addresses}) != 1:
-            raise FrameError("want 1 to 255 addresses, all of one version")
+            raise FrameError("want 1 to 255 addresses, all of one IP version")
 
 
 def checksum(data: bytes) -> int:
@@ -67,7 +70,7 @@
 def encode_vrrp(advertisement: Advertisement, source: IPAddress) -> bytes:
     """Encode the payload of an IP packet from `source` to the VRRP group of its IP version."""
     if source.version != advertisement.addresses[0].version:
-        raise FrameError("source and addresses are of two versions")
+        raise FrameError("source and addresses have different IP versions")
     addresses = b"".join(address.packed for address in advertisement.addresses)
     head = [
         _VERSION_AND_TYPE,
@@ -90,9 +93,9 @@
         raise FrameError(f"version {kind >> 4}, type {kind & 15}: want 3 and 1")
     size = 4 if source.version == 4 else 16
     if len(data) != _VRRP.size + count * size:
-        raise FrameError(f"{len(data)} bytes do not hold {count} addresses")
+        raise FrameError(f"{len(data)} bytes are not the length for {count} addresses")
     if checksum(_pseudo_header(source, target, len(data)) + data):
-        raise FrameError("its checksum does not hold")
+        raise FrameError("the checksum does not match")
     addresses = [data[at : at + size] for at in range(_VRRP.size, len(data), size)]
     return Advertisement(router, priority, interval & 0x0FFF, tuple(map(ipaddress.ip_address, addresses)))
 
@@ -122,7 +125,7 @@
         target_hardware,
         address.packed,
     )
-    return (_ETHERNET.pack(BROADCAST, hardware, _ARP_TYPE) + arp).ljust(_MIN_ETHERNET_FRAME, b"\0")
+    return (_ETHERNET.pack(BROADCAST, hardware, _ARP_TYPE) + arp).ljust(_MIN_ETHERNET_FRAME_BYTES, b"\0")
 
 
 def decode_gratuitous_arp(frame: bytes) -> tuple[ipaddress.IPv4Address, bytes]:
@@ -134,7 +137,7 @@
         frame, _ETHERNET.size
     )
     if (kind, medium, protocol, size, length) != (_ARP_TYPE, 1, 0x0800, 6, 4) or operation not in (1, 2):
-        raise FrameError("no ARP for IPv4 over Ethernet")
+        raise FrameError("not an ARP message for IPv4 over Ethernet")
     if source != target or sender != hardware:
-        raise FrameError("it asks for another's address, or speaks for another")
+        raise FrameError("not a gratuitous ARP message about its sender")
     return ipaddress.IPv4Address(source), hardware
--- a/lockspoke/address/keys.py
+++ b/lockspoke/address/keys.py
@@ -1,4 +1,4 @@
-"""The key files that members authenticate their datagrams with."""
+"""Reads the files with the keys that members authenticate their datagrams with."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from .datagram import check_key
 
 MAX_KEY_FILE_BYTES = 4096
-ANYBODY_ELSE = 0o007  # permission bits
+OTHERS_PERMISSION_BITS = 0o007
 
 
 def read_keys(paths: Sequence[str]) -> list[bytes]:
     """Read one key in hexadecimal from each file.
 
     Raises:
-        ValueError: A file can't be read, is readable by everybody or holds no key, or two keys are equal.
+        ValueError: A file can't be read, is accessible to everybody or has no key, or two keys are equal.
     """
     keys = [_read_key(path) for path in paths]
     if len(set(keys)) != len(keys):
@@ -31,7 +31,7 @@
         mode = Path(path).stat().st_mode
     except OSError as error:
         raise ValueError(f"keys names {path}, which can't be read: {error.strerror}") from None
-    if mode & ANYBODY_ELSE:
+    if mode & OTHERS_PERMISSION_BITS:
         raise ValueError(f"keys names {path}, which everybody may read; chmod 600 {path}")
     try:
         return check_key(binascii.unhexlify(b"".join(raw.split())))
--- a/lockspoke/address/listener.py
+++ b/lockspoke/address/listener.py
@@ -13,11 +13,12 @@
 
 
 class ServiceListener:
-    """Listens at the address; `on_accepted` gets each connection that was accepted during the lease.
+    """Listens at the address; `on_accepted` gets each connection accepted during the lease, and its token.
 
-    A process that was paused beyond its lease finds connections in its backlog that came before or after the
-    end of the lease, and can't tell them apart. So the clock is read after each accept and before the
-    connection is used: after the lease it is closed unread, and its client retries at the new holder.
+    A process that was paused beyond its lease may find connections in its backlog. It can't tell whether they
+    were made before or after the end of the lease. So the clock is read after each accept and before
+    the connection is used: if the lease has ended, the connection is closed unread, and its client retries at
+    the new holder.
     Requests that were forwarded before the pause can only be rejected by their fencing token.
     """
 
@@ -29,8 +30,8 @@
     ) -> None:
         self.address, self.on_accepted, self.clock = address, on_accepted, clock
         self.accepted_count = 0
-        self.rejected_count = 0  # connections that were closed unread since the lease had ended
-        self._acceptor: Acceptor | None = None  # None while not listening
+        self.rejected_count = 0  # These connections were closed unread because the lease had ended.
+        self._acceptor: Acceptor | None = None  # This is None while not listening.
         self._token = 0
         self._lease_until: Callable[[], int] = lambda: 0
 
--- a/lockspoke/address/metrics.py
+++ b/lockspoke/address/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a member in the format of Prometheus, on a port of their own."""
+"""Serves the metrics of a member in the Prometheus format on a separate port."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from .control import JsonObject
 
-STOP_TIMEOUT = 5  # seconds
+STOP_TIMEOUT_SECONDS = 5
 
 
 class AddressCollector(Collector):
@@ -61,6 +61,6 @@
     def stop() -> None:
         server.shutdown()
         server.server_close()
-        thread.join(STOP_TIMEOUT)
+        thread.join(STOP_TIMEOUT_SECONDS)
 
     return stop
--- a/lockspoke/address/peer_socket.py
+++ b/lockspoke/address/peer_socket.py
@@ -9,7 +9,7 @@
 
 from .datagram import MAX_DATAGRAM_BYTES
 
-MAX_DATAGRAMS_PER_WAKEUP = 64  # then the event loop continues, so that a flood can't block it
+MAX_DATAGRAMS_PER_WAKEUP = 64  # The limit keeps a flood from blocking the event loop.
 RECEIVE_BUFFER_BYTES = 256 * 1024
 
 HostPort = tuple[str, int]
@@ -40,7 +40,7 @@
         return host, port
 
     def send(self, data: bytes, address: HostPort) -> bool:
-        """Send a datagram; False if the system rejects it, as for a full queue."""
+        """Send a datagram; False if the system rejects it, for example because a queue is full."""
         with contextlib.suppress(OSError):
             self._socket.sendto(data, address)
             return True
@@ -52,7 +52,7 @@
                 return
             try:
                 data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
-            except OSError:  # nothing more to read, or an ICMP error of a datagram sent earlier
+            except OSError:  # There is nothing more to read, or an earlier send caused an ICMP error.
                 return
             self._on_datagram(data)
 
--- a/lockspoke/address/settings.py
+++ b/lockspoke/address/settings.py
@@ -14,7 +14,7 @@
 from .health import HealthLimits
 from .peer_socket import HostPort
 
-MAX_KEYS = 2  # both are valid while the key is changed
+MAX_KEYS = 2  # Both are valid during a key rotation.
 
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
 Seconds = Annotated[float, msgspec.Meta(gt=0.0, le=86400.0)]
@@ -29,7 +29,23 @@
 
 
 class HealthSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The section `[address.health]`: limits of healthy metrics, and flap damping. Times in seconds."""
+    """The section `[address.health]`: limits of healthy metrics, and flap damping. Times are in seconds.
+
+    Attributes:
+        least_workers: The minimum number of ready replicas.
+        loop_lag: The maximum time by which timers may fire late.
+        failing: The maximum share of recent requests that may fail.
+        calls_enough: The number of recent requests from which on `failing` applies.
+        sockets: The maximum share of file descriptors in use.
+        memory: The maximum share of memory in use.
+        sick_after: How long a limit must be exceeded until the instance is unhealthy.
+        well_after: How long the metrics must be within all limits until the instance is healthy.
+        penalty: The penalty of flap damping for each loss of the address for reasons of health.
+        hold_down: The penalty from which on the instance is suppressed.
+        stand_again: The penalty below which the instance is no longer suppressed.
+        half_life: The time in which the penalty decays by half.
+        longest: The maximum time of suppression after the latest loss.
+    """
 
     least_workers: Annotated[int, msgspec.Meta(ge=0)] = 1
     loop_lag: Seconds = 0.25
@@ -69,18 +85,47 @@
 
 
 class AddressSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The section `[address]`. Times in seconds."""
-
-    service: str  # host:port that clients connect to
-    members: dict[str, str]  # by name, host:port of its UDP port
-    keys: list[str]  # files; the first is used for sending, all are accepted
-    name: str = ""  # of this member; default: the gateway's own
-    listen: str = ""  # where this instance listens while it holds the address; default: `service`
-    bind: str = ""  # its own UDP host:port, if it differs from the one in `members`
-    witnesses: list[str] = []  # members that vote and never hold the address
-    generation: Annotated[int, msgspec.Meta(ge=1)] = 1  # counts the changes of `members`
+    """The section `[address]`. Times are in seconds.
+
+    Attributes:
+        service: The host:port that clients connect to.
+        members: By name, the host:port of each member's UDP port.
+        keys: The key files; the first key is used for sending, all are accepted.
+        name: The name of this member; default: the gateway's name.
+        listen: The host:port where this instance listens while it holds the address; default: `service`.
+        bind: The UDP host:port that this member binds, if it differs from its entry in `members`.
+        witnesses: Members that vote and never hold the address.
+        generation: Counts the changes of `members`.
+        priority: A higher one makes the member become a candidate sooner.
+        take_back: How long this member must have been healthy before it requests the address from a holder
+            of lower priority; 0: it never does.
+        span: The duration of a lease.
+        renew: The interval at which the holder renews its lease.
+        answer: How long a candidate waits for votes.
+        reserve: The holder ends its lease this long before the votes expire, since timers may fire late.
+        drift: How much faster or slower than true time a clock may run, as a share.
+        settle: How long a member that has adopted a member list still votes for candidates with the previous
+            one.
+        announce: How the address is announced: by listening only, or also by running `command`.
+        command: The program and its arguments, for `announce = "command"`.
+        command_limit: The timeout of the command.
+        record: The folder of the term record; it must be durable.
+        control: The path of the control socket for `lockspoke address`.
+        metrics: The host:port that serves the metrics.
+        trace: A file for each change of the lease with its time.
+        health: The section `[address.health]`.
+    """
+
+    service: str
+    members: dict[str, str]
+    keys: list[str]
+    name: str = ""
+    listen: str = ""
+    bind: str = ""
+    witnesses: list[str] = []
+    generation: Annotated[int, msgspec.Meta(ge=1)] = 1
     priority: Annotated[int, msgspec.Meta(ge=0, le=255)] = 100
-    take_back: float = 0.0  # healthy for so long, request it from a holder of lower priority; 0: never
+    take_back: float = 0.0
     span: Seconds = 0.4
     renew: Seconds = 0.1
     answer: Seconds = 0.04
@@ -88,12 +133,12 @@
     drift: Annotated[float, msgspec.Meta(ge=0.0, lt=0.1)] = 0.01
     settle: Seconds = 5.0
     announce: Literal["listen", "command"] = "listen"
-    command: list[str] = []  # a program and its arguments, for `announce = "command"`
+    command: list[str] = []
     command_limit: Seconds = 2.0
-    record: str = ""  # a durable folder
-    control: str = ""  # path of the socket for `lockspoke address`
-    metrics: str = ""  # host:port
-    trace: str = ""  # a file for each lease change with its time
+    record: str = ""
+    control: str = ""
+    metrics: str = ""
+    trace: str = ""
     health: HealthSettings = HealthSettings()
 
     def __post_init__(self) -> None:
--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -1,4 +1,4 @@
-"""The moving service address as a subsystem of the program: the section `[address]`."""
+"""The service address as a subsystem of the gateway, configured by the section `[address]`."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from .member import Member
 from .settings import AddressSettings, parse_endpoint
 
-MEASURE_INTERVAL = 0.1  # seconds between two measurements of health
-LEAVE_TIMEOUT = 1.0  # seconds to transfer the address at a shutdown
+HEALTH_INTERVAL_SECONDS = 0.1
+LEAVE_TIMEOUT_SECONDS = 1.0  # At a shutdown the address must be transferred within this time.
 
 log = structlog.get_logger()
 
-settings_type = AddressSettings  # read by `lifecycle.subsystems`
+settings_type = AddressSettings  # `lifecycle.subsystems` reads this.
 
 
 def create(settings: AddressSettings, context: SubsystemContext) -> Subsystem:
@@ -37,11 +37,11 @@
 
 
 class AddressSubsystem:
-    """The service address: clients that connect to it are clients of the platform's front."""
+    """The service address: clients that connect to it are served by the client front."""
 
     name = "address"
     endpoint_list_source: EndpointListSource | None = None
-    descriptors = 16  # UDP socket, listener, control socket, metrics, and the pipes of a command
+    descriptors = 16  # They are for the UDP socket, listener, control socket, metrics and command.
 
     def __init__(self, settings: AddressSettings, context: SubsystemContext) -> None:
         """Raises ConfigError for settings that can't be used."""
@@ -67,7 +67,7 @@
         return announcers
 
     def attach(self, core: Core, clients: ClientFront) -> None:
-        """Connect to the core and to the front that serves the clients; called before `start`."""
+        """Set the core and the client front that serves the clients; called before `start`."""
         self._core = core
         self._connections = ServiceConnections(core, clients)
 
@@ -84,7 +84,7 @@
         try:
             await self._member.start()
         except OSError as error:
-            # The platform's front continues; without its own port this instance can't hold the address.
+            # The client front keeps running, but without the election this instance can't hold the address.
             log.error("address_not_started", reason=str(error))
             self._member.stop()
             return
@@ -93,8 +93,8 @@
     async def _measure_health(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + MEASURE_INTERVAL
-            await asyncio.sleep(MEASURE_INTERVAL)
+            due = loop.time() + HEALTH_INTERVAL_SECONDS
+            await asyncio.sleep(HEALTH_INTERVAL_SECONDS)
             now = loop.time()
             self._meter.record_lag(now - due)
             if not self._draining:
@@ -143,10 +143,10 @@
         return commit
 
     async def drain(self) -> None:
-        """Transfer the address; the program drains its connections with all others."""
+        """Transfer the address; the gateway drains its connections together with all others."""
         self._draining = True
-        await self._member.leave(LEAVE_TIMEOUT)
-        self._listener.withdraw("it stops")
+        await self._member.leave(LEAVE_TIMEOUT_SECONDS)
+        self._listener.withdraw("it is shutting down")
 
     def stop(self) -> None:
         """Cancel all tasks and leave the election."""
