--- a/bench/address.py
+++ b/bench/address.py
@@ -114,7 +114,7 @@
     counts, bad = Counts(), []
     for seed in range(job[0], job[1]):
         try:
-            counts.add(Simulation(random_schedule(seed, job[2])).play())
+            counts.add(Simulation(random_schedule(seed, job[2])).run_schedule())
         except InvariantError:
             bad.append(seed)
     return counts, bad
--- a/tests/address/simulation.py
+++ b/tests/address/simulation.py
@@ -303,7 +303,7 @@
         """The member whose lease is valid now."""
         return next((name for name, at in self.lease_ends.items() if at > self.now), None)
 
-    def play(self) -> Counts:
+    def run_schedule(self) -> Counts:
         """Run the whole schedule; raises InvariantError."""
         self.run(2 * self.config.lease_duration)
         for event in self.schedule.events:
@@ -492,7 +492,7 @@
 ) -> str | None:
     """The violation that a schedule leads to, if any."""
     try:
-        Simulation(schedule, election_type, config).play()
+        Simulation(schedule, election_type, config).run_schedule()
     except InvariantError as error:
         return str(error)
     return None
@@ -526,7 +526,7 @@
     played = Simulation(schedule, election_type, config, trace=True)
     outcome = "nothing is violated"
     try:
-        played.play()
+        played.run_schedule()
     except InvariantError as error:
         outcome = str(error)
     return "\n".join([f"seed {schedule.seed}, {schedule.size} members", *played.trace, outcome])
--- a/tests/address/test_simulation.py
+++ b/tests/address/test_simulation.py
@@ -20,7 +20,7 @@
 def test_no_violation_in_thousands_of_schedules(part: int) -> None:
     counts = Counts()
     for seed in range(part * 600, part * 600 + 600):
-        counts.add(Simulation(random_schedule(seed)).play())
+        counts.add(Simulation(random_schedule(seed)).run_schedule())
     assert counts.schedules == 600 and counts.claims > 3_000 and counts.moves > 600
     assert min(counts.events.values()) > 300  # each kind of event has occurred
 
