--- a/tests/address/cluster.py
+++ b/tests/address/cluster.py
@@ -1,4 +1,4 @@
-"""Real gateways that share a service address, each a process of its own, with a network that can be cut."""
+"""Gateway processes that share a service address, with network links between them that can be cut."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     """Format a section of a TOML file; nested tables become sections below it."""
     lines = [f"[{section}]"]
     lines += [f"{key} = {json.dumps(value)}" for key, value in values.items() if not isinstance(value, dict)]
-    below = [toml(value, f"{section}.{key}") for key, value in values.items() if isinstance(value, dict)]
-    return "\n".join([*lines, *below]) + "\n"
+    nested = [toml(value, f"{section}.{key}") for key, value in values.items() if isinstance(value, dict)]
+    return "\n".join([*lines, *nested]) + "\n"
 
 
 class Cluster:
@@ -41,8 +41,8 @@
         self.service = free_port()
         self.relay = Relay(names)
         self.programs: dict[str, Program] = {}
-        self.killed: list[tuple[str, int]] = []  # by the clock that all processes share
-        self.number = 0
+        self.killed: list[tuple[str, int]] = []  # The names and times, on the clock that all processes share.
+        self.request_count = 0
 
     async def __aenter__(self) -> Cluster:
         self.stack = AsyncExitStack()
@@ -56,7 +56,7 @@
             await asyncio.gather(*(self.start(name) for name in self.names))
             await until(lambda: self.holder is not None)
         except BaseException:
-            await self.__aexit__()  # no process is left running
+            await self.__aexit__()  # No process may be left running.
             raise
         return self
 
@@ -68,10 +68,10 @@
         self.relay.close()
         await self.stack.aclose()
 
-    def write_edge(self, name: str, **more: Any) -> Path:
+    def write_edge(self, name: str, **changes: Any) -> Path:
         """A member's edge file."""
         path = self.folder / f"{name}.toml"
-        book = self.relay.peer_addresses[name]
+        addresses = self.relay.peer_addresses[name]
         settings: dict[str, Any] = {
             "name": name,
             "service": format_endpoint(self.service),
@@ -79,18 +79,18 @@
             "keys": [str(self.key)],
             "control": str(self.folder / f"{name}.sock"),
             "trace": str(self.folder / f"{name}.trace"),
-            "members": {other: format_endpoint(book[other]) for other in self.names},
+            "members": {other: format_endpoint(addresses[other]) for other in self.names},
             "health": HEALTH,
         }
-        settings |= self.settings | more
+        settings |= self.settings | changes
         if "record" in settings:
             settings["record"] = str(self.folder / name)
         path.write_text(toml(settings, "address"))
         return path
 
-    async def start(self, name: str, **more: Any) -> Program:
+    async def start(self, name: str, **changes: Any) -> Program:
         """Start a member's gateway."""
-        program = Program(self.replica, options=("--edge", self.write_edge(name, **more)), **self.gateway)
+        program = Program(self.replica, options=("--edge", self.write_edge(name, **changes)), **self.gateway)
         self.programs[name] = program
         await program.__aenter__()
         await until(lambda: program.log("address_started") is not None)
@@ -115,7 +115,7 @@
             for name, program in self.programs.items()
             if program.process.returncode is None and self.token(program)
         }
-        # A paused member does not know that it has lost the address.
+        # A paused member does not know that it has lost the address, so the highest token decides.
         return max(found, key=lambda name: found[name]) if found else None
 
     @staticmethod
@@ -134,14 +134,14 @@
     async def wait_until_voting(self) -> None:
         """Wait until every running member may vote and is healthy."""
 
-        def all_there() -> bool:
+        def all_ready() -> bool:
             for name in self.programs:
                 found = self.status(name)
                 if found["role"] == "silent" or not found["health"]["fit"]:
                     return False
             return True
 
-        while not await asyncio.to_thread(all_there):
+        while not await asyncio.to_thread(all_ready):
             await asyncio.sleep(0.02)
 
     def status(self, name: str) -> dict[str, Any]:
@@ -151,10 +151,10 @@
     async def wait_until_answered(self, limit: float = 0.1) -> float:
         """Repeat requests to the service address until one is answered; returns the time."""
         while True:
-            self.number += 1
+            self.request_count += 1
             try:
                 async with asyncio.timeout(limit), Client(self.service[1]) as client:
-                    status, _, _, complete = await client.request(request_bytes(self.number))
+                    status, _, _, complete = await client.request(request_bytes(self.request_count))
                     if status == 200 and complete:
                         return time.monotonic()
             except (OSError, TimeoutError):
@@ -164,8 +164,9 @@
     def claims(self) -> list[tuple[int, int, str, int]]:
         """All claims in the traces of the members: start, end, member and token.
 
-        The times are of the clock that all processes share. A claim ends when its last lease would end, when
-        it is released, or when its process is killed; never since another claim starts.
+        The times are on the clock that all processes share. A claim ends when its last lease would end, when
+        it is released, or when its process is killed. The start of another claim does not end it, so that
+        overlaps are visible.
         """
         found: list[tuple[int, int, str, int]] = []
         for name in self.names:
@@ -185,7 +186,7 @@
 
 
 def overlaps(claims: list[tuple[int, int, str, int]]) -> list[str]:
-    """Descriptions of overlapping claims, and of tokens that did not grow."""
+    """Describe the overlapping claims and the tokens that did not grow."""
     faults = []
     for before, after in itertools.pairwise(claims):
         if before[2] != after[2] and after[0] < before[1]:
--- a/tests/address/faults.py
+++ b/tests/address/faults.py
@@ -16,8 +16,8 @@
 class NoSilentPeriod(Election):
     """Votes and stands at once after a start, although it has forgotten its votes."""
 
-    def __init__(self, *arguments: Any, **more: Any) -> None:
-        super().__init__(*arguments, **(more | {"no_earlier_votes": True}))
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **(kwargs | {"no_earlier_votes": True}))
 
 
 class LeaseFromLastVote(Election):
@@ -42,27 +42,27 @@
 
 
 class IgnoredDrift(Election):
-    """Ignores the drift of clocks."""
+    """Counts its lease and its votes as if clocks had no drift."""
 
-    def __init__(self, name: str, config: ElectionConfig, *arguments: Any, **more: Any) -> None:
-        super().__init__(name, config, *arguments, **more)
+    def __init__(self, name: str, config: ElectionConfig, *args: Any, **kwargs: Any) -> None:
+        super().__init__(name, config, *args, **kwargs)
         self._ignore_drift()
 
     def _ignore_drift(self) -> None:
         own = self.membership.config
-        blind = _DriftlessConfig.__new__(_DriftlessConfig)
+        driftless = _DriftlessConfig.__new__(_DriftlessConfig)
         for name in ElectionConfig.__dataclass_fields__:
-            object.__setattr__(blind, name, getattr(own, name))
-        self.membership.config = blind
+            object.__setattr__(driftless, name, getattr(own, name))
+        self.membership.config = driftless
 
     def change_config(self, config: ElectionConfig, now: int) -> list[Action]:
-        out = super().change_config(config, now)
+        actions = super().change_config(config, now)
         self._ignore_drift()
-        return out
+        return actions
 
 
 class ForgottenVote(Election):
-    """Votes, and doesn't remember for whom."""
+    """Votes, and forgets the vote at once."""
 
     def _vote_for(self, to: str, term: int, now: int) -> None:
         super()._vote_for(to, term, now)
@@ -79,16 +79,16 @@
 class OldTokens(Election):
     """Votes in any term, and doesn't learn terms from others."""
 
-    def __init__(self, *arguments: Any, **more: Any) -> None:
-        super().__init__(*arguments, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         self.voter = _AnyTermVoter(self.voter.vote_until, self.voter.voted_term)
 
     def receive(self, sender: str, message: ElectionMessage, now: int) -> list[Action]:
-        known = self.term
-        out = super().receive(sender, message, now)
+        term_before = self.term
+        actions = super().receive(sender, message, now)
         if self.role not in (ElectionRole.CANDIDATE, ElectionRole.HOLDER):
-            self.term = known
-        return out
+            self.term = term_before
+        return actions
 
 
 class UncheckedMembershipChange(Election):
@@ -100,10 +100,10 @@
 
 
 class AnyMembership(UncheckedMembershipChange):
-    """The same, and votes for candidates with any member list."""
+    """Adopts any member list at once, and votes for candidates with any member list."""
 
-    def __init__(self, *arguments: Any, **more: Any) -> None:
-        super().__init__(*arguments, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         self.membership.may_grant = lambda message, now: True  # type: ignore[method-assign]
 
 
@@ -119,7 +119,7 @@
 
 
 class VotersFreedByTransfer(Election):
-    """Releases the voters while the lease is transferred."""
+    """Ends its vote when the lease is transferred, so that it may vote for any candidate."""
 
     def _on_release(self, sender: str, message: ElectionMessage, now: int) -> None:
         super()._on_release(sender, message, now)
--- a/tests/address/network.py
+++ b/tests/address/network.py
@@ -15,7 +15,7 @@
 
 
 class SimulatedNetwork:
-    """Members on a network, each with a clock of its own rate; no moment may have two holders."""
+    """Members on a network, each with a clock of its own rate; checks that there are never two holders."""
 
     def __init__(
         self, config: ElectionConfig, seed: int, loss: float = 0.0, delay: tuple[int, int] = (1 * MS, 4 * MS)
@@ -32,7 +32,7 @@
             )
             for name in config.members
         }
-        self.lease_ends: dict[str, int] = {}  # by holder, when its lease ends in true time
+        self.lease_ends: dict[str, int] = {}  # By holder, the true time at which its lease ends.
         self.tokens: list[tuple[int, str]] = []
         self.acquisitions: list[tuple[int, str]] = []
         self.cuts: set[frozenset[str]] = set()
@@ -49,7 +49,7 @@
         heapq.heappush(self.queue, (time, self.count, callback))
 
     def start(self, name: str) -> None:
-        self.wall_clock += 1_000_000  # the wall clock at a start: far above any earlier term
+        self.wall_clock += 1_000_000  # The wall clock at a start is far above any earlier term.
         election = Election(
             name, self.config, self.clock(name), first_term=self.wall_clock, random=self.random.random
         )
--- a/tests/address/relay.py
+++ b/tests/address/relay.py
@@ -14,11 +14,11 @@
 
 def free_port() -> HostPort:
     """A free TCP port. It stays bound here without listening, so that no other process gets it."""
-    one = socket.socket()
-    one.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    one.bind(("127.0.0.1", 0))
-    _RESERVED_PORTS.append(one)
-    address: HostPort = one.getsockname()
+    placeholder = socket.socket()
+    placeholder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    placeholder.bind(("127.0.0.1", 0))
+    _RESERVED_PORTS.append(placeholder)
+    address: HostPort = placeholder.getsockname()
     return address
 
 
@@ -47,24 +47,24 @@
             for receiver in self.names:
                 if receiver == sender:
                     continue
-                one = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-                one.bind(("127.0.0.1", 0))
-                one.setblocking(False)
-                self._sockets.append(one)
-                self.peer_addresses[sender][receiver] = one.getsockname()
-                loop.add_reader(one.fileno(), self._forward, one, sender, receiver)
-
-    def _forward(self, one: socket.socket, sender: str, receiver: str) -> None:
+                relay_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+                relay_socket.bind(("127.0.0.1", 0))
+                relay_socket.setblocking(False)
+                self._sockets.append(relay_socket)
+                self.peer_addresses[sender][receiver] = relay_socket.getsockname()
+                loop.add_reader(relay_socket.fileno(), self._forward, relay_socket, sender, receiver)
+
+    def _forward(self, relay_socket: socket.socket, sender: str, receiver: str) -> None:
         try:
-            data = one.recv(65536)
+            data = relay_socket.recv(65536)
             if (sender, receiver) not in self.blocked:
                 self.forwarded += 1
-                one.sendto(data, self.listen_addresses[receiver])
+                relay_socket.sendto(data, self.listen_addresses[receiver])
         except (OSError, OverflowError):
-            pass  # the receiver is not listening
+            pass  # The receiver is not listening.
 
     def cut(self, name: str, others: Iterable[str] | None = None, one_way: bool = False) -> None:
-        """Block the datagrams between a member and others (default: all), or those it sends only."""
+        """Block the datagrams between a member and others (default: all), or only those that it sends."""
         for other in self.names if others is None else others:
             self.blocked.add((name, other))
             if not one_way:
@@ -76,6 +76,6 @@
 
     def close(self) -> None:
         """Stop forwarding."""
-        for one in self._sockets:
-            asyncio.get_running_loop().remove_reader(one.fileno())
-            one.close()
+        for relay_socket in self._sockets:
+            asyncio.get_running_loop().remove_reader(relay_socket.fileno())
+            relay_socket.close()
--- a/tests/address/simulation.py
+++ b/tests/address/simulation.py
@@ -1,8 +1,8 @@
 """A simulation of the election in virtual time with random faults, an invariant checker and a shrinker.
 
-A schedule is a seed and a list of events; a run of it is deterministic. The simulation knows true time
-besides each member's clock, so the checker uses true time: there are never two holders at once, tokens only
-grow, and after all faults have ended there is a holder within a limit.
+A schedule is a seed and a list of events; its run is deterministic. The simulation knows the true time and
+each member's clock. The checker uses the true time to check that there are never two holders at once, that
+tokens only grow, and that there is a holder within a limit after all faults have ended.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 
 MS = 1_000_000
 NAMES = "abcdefghi"
-# Shorter leases than in production, so that a schedule has more of them, and worse clocks: an algorithm that
-# is safe with a drift of 5% and almost no margin does not depend on either.
+# Leases are shorter than in production, so that a schedule has more of them. Clocks are worse, and the margin
+# is almost nothing, so that the checks don't pass only because of good clocks or a large margin.
 CONFIG = ElectionConfig(
     tuple("abc"),
     lease_duration=100 * MS,
@@ -31,12 +31,13 @@
     release_margin=1 * MS,
     settle_time=40 * MS,
 )
-RECOVERY_LIMIT = 2_500 * MS  # for a new holder after all faults have ended: about twenty leases
-MAX_LOSS_FOR_LIVENESS = 0.1  # the share of lost messages up to which there must be a holder
+# Within this time after all faults have ended, about twenty leases, a member must hold the lease.
+RECOVERY_LIMIT = 2_500 * MS
+MAX_LOSS_FOR_LIVENESS = 0.1  # Up to this share of lost messages, a holder must exist.
 EVENT_KINDS = (
     "kill",
     "start",
-    "bounce",  # processes end and start at once, those of a majority at a time, but never the holder's
+    "bounce",  # Several processes restart at once, maybe a majority, but never the holder's.
     "cut",
     "oneway",
     "heal",
@@ -70,7 +71,7 @@
     seed: int
     size: int
     loss: float
-    slowest: int  # milliseconds that a message may take
+    max_delay: int  # Messages on a slow link take up to this many milliseconds.
     has_disk: bool
     events: tuple[Event, ...]
     witnesses: int = 0
@@ -102,11 +103,11 @@
 
 @dataclass
 class Counts:
-    """What was checked."""
+    """Counts of what was checked."""
 
     schedules: int = 0
-    claims: int = 0  # holds and renewals that were checked against all other claims
-    moves: int = 0  # that another became the holder
+    claims: int = 0  # New and renewed leases that were checked against all other claims.
+    moves: int = 0  # How often another member became the holder.
     messages: int = 0
     events: Counter[str] = field(default_factory=Counter)
 
@@ -125,16 +126,16 @@
         self.offset = random.randrange(10**12)
         self.rate = 1 + random.choice((-drift, drift, random.uniform(-drift, drift)))
         self.priority = random.choice((0, 255, 255))
-        self.take_back = random.choice((None, None, 50 * MS))
+        self.preempt_after_ns = random.choice((None, None, 50 * MS))
         self.election: Election | None = None
         self.paused_until = 0
-        self.config: ElectionConfig = CONFIG  # as its file says
-        self.recorded_term = 0  # the term on its disk
+        self.config: ElectionConfig = CONFIG  # The configuration in its file.
+        self.recorded_term = 0  # The term on its disk.
         self.waiting: list[tuple[str, SendMessage]] = []
 
-    def clock(self, true: int) -> int:
+    def clock(self, true_now: int) -> int:
         """The member's clock at a true time."""
-        return self.offset + int(true * self.rate)
+        return self.offset + int(true_now * self.rate)
 
     def true_time(self, clock: int) -> int:
         """The true time at which the member's clock shows a time."""
@@ -156,7 +157,7 @@
         self.random = Random(schedule.seed)
         self.now, self.count, self.wall_clock = 0, 0, 10**6
         self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.lease_ends: dict[str, int] = {}  # by holder, when its claim ends in true time
+        self.lease_ends: dict[str, int] = {}  # By holder, the true time at which its claim ends.
         self.token = 0
         self.holder_of: dict[int, str] = {}
         self.blocked_links: set[tuple[str, str]] = set()
@@ -185,9 +186,9 @@
         self.start(member)
 
     def start(self, member: SimulatedMember) -> None:
-        """Start a process. Without a disk the wall clock is the lower bound of tokens."""
+        """Start a process. Without a disk its first term is taken from the wall clock."""
         self.wall_clock += 10**6
-        # With a record, even a wall clock that has gone back does no harm.
+        # With a term record, a wall clock that has gone back must do no harm.
         first = (
             self.wall_clock
             if not self.schedule.has_disk
@@ -200,7 +201,7 @@
             first_term=first,
             random=self.random.random,
             priority=member.priority,
-            preempt_after=member.take_back,
+            preempt_after=member.preempt_after_ns,
         )
         member.election, member.paused_until = election, 0
         election.set_health(True, member.clock(self.now))
@@ -231,7 +232,7 @@
             if isinstance(action, HoldLease):
                 self.check_claim(member, action)
             elif isinstance(action, LoseLease):
-                self.log(f"{member.name} lets go: {action.reason}")
+                self.log(f"{member.name} loses the lease: {action.reason}")
                 self.lease_ends.pop(member.name, None)
             else:
                 self.send(member.name, action)
@@ -244,7 +245,7 @@
             if other != member.name and at > self.now:
                 self.log(f"{member.name} holds with {action.token}: VIOLATION")
                 raise InvariantError(
-                    f"{member.name} claims while {other} still does, for {(at - self.now) / MS:.2f} ms"
+                    f"{member.name} claims it while {other} holds for {(at - self.now) / MS:.2f} ms more"
                 )
         if action.token != self.token or self.holder_of.get(action.token) != member.name:
             if action.token <= self.token:
@@ -266,19 +267,19 @@
         if self.random.random() < self.schedule.loss:
             return
         for _ in range(1 + (self.random.random() < self.schedule.loss / 2)):
-            # Each direction of each pair is fast or slow, for good.
+            # Each direction of each pair is fast or slow for the whole run.
             if (sender, action.to) not in self.link_delays:
-                self.link_delays[sender, action.to] = self.random.choice((0, 0, self.schedule.slowest * MS))
+                self.link_delays[sender, action.to] = self.random.choice((0, 0, self.schedule.max_delay * MS))
             slow = self.link_delays[sender, action.to]
             delay = self.random.randrange(MS // 20, MS // 2) + self.random.randrange(slow // 2, slow + 1)
             self.call_at(self.now + delay, lambda: self.deliver(sender, action))
 
-    def deliver(self, sender: str, action: SendMessage, waits_for: Election | None = None) -> None:
+    def deliver(self, sender: str, action: SendMessage, recipient: Election | None = None) -> None:
         """Deliver a message; a paused process gets it when it continues."""
         member = self.members.get(action.to)
         if member is None or member.election is None or (sender, action.to) in self.blocked_links:
             return
-        if waits_for is not None and waits_for is not member.election:
+        if recipient is not None and recipient is not member.election:
             return
         if self.now < member.paused_until:
             election = member.election
@@ -328,7 +329,7 @@
             self.apply_to_election(member, election, event)
 
     def target(self, event: Event) -> SimulatedMember:
-        """The member of an event: often the holder, which most faults concern most."""
+        """The member of an event: often the holder, which is affected most by faults."""
         names = sorted(self.members)
         name = names[event.member % len(names)]
         if event.argument % 3 == 0:
@@ -402,7 +403,7 @@
         try:
             election.change_config(config, member.clock(self.now))
         except ValueError as error:
-            self.log(f"{member.name} refuses generation {config.generation}: {error}")
+            self.log(f"{member.name} rejects generation {config.generation}: {error}")
             return
         self.log(f"{member.name} adopts generation {config.generation}: {''.join(config.members)}")
         self.config = member.config = config
@@ -415,7 +416,7 @@
         try:
             self.execute(member, election.change_config(self.config, member.clock(self.now)))
         except ValueError as error:
-            self.log(f"{member.name} refuses: {error}")
+            self.log(f"{member.name} rejects the list: {error}")
             if "lacks" in str(error):
                 self.kill(member)
             return
@@ -442,25 +443,25 @@
 
     def recover(self) -> None:
         """End all faults, and check that a member holds the lease in time."""
-        self.log("all is well again")
+        self.log("all faults have ended")
         self.blocked_links.clear()
         for member in list(self.members.values()):
             self.recover_member(member)
         if self.schedule.loss > MAX_LOSS_FOR_LIVENESS:
-            return  # leases may be lost again and again
-        if self.schedule.slowest * MS * 2 >= self.config.vote_timeout:
-            return  # votes may arrive after the end of each round
+            return  # Leases may be lost again and again.
+        if self.schedule.max_delay * MS * 2 >= self.config.vote_timeout:
+            return  # Votes may arrive after the end of each round.
         deadline = self.now + RECOVERY_LIMIT
         while self.now < deadline:
             if self.holder is not None:
                 return
             self.restart_left_members()
             self.run(self.config.vote_timeout)
-        self.log("nobody holds: VIOLATION")
-        raise InvariantError(f"nobody holds {RECOVERY_LIMIT // MS} ms after all is well")
+        self.log("nobody holds the lease: VIOLATION")
+        raise InvariantError(f"nobody holds the lease {RECOVERY_LIMIT // MS} ms after all faults have ended")
 
     def recover_member(self, member: SimulatedMember) -> None:
-        """Have a member run, be healthy and have the latest list."""
+        """Let a member run, be healthy and have the latest list."""
         member.paused_until = min(member.paused_until, self.now)
         if member.name not in self.config.members:
             self.kill(member)
@@ -511,7 +512,7 @@
                 schedule, changed = smaller, True
                 break
         else:
-            for simpler in ({"loss": 0.0}, {"slowest": 2}, {"has_disk": False}, {"witnesses": 0}):
+            for simpler in ({"loss": 0.0}, {"max_delay": 2}, {"has_disk": False}, {"witnesses": 0}):
                 smaller = replace(schedule, **simpler)
                 if smaller != schedule and find_violation(smaller, election_type, config):
                     schedule, changed = smaller, True
@@ -523,10 +524,10 @@
     schedule: Schedule, election_type: type[Election] = Election, config: ElectionConfig = CONFIG
 ) -> str:
     """The trace of a schedule as text."""
-    played = Simulation(schedule, election_type, config, trace=True)
-    outcome = "nothing is violated"
+    simulation = Simulation(schedule, election_type, config, trace=True)
+    outcome = "no violation"
     try:
-        played.run_schedule()
+        simulation.run_schedule()
     except InvariantError as error:
         outcome = str(error)
-    return "\n".join([f"seed {schedule.seed}, {schedule.size} members", *played.trace, outcome])
+    return "\n".join([f"seed {schedule.seed}, {schedule.size} members", *simulation.trace, outcome])
--- a/tests/address/test_channel.py
+++ b/tests/address/test_channel.py
@@ -1,4 +1,4 @@
-"""The channel between members: forged, repeated, reflected and recorded datagrams have no effect."""
+"""The channel between members: forged, repeated, reflected and replayed datagrams have no effect."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def exchange_epochs(one: DatagramChannel, other: DatagramChannel) -> None:
-    """Let two channels learn each other's epochs, as the first messages between them do."""
+    """Let two channels learn each other's epochs, as by their first messages."""
     received = other.open(one.seal(other.name, PREVOTE), MEMBERS)
     assert (received.sender, received.message) == (one.name, None)
     assert received.reply is not None
@@ -45,28 +45,28 @@
     for data in (sent[1], sent[0], sent[3], sent[79]):
         assert b.open(data, MEMBERS).message is not None
         assert rejection_reason(b, data) == "repeated"
-    assert rejection_reason(b, sent[2]) == "repeated"  # too far behind to tell
+    assert rejection_reason(b, sent[2]) == "repeated"  # It is behind the replay window.
     assert b.open(sent[50], MEMBERS).message == ElectionMessage(MessageKind.VOTE_REQUEST, 50, 50, 50, "a")
 
 
 def test_datagrams_recorded_before_a_restart_are_rejected() -> None:
     a, _ = connected_pair()
     recorded = [a.seal("b", PREVOTE) for _ in range(3)]
-    again = DatagramChannel("b", 300, KEYS[:1])
+    restarted_b = DatagramChannel("b", 300, KEYS[:1])
     for data in recorded:
-        received = again.open(data, MEMBERS)
+        received = restarted_b.open(data, MEMBERS)
         assert received.message is None
         assert received.reply is not None
-        assert not again.peers[received.sender].epoch
+        assert not restarted_b.peers[received.sender].epoch
         hello = received.reply
-    assert a.open(hello, MEMBERS) == Received("b", None, None)  # and its sender learns of the restart by it
-    assert again.open(a.seal("b", PREVOTE), MEMBERS).message == PREVOTE
-    # The other way round: a's datagrams from before its restart are rejected once the new start is known.
+    assert a.open(hello, MEMBERS) == Received("b", None, None)  # The sender learns of the restart.
+    assert restarted_b.open(a.seal("b", PREVOTE), MEMBERS).message == PREVOTE
+    # Datagrams that `a` sent before its own restart are rejected once `b` knows of the restart.
     old = a.seal("b", PREVOTE)
-    newer = DatagramChannel("a", 400, KEYS[:1])
-    exchange_epochs(newer, again)
-    assert again.open(newer.seal("b", PREVOTE), MEMBERS).message == PREVOTE
-    assert rejection_reason(again, old) == "old_epoch"
+    restarted_a = DatagramChannel("a", 400, KEYS[:1])
+    exchange_epochs(restarted_a, restarted_b)
+    assert restarted_b.open(restarted_a.seal("b", PREVOTE), MEMBERS).message == PREVOTE
+    assert rejection_reason(restarted_b, old) == "old_epoch"
 
 
 def test_reflected_misdirected_and_foreign_datagrams_are_counted_and_rejected() -> None:
@@ -74,8 +74,8 @@
     data = a.seal("b", PREVOTE)
     assert rejection_reason(a, data) == "reflected"
     assert rejection_reason(DatagramChannel("c", 1, KEYS), data) == "not_for_us"
-    stranger = DatagramChannel("x", 1, KEYS[:1])
-    assert rejection_reason(b, stranger.seal("b", PREVOTE)) == "no_member"
+    non_member = DatagramChannel("x", 1, KEYS[:1])
+    assert rejection_reason(b, non_member.seal("b", PREVOTE)) == "no_member"
     assert rejection_reason(b, data[:3] + b"\x02" + data[4:]) == "unknown_version"
     assert rejection_reason(b, b"GET / HTTP/1.1" + data) == "foreign"
     assert rejection_reason(b, data + bytes(MAX_DATAGRAM_BYTES)) == "too_large"
@@ -83,19 +83,19 @@
     assert rejection_reason(b, DatagramChannel("a", 1, KEYS[1:]).seal("b", PREVOTE)) == "unknown_key"
     for at in range(8, len(data)):
         assert rejection_reason(b, data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :]) == "forged"
-    assert b.open(data, MEMBERS).message == PREVOTE  # none of them prevents the genuine one
+    assert b.open(data, MEMBERS).message == PREVOTE  # The genuine datagram is still accepted.
 
 
 def test_keys_rotate_without_a_gap() -> None:
     a, b = connected_pair()
-    for mine, others in (
+    for a_keys, b_keys in (
         (KEYS, KEYS[:1]),
         (KEYS, KEYS),
         (KEYS[::-1], KEYS),
         (KEYS[::-1], KEYS[::-1]),
         (KEYS[1:], KEYS[::-1]),
     ):
-        a.keys, b.keys = list(mine), list(others)
+        a.keys, b.keys = list(a_keys), list(b_keys)
         assert b.open(a.seal("b", PREVOTE), MEMBERS).message == PREVOTE
     with pytest.raises(ValueError, match="want at least 16"):
         check_key(b"short")
--- a/tests/address/test_command_announcer.py
+++ b/tests/address/test_command_announcer.py
@@ -23,21 +23,21 @@
 
 
 def test_command_gets_token_lease_and_actions_in_order(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def run_test() -> None:
         command, log = announcer(tmp_path, LOG_INVOCATION)
         command.claim(7, lambda: 400_000_000)
         await command.wait_idle()
         command.withdraw("it stops")
         await command.wait_idle()
-        command.claim(9, lambda: 0)  # its lease is over before the command could run
+        command.claim(9, lambda: 0)  # The lease has ended before the command could run.
         await command.wait_idle()
         assert log.read_text().splitlines() == ["claim 7 400", "withdraw 7 400"] and not command.failures
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
 def test_hanging_command_is_killed_and_the_latest_action_wins(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def run_test() -> None:
         command, log = announcer(
             tmp_path, f"{LOG_INVOCATION}\nlog.flush()\nsys.argv[1] == 'claim' and time.sleep(600)", limit=1.0
         )
@@ -58,6 +58,6 @@
         await missing.wait_idle()
         assert missing.failures == 1
 
-    asyncio.run(play())
+    asyncio.run(run_test())
     with pytest.raises(ValueError, match="command is empty"):
         CommandAnnouncer([], "a", 1.0, lambda: 0)
--- a/tests/address/test_datagram.py
+++ b/tests/address/test_datagram.py
@@ -30,10 +30,10 @@
 
 @reproducible
 @given(st.binary(max_size=200), st.booleans())
-def test_malformed_datagrams_raise_only_datagram_errors(body: bytes, proven: bool) -> None:
-    """Also for datagrams with a valid key: a faulty member must not crash the others."""
+def test_malformed_datagrams_raise_only_datagram_errors(body: bytes, has_valid_mac: bool) -> None:
+    """This includes datagrams with a valid HMAC: a faulty member must not crash the others."""
     data = b"LSA\x01" + fingerprint(KEYS[0]) + body
-    data += hmac.digest(KEYS[0], data, "sha256") if proven else bytes(32)
+    data += hmac.digest(KEYS[0], data, "sha256") if has_valid_mac else bytes(32)
     assert rejection_reason(data) in (None, "too_short", "forged", "malformed")
 
 
--- a/tests/address/test_election.py
+++ b/tests/address/test_election.py
@@ -20,7 +20,7 @@
     network = SimulatedNetwork(ElectionConfig(tuple("abcdefg"[:size])), seed=size)
     network.run(10_000 * MS)
     assert network.holder is not None and len(network.acquisitions) == 1
-    assert network.acquisitions[0][0] < 1_000 * MS  # after the silent period
+    assert network.acquisitions[0][0] < 1_000 * MS  # The silent period is part of this time.
 
 
 def test_address_moves_within_a_second_after_its_holder_crashes() -> None:
@@ -46,7 +46,7 @@
         network.cuts = set()
         second = network.holder
         network.run(5_000 * MS)
-        assert network.holder == second  # a member that returns does not take the address back
+        assert network.holder == second  # A member that returns does not take the address back.
 
 
 def test_minority_and_witness_never_hold() -> None:
@@ -121,22 +121,22 @@
         MessageKind.VOTE_DENIED
     ]
     assert kinds("b", replace(request, serial=4), THREE_MEMBERS.voter_lease) == [MessageKind.VOTE_GRANTED]
-    # No vote for others while it is bound, nor ever in the same term, nor for a late request.
+    # It does not vote for others while it is bound, nor ever in the same term, nor for a late request.
     assert kinds("c", replace(request, term=9), THREE_MEMBERS.voter_lease + 1) == [MessageKind.VOTE_DENIED]
     assert kinds("b", replace(request, serial=2), THREE_MEMBERS.voter_lease + 1) == []
     assert kinds("c", replace(request, serial=2), 3 * THREE_MEMBERS.voter_lease) == [MessageKind.STALE_TERM]
     assert not election.receive("x", request, THREE_MEMBERS.voter_lease + 2)
 
 
-def test_voter_that_voted_for_itself_in_the_same_term_joins_the_winner() -> None:
-    """Of two candidates in the same term, the one that lost must join the winner."""
+def test_losing_candidate_of_the_same_term_votes_for_the_winner() -> None:
+    """Of two candidates in the same term, the one that lost must vote for the winner."""
     for seed in range(26, 30):
         network = SimulatedNetwork(THREE_MEMBERS, seed)
         network.run(2_000 * MS)
         votes = set().union(
             *(election.lease.voters for election in network.members.values() if election.holding)
         )
-        assert votes == {"a", "b", "c"} or len(votes) == 2  # a quorum is enough
+        assert votes == {"a", "b", "c"} or len(votes) == 2  # A quorum is enough.
         holder = network.holder or ""
         assert all(election.voter.voted_for == holder for election in network.members.values())
 
@@ -156,7 +156,7 @@
         ElectionConfig(**({"members": ("a", "b", "c")} | wrong))
 
 
-def test_preferred_member_preempts_the_holder_after_being_healthy_for_long() -> None:
+def test_member_of_higher_priority_preempts_the_holder_after_a_healthy_period() -> None:
     network = SimulatedNetwork(THREE_MEMBERS, seed=4)
     network.run(2_000 * MS)
     first = network.holder or ""
@@ -164,7 +164,7 @@
     election = network.members[other]
     election.preempt_after = 3_000 * MS
     network.run(4_000 * MS)
-    assert network.holder == first  # the priorities are equal
+    assert network.holder == first  # The priorities are equal.
     election.priority = 200
     network.run(1_000 * MS)
     assert network.holder == other
--- a/tests/address/test_frames.py
+++ b/tests/address/test_frames.py
@@ -24,7 +24,7 @@
 
 
 def test_vrrp_encoding_matches_the_specification() -> None:
-    # RFC 1071's own example of the checksum.
+    # This is the example of the checksum in RFC 1071.
     assert checksum(bytes.fromhex("0001f203f4f5f6f7")) == 0xFFFF ^ 0xDDF2
     source = ip_address("10.0.0.1")
     data = encode_vrrp(Advertisement(7, 100, 100, (ip_address("10.0.0.9"),)), source)
@@ -47,9 +47,9 @@
     | st.lists(st.ip_addresses(v=6), min_size=1, max_size=9),
 )
 def test_vrrp_round_trip(router: int, priority: int, interval: int, addresses: list[IPv4Address]) -> None:
-    one = Advertisement(router, priority, interval, tuple(addresses))
+    advertised = Advertisement(router, priority, interval, tuple(addresses))
     source = addresses[0]
-    assert decode_vrrp(encode_vrrp(one, source), source, VRRP_GROUPS[source.version]) == one
+    assert decode_vrrp(encode_vrrp(advertised, source), source, VRRP_GROUPS[source.version]) == advertised
 
 
 def test_gratuitous_arp_announces_an_address_and_other_frames_are_rejected() -> None:
@@ -58,7 +58,7 @@
         frame = encode_gratuitous_arp(address, MAC, reply)
         assert len(frame) == 60 and frame[:6] == b"\xff" * 6 and frame[12:14] == b"\x08\x06"
         assert decode_gratuitous_arp(frame) == (address, MAC)
-    asking = frame[:38] + bytes([10, 0, 0, 8]) + frame[42:]
-    for wrong in (frame[:20], asking, frame[:12] + b"\x08\x00" + frame[14:]):
+    for_other_target = frame[:38] + bytes([10, 0, 0, 8]) + frame[42:]
+    for wrong in (frame[:20], for_other_target, frame[:12] + b"\x08\x00" + frame[14:]):
         with pytest.raises(FrameError):
             decode_gratuitous_arp(wrong)
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -42,13 +42,13 @@
 
     def decorate(test: ClusterTest) -> Callable[[], None]:
         def wrapped() -> None:
-            async def play() -> None:
+            async def run_test() -> None:
                 async with Cluster(**settings) as cluster:
                     await test(cluster)
                     claims = cluster.claims()
                     assert claims and not overlaps(claims), overlaps(claims)
 
-            asyncio.run(play())
+            asyncio.run(run_test())
 
         wrapped.__name__ = test.__name__
         return wrapped
@@ -81,16 +81,16 @@
             await cluster.kill(holder)
         elif round_ == 1:
             cluster.relay.cut(holder)
-        elif round_ == 2:  # it receives all datagrams and can send none
+        elif round_ == 2:  # It receives all datagrams and can send none.
             cluster.relay.cut(holder, one_way=True)
-        else:  # only one member is connected to both others
+        else:  # Only one member is connected to both others.
             cluster.relay.cut(holder, others[:1])
         if round_ < 3:
             new = await cluster.wait_until_moved(holder)
             await cluster.wait_until_answered()
             assert new in others
         else:
-            # A majority still reaches the holder: nothing moves.
+            # A majority still reaches the holder, so the address does not move.
             await wait_until_received(cluster, holder, 20)
             assert cluster.holder == holder
         cluster.relay.heal()
@@ -138,7 +138,7 @@
         await until(lambda: len(cluster.replica.seen) == 1)
         send_command(cluster.folder / f"{holder}.sock", {"do": "move", "to": successor})
         assert await cluster.wait_until_moved(holder) == successor
-        assert await asyncio.wait_for(idle.reader.read(), 10) == b""  # so that its client goes to the new one
+        assert await asyncio.wait_for(idle.reader.read(), 10) == b""  # It must connect to the new holder.
         release.set()
         status, _, body, complete = await request
         assert (status, complete, body) == (200, True, b"".join([*EVENTS, STREAM_TAIL]))
@@ -150,7 +150,7 @@
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD + chunk(EVENTS[0]))
         with contextlib.suppress(ConnectionError):
-            while True:  # an endless stream
+            while True:  # The stream never ends.
                 await asyncio.sleep(0.2)
                 writer.write(chunk(EVENTS[1]))
                 await writer.drain()
@@ -194,10 +194,10 @@
 @with_cluster(settle=0.2)
 async def test_members_change_one_at_a_time_by_reload(cluster: Cluster) -> None:
     await cluster.wait_until_voting()
-    book = cluster.relay.peer_addresses
-    pair = {name: {one: format_endpoint(book[name][one]) for one in ("a", "b")} for name in ("a", "b")}
+    addresses = cluster.relay.peer_addresses
+    pair = {name: {one: format_endpoint(addresses[name][one]) for one in ("a", "b")} for name in ("a", "b")}
 
-    def refused(name: str, text: str) -> Callable[[], bool]:
+    def was_rejected(name: str, text: str) -> Callable[[], bool]:
         program = cluster.programs[name]
         return lambda: any(
             text in line["reason"] for line in program.logs if line["event"] == "reload_rejected"
@@ -205,10 +205,10 @@
 
     cluster.write_edge("a", members=pair["a"])
     cluster.programs["a"].reload()
-    await until(refused("a", "address.generation is still 1; a changed list wants the next"))
+    await until(was_rejected("a", "address.generation is still 1; a changed list wants the next"))
     cluster.write_edge("a", members={"a": pair["a"]["a"]}, generation=2)
     cluster.programs["a"].reload()
-    await until(refused("a", "one at a time is safe"))
+    await until(was_rejected("a", "one at a time is safe"))
     while not all(cluster.status(name)["settled"] for name in cluster.names):
         await asyncio.sleep(0.02)
     if cluster.holder == "c":
@@ -235,7 +235,7 @@
         if cluster.holder != unhealthy:
             send_command(cluster.folder / f"{cluster.holder}.sock", {"do": "move", "to": unhealthy})
             await until(lambda: cluster.holder == unhealthy)
-        cluster.write_edge(unhealthy, health={**DAMPED, "least_workers": 2})  # there is one
+        cluster.write_edge(unhealthy, health={**DAMPED, "least_workers": 2})  # There is one replica.
         program.reload()
         assert await cluster.wait_until_moved(unhealthy) != unhealthy
         cluster.write_edge(unhealthy)
@@ -250,7 +250,10 @@
 
 
 def test_holder_paused_beyond_its_lease_serves_no_request(tmp_path: Path) -> None:
-    """Each gateway listens at its own port; the operator's command records where the address is."""
+    """A gateway that wakes after its lease must not serve requests that arrived while it was paused.
+
+    Each gateway listens at its own port; the operator's command records where the address is.
+    """
     route, script = tmp_path / "route", tmp_path / "claim.py"
     script.write_text(
         "import os, sys\n"
@@ -258,7 +261,7 @@
         "f\"{sys.argv[1]} {sys.argv[2]} {os.environ['LOCKSPOKE_TOKEN']}\\n\")\n"
     )
 
-    async def play() -> None:
+    async def run_test() -> None:
         cluster = Cluster()
         ports = {name: free_port() for name in cluster.names}
         write = cluster.write_edge
@@ -277,14 +280,14 @@
                 assert (await earlier_client.request(request_bytes(1)))[0] == 200
                 program.process.send_signal(signal.SIGSTOP)
                 new = await cluster.wait_until_moved(holder)
-                # While it is paused, one client is put in its backlog and one sends on an earlier connection.
+                # While it is paused, one client connects to it and another sends on an earlier connection.
                 late = await asyncio.open_connection(*ports[holder])
                 late[1].write(request_bytes(2))
                 earlier_client.writer.write(request_bytes(3))
                 seen = len(cluster.replica.seen)
                 program.process.send_signal(signal.SIGCONT)
                 with contextlib.suppress(ConnectionResetError):
-                    assert await asyncio.wait_for(late[0].read(), 10) == b""  # closed unread
+                    assert await asyncio.wait_for(late[0].read(), 10) == b""  # It is closed unread.
                 late[1].close()
                 status, headers, _, _ = await earlier_client.read_response()
                 assert status in (0, 503) and (status == 0 or "retry-after" in headers)
@@ -297,7 +300,7 @@
             assert claims == sorted(claims) and {name for _, name in claims} >= {holder, new}
             assert not overlaps(cluster.claims())
 
-    asyncio.run(play())
+    asyncio.run(run_test())
 
 
 @with_cluster(record="own folder")
@@ -307,13 +310,13 @@
     program, record = cluster.programs[holder], cluster.folder / holder / "address.json"
     await until(record.exists)
     before = record.read_text()
-    # What it writes beside the record goes to a device that is always full.
-    beside = record.with_name(f".address.json.{program.process.pid}")
-    beside.symlink_to("/dev/full")
+    # The temporary file of the record is a link to a device that is always full.
+    temporary_file = record.with_name(f".address.json.{program.process.pid}")
+    temporary_file.symlink_to("/dev/full")
     other = next(name for name in cluster.names if name != holder)
     async with asyncio.timeout(WAIT_TIMEOUT):
-        # One that starts mostly brings a higher term, which the record has to have: not each time, on a busy
-        # machine (two runs side by side waited for it in vain).
+        # A restarted member usually brings a higher term, which must be recorded. On a busy machine it does
+        # not always do so: in two runs side by side, one restart was not enough.
         while program.log("address_record_write_failed") is None:
             await cluster.kill(other)
             await cluster.start(other)
@@ -321,13 +324,13 @@
     assert "No space left on device" in cluster.status(holder)["record_failing"]
     await cluster.wait_until_answered()
     assert cluster.holder == holder and record.read_text() == before
-    beside.unlink()
+    temporary_file.unlink()
     await until(lambda: program.log("address_record_write_recovered") is not None)
     assert record.read_text() != before and not cluster.status(holder)["record_failing"]
 
 
 def test_witness_votes_and_settings_are_checked(tmp_path: Path) -> None:
-    async def play() -> None:
+    async def run_test() -> None:
         metrics = free_port()
         async with Cluster(("a", "b", "w"), witnesses=["w"]) as cluster:
             await cluster.kill("w")
@@ -343,7 +346,7 @@
             try:
 
                 def votes() -> bool:
-                    try:  # the killed process's socket file still exists, and nobody listens
+                    try:  # The socket file of the killed process still exists, and nobody listens on it.
                         return bool(cluster.status("w")["role"] == "following")
                     except OSError:
                         return False
@@ -351,7 +354,7 @@
                 await until(votes)
                 await cluster.wait_until_voting()
                 holder = cluster.holder or ""
-                cluster.relay.cut("a", ["b"])  # only the witness reaches both
+                cluster.relay.cut("a", ["b"])  # Only the witness reaches both.
                 await wait_until_received(cluster, "w", 30)
                 assert cluster.holder == holder
                 cluster.relay.heal()
@@ -381,8 +384,8 @@
                 assert await asyncio.wait_for(process.wait(), 20) == 0
             assert not overlaps(cluster.claims())
 
-    asyncio.run(play())
-    # Each error of a setting names its key.
+    asyncio.run(run_test())
+    # The error of each wrong setting contains its key.
     for text, message in (
         ('service = "x"', "service is wrong: 'x' is not host:port"),
         ('members = {a = "127.0.0.1:1", b = "127.0.0.1:1"}', "members has one host:port twice"),
--- a/tests/address/test_health.py
+++ b/tests/address/test_health.py
@@ -1,4 +1,4 @@
-"""Health and flap damping: what makes an instance unhealthy, and for how long."""
+"""Health and flap damping: what makes an instance unhealthy, and how long it stays so."""
 
 from __future__ import annotations
 
@@ -32,18 +32,18 @@
     ],
 )
 def test_each_exceeded_limit_makes_the_instance_unhealthy_after_a_while(exceeded: dict[str, float]) -> None:
-    health, bad = healthy_tracker(), replace(HEALTHY, **exceeded)  # type: ignore[arg-type]
-    assert health.update(bad, 3 * SECOND)  # for a moment
+    health, unhealthy = healthy_tracker(), replace(HEALTHY, **exceeded)  # type: ignore[arg-type]
+    assert health.update(unhealthy, 3 * SECOND)  # The limit has been exceeded for a moment only.
     assert health.update(HEALTHY, 3 * SECOND + 200_000_000)
-    assert health.update(bad, 4 * SECOND)
-    assert not health.update(bad, 4 * SECOND + 300_000_000) and len(health.reasons) == 1
+    assert health.update(unhealthy, 4 * SECOND)
+    assert not health.update(unhealthy, 4 * SECOND + 300_000_000) and len(health.reasons) == 1
     assert not health.update(HEALTHY, 5 * SECOND) and not health.update(HEALTHY, 6 * SECOND)
     assert health.update(HEALTHY, 7 * SECOND)
 
 
 def test_few_failed_requests_are_not_significant() -> None:
-    health, few = healthy_tracker(), replace(HEALTHY, failure_share=1.0, requests=19)
-    assert all(health.update(few, at * SECOND) for at in range(3, 9))
+    health, few_requests = healthy_tracker(), replace(HEALTHY, failure_share=1.0, requests=19)
+    assert all(health.update(few_requests, at * SECOND) for at in range(3, 9))
 
 
 def test_suppression_grows_with_each_loss_up_to_a_limit() -> None:
--- a/tests/address/test_membership.py
+++ b/tests/address/test_membership.py
@@ -14,23 +14,23 @@
 def test_generation_settles_after_a_quorum_has_had_it_for_long_enough() -> None:
     membership = Membership("a", THREE_MEMBERS, 0)
     bigger = replace(THREE_MEMBERS, members=("a", "b", "c", "d"), generation=2)
-    long = 2 * (THREE_MEMBERS.settle_time + THREE_MEMBERS.voter_lease)
-    assert membership.settled_generation(long) == 0
+    wait = 2 * (THREE_MEMBERS.settle_time + THREE_MEMBERS.voter_lease)
+    assert membership.settled_generation(wait) == 0
     membership.observe(
         "b",
         ElectionMessage(MessageKind.PREVOTE_REQUEST, 1, members_digest=THREE_MEMBERS.members_digest),
-        long,
+        wait,
     )
     with pytest.raises(ValueError, match="has not settled"):
-        membership.check_change(bigger, long + THREE_MEMBERS.settle_time)
-    membership.check_change(bigger, 2 * long)
-    membership.adopt(bigger, 2 * long)
-    one_on = replace(bigger, members=("a", "b", "d"), generation=3)
+        membership.check_change(bigger, wait + THREE_MEMBERS.settle_time)
+    membership.check_change(bigger, 2 * wait)
+    membership.adopt(bigger, 2 * wait)
+    next_config = replace(bigger, members=("a", "b", "d"), generation=3)
     with pytest.raises(ValueError, match="generation 2 has not settled"):
-        membership.check_change(one_on, 4 * long)  # the others have not adopted it
+        membership.check_change(next_config, 4 * wait)  # The others have not adopted it.
     old = ElectionMessage(MessageKind.VOTE_REQUEST, 1, members_digest=THREE_MEMBERS.members_digest)
-    assert membership.may_grant(old, 2 * long + THREE_MEMBERS.settle_time - 1) and not membership.may_grant(
-        old, 2 * long + THREE_MEMBERS.settle_time
+    assert membership.may_grant(old, 2 * wait + THREE_MEMBERS.settle_time - 1) and not membership.may_grant(
+        old, 2 * wait + THREE_MEMBERS.settle_time
     )
     membership.observe(
         "c",
@@ -41,6 +41,6 @@
             members_digest=bigger.members_digest,
             settled_generation=2,
         ),
-        2 * long,
+        2 * wait,
     )
-    membership.check_change(one_on, 2 * long + 1)  # another member knows that it has settled
+    membership.check_change(next_config, 2 * wait + 1)  # Another member knows that it has settled.
--- a/tests/address/test_node.py
+++ b/tests/address/test_node.py
@@ -26,7 +26,7 @@
         self.nodes: dict[str, Node] = {}
         self.relay = Relay(NAMES)
         self.tokens: list[int] = []
-        # how far a clock is ahead, as after a pause
+        # By member, how far its clock is ahead, as after a pause.
         self.clock_offsets = dict.fromkeys(NAMES, 0)
 
     async def __aenter__(self) -> ThreeMembers:
@@ -89,11 +89,11 @@
 
 def with_three_members(test: Callable[[ThreeMembers], Awaitable[None]]) -> Callable[[], None]:
     def wrapped() -> None:
-        async def play() -> None:
+        async def run_test() -> None:
             async with ThreeMembers() as members:
                 await test(members)
 
-        asyncio.run(play())
+        asyncio.run(run_test())
 
     wrapped.__name__ = test.__name__
     return wrapped
@@ -117,7 +117,7 @@
             assert await members.answering_member() == new
             await members.start(holder)
         await until(lambda: all(node.election.role.value != "silent" for node in members.nodes.values()))
-        assert members.holder() == new  # no member takes it back
+        assert members.holder() == new  # No member takes it back.
     assert members.tokens == sorted(members.tokens) and len(set(members.tokens)) >= 5
 
 
@@ -138,10 +138,12 @@
     node = members.nodes[holder]
     listener = node.announcer
     assert isinstance(listener, ServiceListener) and await members.answering_member() == holder
-    client = socket.create_connection(members.service)  # in the backlog: the loop has not run since
+    # The connection is in the backlog, since the event loop has not run.
+    client = socket.create_connection(members.service)
     members.clock_offsets[holder] += 10_000_000_000
     client.setblocking(False)
-    assert await asyncio.get_running_loop().sock_recv(client, 1) == b""  # closed unread, or never accepted
+    # The connection was closed unread, or never accepted.
+    assert await asyncio.get_running_loop().sock_recv(client, 1) == b""
     client.close()
     assert len(members.tokens) == 1
     members.nodes.pop(holder).abort()
--- a/tests/address/test_simulation.py
+++ b/tests/address/test_simulation.py
@@ -1,4 +1,4 @@
-"""The simulation finds no violation of the election, and one for each planted fault."""
+"""The simulation finds no violation in the election, and finds one in each election with a planted fault."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.address.faults import FAULTS
 from tests.address.simulation import Counts, Simulation, describe, find_violation, random_schedule, shrink
 
-# The first seed to try for a fault, near the first one that finds it, so that the tests are fast.
+# Seeds to start from, near the first one that finds the fault, so that the tests are fast.
 FIRST_SEEDS = {
     "lease reckoned from the answer": 195,
     "drift ignored": 630,
@@ -22,7 +22,7 @@
     for seed in range(part * 600, part * 600 + 600):
         counts.add(Simulation(random_schedule(seed)).run_schedule())
     assert counts.schedules == 600 and counts.claims > 3_000 and counts.moves > 600
-    assert min(counts.events.values()) > 300  # each kind of event has occurred
+    assert min(counts.events.values()) > 300  # Each kind of event has occurred.
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -37,4 +37,4 @@
     small = shrink(found, FAULTS[fault])
     trace = describe(small, FAULTS[fault])
     assert len(small.events) <= len(found.events) and trace.splitlines()[-2].endswith("VIOLATION"), trace
-    assert find_violation(found) is None  # without the fault there is none
+    assert find_violation(found) is None  # Without the fault there is no violation.
--- a/tests/address/test_term_record.py
+++ b/tests/address/test_term_record.py
@@ -33,6 +33,6 @@
     record.path.write_text("{")
     with pytest.raises(RecordError, match="can't be read"):
         TermRecord(tmp_path / "kept", "a", 2)
-    record.path = Path("/proc/none/address.json")  # no folder can be made there
+    record.path = Path("/proc/none/address.json")  # No folder can be created there.
     record.write(9_999, 2)
     assert "/proc/none" in record.write_error and record.needs_write(5, 2)
