--- a/lockspoke/address/subsystem.py
+++ b/lockspoke/address/subsystem.py
@@ -41,7 +41,7 @@
 
     name = "address"
     endpoint_list_source: EndpointListSource | None = None
-    descriptors = 16  # They are for the UDP socket, listener, control socket, metrics and command.
+    descriptors = 16  # The sockets for UDP, service, control and metrics, and the pipes of a command.
 
     def __init__(self, settings: AddressSettings, context: SubsystemContext) -> None:
         """Raises ConfigError for settings that can't be used."""
--- a/tests/address/simulation.py
+++ b/tests/address/simulation.py
@@ -245,7 +245,7 @@
             if other != member.name and at > self.now:
                 self.log(f"{member.name} holds with {action.token}: VIOLATION")
                 raise InvariantError(
-                    f"{member.name} claims it while {other} holds for {(at - self.now) / MS:.2f} ms more"
+                    f"{member.name} claims the lease {other} holds for {(at - self.now) / MS:.2f} ms more"
                 )
         if action.token != self.token or self.holder_of.get(action.token) != member.name:
             if action.token <= self.token:
--- a/tests/address/test_gateways.py
+++ b/tests/address/test_gateways.py
@@ -223,10 +223,10 @@
     assert cluster.status("a")["generation"] == 2
 
 
-DAMPED = {"well_after": 0.2, "stand_again": 1400.0, "half_life": 3600.0, "longest": 36000.0}
+FLAP_DAMPING = {"well_after": 0.2, "stand_again": 1400.0, "half_life": 3600.0, "longest": 36000.0}
 
 
-@with_cluster(health=DAMPED)
+@with_cluster(health=FLAP_DAMPING)
 async def test_flapping_instance_is_suppressed(cluster: Cluster) -> None:
     await cluster.wait_until_voting()
     unhealthy = cluster.holder or ""
@@ -235,7 +235,7 @@
         if cluster.holder != unhealthy:
             send_command(cluster.folder / f"{cluster.holder}.sock", {"do": "move", "to": unhealthy})
             await until(lambda: cluster.holder == unhealthy)
-        cluster.write_edge(unhealthy, health={**DAMPED, "least_workers": 2})  # There is one replica.
+        cluster.write_edge(unhealthy, health={**FLAP_DAMPING, "least_workers": 2})  # There is one replica.
         program.reload()
         assert await cluster.wait_until_moved(unhealthy) != unhealthy
         cluster.write_edge(unhealthy)
@@ -244,8 +244,8 @@
             await until(lambda: cluster.status(unhealthy)["health"]["fit"])
     await until(lambda: program.log("address_suppression_changed", suppressed=True) is not None)
     await until(lambda: not cluster.status(unhealthy)["health"]["fit"])
-    why = "held down after giving the address up too often"
-    await until(lambda: why in cluster.status(unhealthy)["why_not"])
+    reason = "held down after giving the address up too often"
+    await until(lambda: reason in cluster.status(unhealthy)["why_not"])
     await cluster.wait_until_answered()
 
 
