--- a/tests/address/faults.py
+++ b/tests/address/faults.py
@@ -14,7 +14,7 @@
 
 
 class NoSilentPeriod(Election):
-    """Votes and stands at once after a start, although it has forgotten its votes."""
+    """Votes and becomes a candidate right after a start, although it has forgotten its votes."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **(kwargs | {"no_earlier_votes": True}))
--- a/tests/address/simulation.py
+++ b/tests/address/simulation.py
@@ -349,7 +349,7 @@
         }
 
     def restart_others(self, member: SimulatedMember, event: Event) -> None:
-        """Restart up to all processes but the holder's, or `member`'s if nobody holds, at once."""
+        """Restart some processes at once, but not the holder's, or `member`'s if there is no holder."""
         spared = self.holder or member.name
         others = [name for name in sorted(self.members) if name != spared]
         count = 1 + event.argument % max(1, len(self.members) - 1)
