--- a/lockspoke/batch/__init__.py
+++ b/lockspoke/batch/__init__.py
@@ -1,1 +1,1 @@
-"""The batch front: files of requests that are run in the background, over a public batch API."""
+"""The batch front: a public batch API that runs files of requests in the background."""
--- a/lockspoke/batch/attempt.py
+++ b/lockspoke/batch/attempt.py
@@ -14,8 +14,8 @@
     """How an attempt ended."""
 
     SERVED = auto()
-    REJECTED = auto()  # by load shedding: the request has not run
-    FAILED = auto()  # the request may have run
+    REJECTED = auto()  # The request was shed and has not run.
+    FAILED = auto()  # The request may have run.
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,8 +23,8 @@
     """The result of one attempt."""
 
     outcome: AttemptOutcome
-    retry_after: int = 0  # nanoseconds that a rejection named as Retry-After; 0 if it named none
-    body: dict[str, Any] = field(default_factory=dict)  # the response, if it was served
+    retry_after: int = 0  # The Retry-After of a rejection in nanoseconds; 0 if it had none.
+    body: dict[str, Any] = field(default_factory=dict)  # The response; empty unless the attempt was served.
 
 
 FAILED_ATTEMPT = AttemptResult(AttemptOutcome.FAILED)
@@ -43,15 +43,15 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Always false: no client connection belongs to a line."""
+        """Always false: a line has no client connection."""
         return False
 
     def write(self, data: bytes) -> None:
-        """Collect bytes of the stream."""
+        """Feed bytes of the stream to the assembler."""
         self._assembler.feed(data)
 
     def finish(self) -> None:
-        """The stream is complete; the attempt has failed if it holds no complete response."""
+        """End the attempt when the stream ends; it has failed if the response is incomplete."""
         body = self._assembler.body()
         if body is None:
             self._set_result(FAILED_ATTEMPT)
@@ -59,13 +59,13 @@
             self._set_result(AttemptResult(AttemptOutcome.SERVED, body=body))
 
     def abort(self) -> None:
-        """The stream broke: a part of a response is of no use."""
+        """Fail the attempt because the stream was cut off; a partial response is discarded."""
         self._set_result(FAILED_ATTEMPT)
 
     def reject(self, retry_after: int) -> None:
-        """The request was shed; `retry_after` is in nanoseconds."""
+        """End the attempt as rejected by load shedding; `retry_after` is in nanoseconds."""
         self._set_result(AttemptResult(AttemptOutcome.REJECTED, retry_after))
 
     def fail(self) -> None:
-        """The request failed."""
+        """End the attempt as failed."""
         self._set_result(FAILED_ATTEMPT)
--- a/lockspoke/batch/batch_handlers.py
+++ b/lockspoke/batch/batch_handlers.py
@@ -49,7 +49,7 @@
                 metadata=metadata,
             )
             response = JsonResponse(batch_object(batch))
-            self.runner.begin(batch)
+            self.runner.start_batch(batch)
             return response
 
     async def list(self, request: ApiRequest) -> JsonResponse:
--- a/lockspoke/batch/batch_run.py
+++ b/lockspoke/batch/batch_run.py
@@ -1,4 +1,4 @@
-"""A batch in progress: which of its lines have started, and when each is due."""
+"""A batch in progress: which of its lines have been started, and the deadline of each."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
     batch: Batch
     index: InputIndex
-    next_line: int = 0  # lines before it have been started or ended
-    active: set[int] = field(default_factory=set)  # lines in flight, backing off or being ended
-    drained: asyncio.Event = field(default_factory=asyncio.Event)  # set once all lines have ended
-    _own_deadlines: list[tuple[float, int]] = field(default_factory=list)  # a heap, by deadline
+    next_line: int = 0  # The next line to examine; every line before it is active or has ended.
+    active: set[int] = field(default_factory=set)  # Lines in flight, backing off or being ended.
+    drained: asyncio.Event = field(default_factory=asyncio.Event)  # Set once all lines have ended.
+    # A heap of (deadline, line) for the lines that set a deadline of their own.
+    _own_deadlines: list[tuple[float, int]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Collect the open lines that have deadlines of their own."""
@@ -31,11 +32,11 @@
 
     @property
     def all_taken(self) -> bool:
-        """Whether `take_next` has gone through all lines."""
+        """Whether `take_next` has examined all lines."""
         return self.next_line >= self.batch.total
 
     def deadline(self, line: int) -> float:
-        """The Unix time from which on the line's response is of no use."""
+        """The Unix time at which the line expires: the batch's deadline or its own, whichever is earlier."""
         batch_deadline = float(self.batch.expires_at)
         own = self.index.deadlines_ms.get(line)
         if own is None:
@@ -43,7 +44,7 @@
         return min(batch_deadline, self.batch.created_at + own / MILLISECONDS_PER_SECOND)
 
     def take_next_to_start(self) -> int | None:
-        """The next line to attempt; None once there is none any more: a cancelled batch starts no line."""
+        """The next line to attempt; None if no line is left or the batch is being cancelled."""
         return None if self.batch.is_cancelling else self.take_next()
 
     def take_next(self) -> int | None:
--- a/lockspoke/batch/contents.py
+++ b/lockspoke/batch/contents.py
@@ -1,6 +1,6 @@
-"""The contents of files and of upload parts, on disk.
+"""The contents of files and upload parts, on disk.
 
-A content is written to a scratch file first, and gets its final name once it has been fsynced.
+Contents are written to a scratch file first, which is fsynced and then renamed to its final path.
 """
 
 from __future__ import annotations
@@ -22,37 +22,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Digests:
-    """Checksums of a content, in hexadecimal."""
+    """Checksums of a file's content, in hexadecimal."""
 
     md5: str
     sha256: str
 
 
 class ContentFolder:
-    """Folders for files, for parts of uploads and for contents that are being written."""
+    """Stores file contents in three folders: complete files, parts of uploads, and scratch files."""
 
     def __init__(self, folder: Path, executor: ThreadPoolExecutor) -> None:
         self.executor = executor
-        self.files = folder / "files"
-        self.parts = folder / "parts"
-        self.scratch_files = folder / "new"
-        for path in (self.files, self.parts, self.scratch_files):
+        self.files_folder = folder / "files"
+        self.parts_folder = folder / "parts"
+        self.scratch_folder = folder / "new"
+        for path in (self.files_folder, self.parts_folder, self.scratch_folder):
             path.mkdir(parents=True, exist_ok=True)
 
-    def remove_unknown(self, file_ids: Collection[str], part_ids: Collection[str]) -> None:
-        """Delete contents that no record names: they were being written when the program ended."""
-        for path in self.scratch_files.iterdir():
+    def remove_unreferenced(self, file_ids: Collection[str], part_ids: Collection[str]) -> None:
+        """Delete files that no record refers to: they were being written when the program ended."""
+        for path in self.scratch_folder.iterdir():
             path.unlink()
-        for path in self.files.iterdir():
+        for path in self.files_folder.iterdir():
             if path.name not in file_ids:
                 path.unlink()
-        for path in self.parts.iterdir():
+        for path in self.parts_folder.iterdir():
             if path.name not in part_ids:
                 path.unlink()
 
     def open_scratch(self) -> tuple[Path, BinaryIO]:
         """A new scratch file and its path."""
-        path = self.scratch_files / secrets.token_hex(12)
+        path = self.scratch_folder / secrets.token_hex(12)
         return path, path.open("wb")
 
     async def commit(self, source: Path, target: Path) -> None:
@@ -74,14 +74,14 @@
             raise StoreError(str(error)) from None
 
     async def join_parts(self, part_ids: Iterable[str], target: Path) -> Digests:
-        """Concatenate parts, in the order given, into a scratch file that is then named `target`."""
+        """Concatenate parts, in the given order, into a scratch file that is then renamed to `target`."""
         path, file = self.open_scratch()
 
         def join() -> Digests:
             md5, sha256 = hashlib.md5(usedforsecurity=False), hashlib.sha256()
             with file:
                 for part_id in part_ids:
-                    with (self.parts / part_id).open("rb") as part:
+                    with (self.parts_folder / part_id).open("rb") as part:
                         while data := part.read(COPY_SIZE):
                             md5.update(data)
                             sha256.update(data)
@@ -107,5 +107,5 @@
 
 
 def content_size(path: Path) -> int:
-    """Size of a content in bytes."""
+    """Size of a stored file in bytes."""
     return path.stat().st_size
--- a/lockspoke/batch/journal.py
+++ b/lockspoke/batch/journal.py
@@ -18,8 +18,8 @@
 
 Record = dict[str, Any]
 
-CHECKSUM_LENGTH = 8  # hexadecimal digits of the CRC-32 at the start of each line
-READ_SIZE = 4096  # bytes of the first read of a record; longer records take further, larger reads
+CHECKSUM_LENGTH = 8  # Each line starts with the hexadecimal digits of a CRC-32.
+READ_SIZE = 4096  # Bytes in the first read of a record; a longer record is read again with a larger size.
 
 log = structlog.get_logger()
 
@@ -46,7 +46,7 @@
 
 
 def sync_folder(folder: Path) -> None:
-    """Fsync a folder, so that new names in it survive a crash."""
+    """Fsync a folder, so that files created or renamed in it survive a crash."""
     descriptor = os.open(folder, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -56,18 +56,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingAppend:
-    """An encoded record that waits to be written."""
+    """An encoded record that is waiting to be written."""
 
     line: bytes
-    offset: asyncio.Future[int]  # done once the line is on disk
+    offset: asyncio.Future[int]  # Done once the line is on disk.
 
     def fail(self, error: OSError) -> None:
         self.offset.set_exception(StoreError(str(error)))
-        self.offset.exception()  # marks it as retrieved: the caller may have been cancelled
+        self.offset.exception()  # Marks the exception as retrieved: the caller may have been cancelled.
 
 
 class Journal:
-    """Records in one file. Appends that arrive during a write share the next write and fsync."""
+    """An append-only file of records. Appends that arrive during a write share the next write and fsync."""
 
     def __init__(self, path: Path, executor: ThreadPoolExecutor) -> None:
         """Open the file, creating it if needed, and lock it.
@@ -78,12 +78,12 @@
         self.path = path
         self.executor = executor
         self.size = 0
-        self._has_partial_write = False  # behind `size`, by a write that failed
+        self._has_partial_write = False  # Whether a failed write may have left bytes after `size`.
         self._pending: list[_PendingAppend] = []
         self._flusher: asyncio.Task[None] | None = None
         self._descriptor = os.open(path, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         try:
-            # Two programs on one store would both run the same lines.
+            # Without the lock, two programs that use the same store would run the same lines.
             fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             os.close(self._descriptor)
@@ -91,10 +91,10 @@
         sync_folder(path.parent)
 
     def load(self) -> Iterator[tuple[int, Record]]:
-        """Yield each record with its offset; truncate a partial record that a crash left at the end.
+        """Yield each record with its offset, then truncate a partial record that a crash left at the end.
 
         Raises:
-            StoreError: A damaged record is followed by an intact one, so it is no partial write.
+            StoreError: A damaged record is followed by an intact one, so it is not a partial write.
         """
         intact_size, is_torn = 0, False
         with self.path.open("rb") as file:
@@ -129,7 +129,7 @@
         return record
 
     def _read_line(self, offset: int) -> bytes:
-        """The line at an offset, or what there is of it at the end of the file."""
+        """The line at an offset; without a newline if the file ends before the line does."""
         size = READ_SIZE
         while True:
             data = os.pread(self._descriptor, size, offset)
@@ -144,7 +144,8 @@
         """Write a record; returns its offset once it is on disk.
 
         Raises:
-            StoreError: The write or the fsync failed; nothing of the record remains in the file.
+            StoreError: The write or the fsync failed; what was written is removed before the next write at
+                the latest.
         """
         pending = _PendingAppend(_encode_record(record), asyncio.get_running_loop().create_future())
         self._pending.append(pending)
@@ -159,7 +160,7 @@
                 group, self._pending = self._pending, []
                 data, offset = b"".join(pending.line for pending in group), self.size
                 try:
-                    # In a thread: interactive requests must not wait for the disk.
+                    # Runs in a thread, so that interactive requests do not wait for the disk.
                     await loop.run_in_executor(self.executor, self._write, data, offset)
                 except OSError as error:
                     log.error("store_unavailable", error=str(error))
@@ -183,12 +184,12 @@
             os.fsync(self._descriptor)
         except OSError:
             self._has_partial_write = True
-            with contextlib.suppress(OSError):  # the next write tries again
+            with contextlib.suppress(OSError):  # The next write tries again.
                 self._truncate_partial_write(offset)
             raise
 
     def _truncate_partial_write(self, offset: int) -> None:
-        """Remove what a failed write has left: a partial record must not precede the next one."""
+        """Remove the bytes of a failed write, so that no partial record precedes the next one."""
         os.ftruncate(self._descriptor, offset)
         self._has_partial_write = False
 
--- a/lockspoke/batch/line_runner.py
+++ b/lockspoke/batch/line_runner.py
@@ -1,4 +1,4 @@
-"""Runs one line: attempts, backoff between them, and the stored result."""
+"""Runs the attempts of one line, with backoff between them, and stores its result."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from .store import BatchStore
 from .tasks import retry_until_stored
 
-POLL_INTERVAL = 0.05  # seconds between two checks whether a slot is available
+POLL_INTERVAL = 0.05  # seconds between checks for an available slot
 BACKOFF_START = 1.0  # seconds
-BACKOFF_LIMIT = 15.0
+BACKOFF_LIMIT = 15.0  # seconds
 BACKOFF_MAX_DOUBLINGS = 8
 
 log = structlog.get_logger()
@@ -44,7 +44,7 @@
             self.consecutive_rejections = 0
 
     def retry_delay(self, retry_after: int) -> float:
-        """Seconds before the next attempt: the Retry-After of the rejection, else an exponential backoff."""
+        """Seconds until the next attempt: the Retry-After of the rejection, else an exponential backoff."""
         if retry_after:
             return retry_after / SECOND
         doublings = min(BACKOFF_MAX_DOUBLINGS, max(0, self.consecutive_rejections - 1))
@@ -52,7 +52,7 @@
 
 
 def _status_without_attempt(run: BatchRun, seconds_left: float) -> LineStatus | None:
-    """How a line ends if there is no use in another attempt."""
+    """The final status of a line that has expired or is cancelled; None if it may be attempted."""
     if seconds_left <= 0:
         return LineStatus.EXPIRED
     return LineStatus.CANCELLED if run.batch.is_cancelling else None
@@ -70,14 +70,14 @@
         max_attempts: int,
         now: Callable[[], float],
     ) -> None:
-        """Share the slots with the scheduler.
+        """Set up without running a line.
 
         Args:
-            store: Takes the results.
-            core: Takes the requests.
+            store: Stores the results.
+            core: Serves the requests.
             lines: Builds requests and results.
-            slots: Bounds the lines in flight.
-            max_attempts: Failed attempts after which a line has failed; rejections do not count.
+            slots: Limits the lines in flight; shared with the scheduler.
+            max_attempts: Failed attempts after which a line fails; rejections do not count.
             now: Gives the Unix time in seconds.
         """
         self.store = store
@@ -87,7 +87,7 @@
         self.max_attempts = max_attempts
         self.now = now
 
-    async def run(self, run: BatchRun, line: int) -> None:
+    async def run_line(self, run: BatchRun, line: int) -> None:
         """Attempt a line until it has ended, or until the program stops."""
         history = _AttemptHistory()
         result = FAILED_ATTEMPT
@@ -107,14 +107,14 @@
             if status is not None:
                 break
             if not await self._back_off(run, line, history.retry_delay(result.retry_after)):
-                return  # still open in the store: the line runs again after a restart
+                return  # The line is still open in the store, so it runs again after a restart.
         try:
-            await self.end(run, line, status, result.body)
+            await self.finish_line(run, line, status, result.body)
         finally:
             self.slots.release()
 
     def _status_after(self, result: AttemptResult, history: _AttemptHistory) -> LineStatus | None:
-        """How the line has ended; None if another attempt is due."""
+        """The final status of the line; None if another attempt is due."""
         if result.outcome is AttemptOutcome.SERVED:
             return LineStatus.SERVED
         return LineStatus.FAILED if history.failures >= self.max_attempts else None
@@ -126,7 +126,7 @@
         return await response.result
 
     async def _back_off(self, run: BatchRun, line: int, delay: float) -> bool:
-        """Give the slot back and wait for the next attempt; False if the program stops before."""
+        """Release the slot and wait for the next attempt; False if the program stops first."""
         self.slots.release()
         self.slots.backing_off += 1
         try:
@@ -136,18 +136,18 @@
 
     async def _reacquire(self, run: BatchRun, line: int, not_before: float) -> bool:
         while not self.slots.stopping:
-            is_unwanted = run.batch.is_cancelling or self.now() >= run.deadline(line)
-            if is_unwanted or (self.now() >= not_before and self.slots.available()):
+            must_end = run.batch.is_cancelling or self.now() >= run.deadline(line)
+            if must_end or (self.now() >= not_before and self.slots.available()):
                 self.slots.acquire()
                 return True
             await asyncio.sleep(POLL_INTERVAL)
         return False
 
-    async def end(self, run: BatchRun, line: int, status: LineStatus, body: dict[str, Any]) -> None:
+    async def finish_line(self, run: BatchRun, line: int, status: LineStatus, body: dict[str, Any]) -> None:
         """Store the end of a line; `body` is the response if it was served."""
 
         async def store_end() -> None:
-            # Within what is repeated: the input file cannot be read while all descriptors are taken.
+            # Retried as well, because the input file cannot be read while no file descriptor is free.
             result = self.lines.new_result(run.batch, run.index.offsets[line], status, body)
             await self.store.end_line(run.batch, line, status, result)
 
--- a/lockspoke/batch/lines.py
+++ b/lockspoke/batch/lines.py
@@ -1,4 +1,4 @@
-"""Lines of batches as requests to the core."""
+"""Reads the lines of input files, and builds the requests and results of lines."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from .results import new_result
 from .store import BatchStore
 
-HOST = "origin.svc"  # the `Host` that replicas see
+HOST = "origin.svc"  # the `Host` header of requests to replicas
 
 
 class BatchLines:
@@ -32,14 +32,14 @@
         first_token_timeout: int,
         max_lines: int,
     ) -> None:
-        """Set the request class of lines.
+        """Set the request class and the limits of lines.
 
         Args:
             store: Holds the input files.
-            class_name: The request class, as replicas are given it.
-            request_class: Its index in the gateway's configuration.
+            class_name: The name of the request class, which replicas receive in `Req-Kind`.
+            request_class: The index of the request class in the gateway's configuration.
             first_token_timeout: Nanoseconds that a request of this class may wait for its first token.
-            max_lines: The most lines that an input file may have.
+            max_lines: The maximum number of lines in an input file.
         """
         self.store = store
         self.class_name = class_name
@@ -52,7 +52,7 @@
         """Validate the batch's input file.
 
         Raises:
-            InvalidInputFileError: The batch cannot run.
+            InvalidInputFileError: The input file was deleted or is invalid.
         """
         try:
             file = self.store.path(batch.input_file_id).open("rb")
@@ -67,15 +67,15 @@
             return read_line(file, offset, batch.endpoint)
 
     def assembler(self, line: InputLine) -> ChatCompletionAssembler:
-        """Assembles the response to a line."""
+        """A new assembler for the response to a line."""
         return ChatCompletionAssembler(str(line.body.get("model", "")), int(self.store.now()))
 
     def request(
         self, batch: Batch, line: InputLine, response: ResponseWriter, seconds_left: float
     ) -> ClientRequest:
-        """The request for a line, with at most `seconds_left` until its first token.
+        """The request for a line, whose first token must arrive within `seconds_left`.
 
-        Replicas always stream, whether or not the line asks for a stream.
+        Replicas always stream, whether or not the line requests a stream.
         """
         prompt = measure_prompt(line.body)
         prefix = format(key_identifier(prompt.shared_prefix), "016x") if prompt.shared_prefix else ""
@@ -106,15 +106,15 @@
     ) -> dict[str, Any]:
         """The result of the line at an offset; `body` is the response of a line that was served.
 
-        Its `custom_id` is empty if the input file is gone or was changed.
+        The result's `custom_id` is empty if the input file was deleted or changed.
 
         Raises:
-            OSError: The input file cannot be read at the moment.
+            OSError: The input file exists, but reading it failed.
         """
         try:
             custom_id = self.read(batch, offset).custom_id
         except (FileNotFoundError, LineError) as error:
-            # Nobody can tell the line's name any more, but it still has to end.
+            # The line must end even though its `custom_id` can no longer be read.
             self._lost_input_log.info(self.store.now(), batch=batch.id, reason=repr(error))
             custom_id = ""
         return new_result(custom_id, status, body)
--- a/lockspoke/batch/records.py
+++ b/lockspoke/batch/records.py
@@ -1,7 +1,7 @@
-"""What the store knows of files, uploads and batches.
+"""The state of files, uploads and batches.
 
-The journal holds each of them as an object whose keys are the fields that a creation sets: `id`, `filename`,
-`input_file_id` and so on. These names are a storage format and must not change.
+The journal stores each of them as a JSON object whose keys are the fields that are set at creation, such as
+`id`, `filename` and `input_file_id`. These names are part of the storage format and must not change.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class LineStatus(IntEnum):
-    """How a line ended. The numbers are stored."""
+    """The status of a line: open, or how it ended. The numbers are stored in the journal."""
 
     OPEN = 0
     SERVED = 1
@@ -23,7 +23,7 @@
 
 
 class UploadStatus(StrEnum):
-    """The state of an upload, in the words of the API and of the journal."""
+    """The status of an upload; the values are used by the API and stored in the journal."""
 
     PENDING = "pending"
     COMPLETED = "completed"
@@ -32,7 +32,7 @@
 
 
 class BatchStatus(StrEnum):
-    """The state of a batch, in the words of the API and of the journal."""
+    """The status of a batch; the values are used by the API and stored in the journal."""
 
     VALIDATING = "validating"
     IN_PROGRESS = "in_progress"
@@ -73,13 +73,13 @@
     created_at: int
     expires_at: int
     status: UploadStatus = UploadStatus.PENDING
-    parts: dict[str, int] = field(default_factory=dict)  # size in bytes by part ID
+    parts: dict[str, int] = field(default_factory=dict)  # Maps the ID of each part to its size in bytes.
     file_id: str = ""
 
 
 @dataclass(slots=True)
 class Batch:
-    """An input file of request lines and the state of each line."""
+    """A batch and the status of each of its lines."""
 
     id: str
     input_file_id: str
@@ -89,13 +89,15 @@
     expires_at: int
     metadata: dict[str, str]
     status: BatchStatus = BatchStatus.VALIDATING
-    entered_at: dict[BatchStatus, int] = field(default_factory=dict)  # Unix time by status
+    entered_at: dict[BatchStatus, int] = field(
+        default_factory=dict
+    )  # Maps each status to the Unix time at which the batch entered it.
     errors: list[dict[str, Any]] = field(default_factory=list)
     output_file_id: str = ""
     error_file_id: str = ""
-    # By line number, its `LineStatus`; one byte each, since a batch may have tens of thousands of lines.
+    # The `LineStatus` of each line, by line number; one byte each, for tens of thousands of lines.
     line_statuses: bytearray = field(default_factory=bytearray)
-    # By line number, the journal offset of the record with its result.
+    # The journal offset of each line's result, by line number.
     result_offsets: array[int] = field(default_factory=lambda: array("Q"))
     line_counts: dict[LineStatus, int] = field(default_factory=dict)
 
@@ -111,7 +113,7 @@
 
     @property
     def is_cancelling(self) -> bool:
-        """Whether a client has requested to cancel the batch and some lines have not ended."""
+        """Whether a client has cancelled the batch and it has not reached its final status yet."""
         return self.status is BatchStatus.CANCELLING
 
     def is_open(self, line: int) -> bool:
@@ -119,7 +121,7 @@
         return self.line_statuses[line] == LineStatus.OPEN
 
     def set_total(self, total: int) -> None:
-        """Size the per-line tables, with every line open."""
+        """Allocate the per-line tables, with every line open."""
         self.line_statuses = bytearray(total)
         self.result_offsets = array("Q", bytes(8 * total))
 
--- a/lockspoke/batch/runner.py
+++ b/lockspoke/batch/runner.py
@@ -1,4 +1,4 @@
-"""The life cycle of batches: validation of the input file, the run of its lines, the result files."""
+"""The life cycle of batches: validating the input file, running its lines, writing the result files."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class BatchRunner:
-    """Takes batches from their creation to their result files."""
+    """Runs batches from their creation until their result files are written."""
 
     def __init__(
         self,
@@ -39,10 +39,10 @@
 
         Args:
             store: Holds the batches.
-            core: Takes the requests of lines.
+            core: Serves the requests of lines.
             lines: Reads input files.
             concurrency: The most lines in flight.
-            max_attempts: The number of failed attempts after which a line has failed.
+            max_attempts: The number of failed attempts after which a line fails.
             now: Gives the Unix time in seconds.
         """
         self.store = store
@@ -54,38 +54,39 @@
         self.scheduler = LineScheduler(self.line_runner, self.slots, self.tasks, now)
 
     def reconfigure(self, concurrency: int, max_attempts: int) -> None:
-        """Change the bounds; lines in flight go on."""
+        """Change the limits; lines in flight continue."""
         self.slots.concurrency = concurrency
         self.line_runner.max_attempts = max_attempts
 
     def start(self) -> None:
-        """Resume every batch that an earlier run of the program left unfinished, and schedule lines."""
+        """Resume every batch that was unfinished when the program last stopped, and schedule lines."""
         for batch in self.store.batches.values():
             if not batch.is_final:
-                self.begin(batch)
+                self.start_batch(batch)
         self.tasks.spawn(self.scheduler.run())
 
-    def begin(self, batch: Batch) -> None:
+    def start_batch(self, batch: Batch) -> None:
         """Run a batch in the background."""
-        self.tasks.spawn(self._run(batch))
+        self.tasks.spawn(self._run_batch(batch))
 
     def notify(self) -> None:
-        """Tell the scheduler that the status of a batch has changed."""
+        """Notify the scheduler that the status of a batch has changed."""
         self.slots.changed.set()
 
     async def stop(self) -> None:
         """Start no more lines and wait for those in flight."""
         self.slots.stop()
-        # Polled: the interval leaves a batch whose last line has just ended the time to finish.
-        while self.slots.in_flight:  # noqa: ASYNC110  see the line above
+        # Polled: after its last line has ended, a batch has up to one interval to finish before its task is
+        # cancelled.
+        while self.slots.in_flight:  # noqa: ASYNC110  The comment above says why it polls.
             await asyncio.sleep(POLL_INTERVAL)
         self.tasks.cancel_all()
 
-    async def _run(self, batch: Batch) -> None:
+    async def _run_batch(self, batch: Batch) -> None:
         try:
-            index = await self._index(batch)
+            index = await self._index_input_file(batch)
         except InvalidInputFileError as error:
-            await self._fail(batch, error)
+            await self._fail_batch(batch, error)
             return
         if not batch.total:
             await self._set_in_progress(batch, index)
@@ -94,18 +95,18 @@
         log.info("batch_started", batch=batch.id, lines=batch.total, open_lines=open_lines)
         self.scheduler.add(run)
         await run.drained.wait()
-        await self._finish(batch)
+        await self._finish_batch(batch)
 
-    async def _index(self, batch: Batch) -> InputIndex:
-        """Index the input file, as soon as it can be read.
+    async def _index_input_file(self, batch: Batch) -> InputIndex:
+        """Index the input file, retrying until it can be read.
 
         Raises:
-            InvalidInputFileError: The file is no valid input.
+            InvalidInputFileError: The file is not a valid input file.
         """
         loop = asyncio.get_running_loop()
         return await retry_until_readable(lambda: loop.run_in_executor(None, self.lines.index, batch))
 
-    async def _fail(self, batch: Batch, error: InvalidInputFileError) -> None:
+    async def _fail_batch(self, batch: Batch, error: InvalidInputFileError) -> None:
         async def store_failure() -> None:
             async with self.store.status_lock:
                 if batch.is_cancelling:
@@ -119,20 +120,20 @@
     async def _set_in_progress(self, batch: Batch, index: InputIndex) -> None:
         async def store_total() -> None:
             async with self.store.status_lock:
-                # A client may have cancelled the batch during validation; its lines then end as cancelled.
+                # If a client has cancelled the batch during validation, its lines end as cancelled.
                 status = BatchStatus.CANCELLING if batch.is_cancelling else BatchStatus.IN_PROGRESS
                 await self.store.set_status(batch, status, total=len(index.offsets))
 
         await retry_until_stored(store_total)
 
-    async def _finish(self, batch: Batch) -> None:
+    async def _finish_batch(self, batch: Batch) -> None:
         async def store_finalizing() -> None:
             async with self.store.status_lock:
                 if batch.status is BatchStatus.IN_PROGRESS:
                     await self.store.set_status(batch, BatchStatus.FINALIZING)
 
         await retry_until_stored(store_finalizing)
-        # From here on a cancellation is refused, or has been accepted already.
+        # From here on no client can change the status: cancelling a batch that is being finalized is refused.
         status = self._final_status(batch)
         await retry_until_stored(lambda: self.store.finish(batch, status, encode_result))
         counts = {line_status.name.lower(): count for line_status, count in batch.line_counts.items()}
--- a/lockspoke/batch/scheduler.py
+++ b/lockspoke/batch/scheduler.py
@@ -1,4 +1,4 @@
-"""Decides which line of which batch starts next, and ends lines that need no attempt."""
+"""Decides which line of which batch starts next, and ends cancelled or expired lines without an attempt."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 from .slots import LineSlots
 from .tasks import BackgroundTasks
 
-# Lines that are ended without an attempt at the same time: each reads its input file, and interactive
-# requests need the event loop.
-MAX_ENDING = 64
+# The most lines that are ended without an attempt at the same time. Ending a line reads its input file in the
+# event loop, which interactive requests need as well.
+MAX_ENDING_LINES = 64
 
 
 class LineScheduler:
     """Starts lines of all batches in turn, as slots become available."""
 
     def __init__(
-        self, runner: LineRunner, slots: LineSlots, tasks: BackgroundTasks, now: Callable[[], float]
+        self, line_runner: LineRunner, slots: LineSlots, tasks: BackgroundTasks, now: Callable[[], float]
     ) -> None:
         """Start with no batch.
 
         Args:
-            runner: Runs the lines.
+            line_runner: Runs the lines.
             slots: Bounds the lines in flight.
-            tasks: Holds a task for each line in flight.
+            tasks: Runs a task for each line that is in flight or being ended.
             now: Gives the Unix time in seconds.
         """
-        self.runner = runner
+        self.line_runner = line_runner
         self.slots = slots
         self.tasks = tasks
         self.now = now
         self.runs: list[BatchRun] = []
-        # Runs that may still start a line, in the order of their turns. A run leaves it for good when it has
-        # no line to start any more, so that a pass over it ends.
+        # Round-robin queue of the runs that may still start a line. A run without lines to start is removed
+        # and never put back, so `_start_lines` always ends.
         self._startable: deque[BatchRun] = deque()
-        self.ending = 0  # lines that are being ended without an attempt
+        self.ending_lines = 0  # Lines that are being ended without an attempt.
 
     def add(self, run: BatchRun) -> None:
-        """Schedule the lines of a batch; its `drained` event is set once all have ended."""
+        """Schedule the lines of a batch; the run's `drained` event is set once all of them have ended."""
         self.runs.append(run)
         self._startable.append(run)
         self.slots.changed.set()
@@ -52,17 +52,18 @@
         """Schedule lines until cancelled."""
         while True:
             for run in self.runs:
-                self._end_unwanted(run)
+                self._end_cancelled_or_expired(run)
             self._start_lines()
             self._remove_drained()
             self.slots.changed.clear()
             with suppress(TimeoutError):
-                # Deadlines pass and interactive requests end without an event.
+                # Polled, because neither a passed deadline nor the end of an interactive request sets
+                # `changed`.
                 async with asyncio.timeout(POLL_INTERVAL if self.runs else None):
                     await self.slots.changed.wait()
 
     def _start_lines(self) -> None:
-        """Start lines while slots are available; each turn takes a slot or removes a run."""
+        """Start lines while slots are available; each iteration takes a slot or removes a run."""
         while self._startable and not self.slots.backlog_full and self.slots.available():
             run = self._startable.popleft()
             line = run.take_next_to_start()
@@ -70,8 +71,8 @@
                 continue
             run.active.add(line)
             self.slots.acquire()
-            self.tasks.spawn(self.runner.run(run, line))
-            self._startable.append(run)  # round robin: a long batch does not hold up a short one
+            self.tasks.spawn(self.line_runner.run_line(run, line))
+            self._startable.append(run)  # Round robin: a long batch does not delay a short one.
 
     def _remove_drained(self) -> None:
         for run in list(self.runs):
@@ -79,28 +80,28 @@
                 self.runs.remove(run)
                 run.drained.set()
 
-    def _end_unwanted(self, run: BatchRun) -> None:
-        """End lines that are cancelled or overdue, whether or not a slot is available."""
+    def _end_cancelled_or_expired(self, run: BatchRun) -> None:
+        """End the lines that are cancelled or past their deadline, even if no slot is available."""
         status = None
         if run.batch.is_cancelling:
             status = LineStatus.CANCELLED
         elif self.now() >= run.batch.expires_at:
             status = LineStatus.EXPIRED
-        while status is not None and self._may_end() and (line := run.take_next()) is not None:
+        while status is not None and self._may_end_another_line() and (line := run.take_next()) is not None:
             self._end_without_attempt(run, line, status)
-        while self._may_end() and (line := run.take_overdue(self.now())) is not None:
+        while self._may_end_another_line() and (line := run.take_overdue(self.now())) is not None:
             self._end_without_attempt(run, line, LineStatus.EXPIRED)
 
-    def _may_end(self) -> bool:
-        return self.ending < MAX_ENDING
+    def _may_end_another_line(self) -> bool:
+        return self.ending_lines < MAX_ENDING_LINES
 
     def _end_without_attempt(self, run: BatchRun, line: int, status: LineStatus) -> None:
         async def end() -> None:
             try:
-                await self.runner.end(run, line, status, {})
+                await self.line_runner.finish_line(run, line, status, {})
             finally:
-                self.ending -= 1
+                self.ending_lines -= 1
 
         run.active.add(line)
-        self.ending += 1
+        self.ending_lines += 1
         self.tasks.spawn(end())
--- a/lockspoke/batch/store.py
+++ b/lockspoke/batch/store.py
@@ -1,7 +1,7 @@
-"""Files, uploads and batches as they are stored: contents in files, everything else in one journal.
+"""Persistent storage of files, uploads and batches: file contents as files, all other state in one journal.
 
-A change is written to the journal first and applied to memory afterwards, by the same code that reads the
-journal at start-up. Whatever a response has confirmed therefore survives a crash.
+A change is written to the journal first and then applied to the state in memory, by the same code that
+replays the journal at start-up. Every change that a response has confirmed therefore survives a crash.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
         """Open the store.
 
         Args:
-            folder: Where it is; created if it does not exist.
+            folder: The folder of the store; created if it does not exist.
             now: Gives the Unix time in seconds.
 
         Raises:
@@ -42,26 +42,28 @@
         self.uploads = self._tables.uploads
         self.batches = self._tables.batches
         self.creations = self._tables.creations
-        self.creation_lock = asyncio.Lock()  # two requests with one idempotency key must not both create
-        # Held from a decision that depends on a batch's status to the end of the write that follows from it.
-        # A status is applied once it is on disk; until then another decision would be made by the old one.
+        # Prevents two requests with the same idempotency key from both creating an object.
+        self.creation_lock = asyncio.Lock()
+        # Held from reading a batch's status to the end of the write that depends on it. A status is applied
+        # only once it is on disk, so without the lock another decision could be based on the old status.
         self.status_lock = asyncio.Lock()
-        self._lines_ending: set[tuple[str, int]] = set()  # batch ID and line of results being written
+        # Batch ID and line number of each result that is being written.
+        self._ending_lines: set[tuple[str, int]] = set()
         self.journal = Journal(folder / "journal.log", self.executor)
         for offset, record in self.journal.load():
             self._tables.apply(offset, record)
-        self.contents.remove_unknown(self.files, self._pending_parts())
+        self.contents.remove_unreferenced(self.files, self._parts_of_pending_uploads())
 
-    def _pending_parts(self) -> set[str]:
+    def _parts_of_pending_uploads(self) -> set[str]:
         pending = [upload for upload in self.uploads.values() if upload.status is UploadStatus.PENDING]
         return {part for upload in pending for part in upload.parts}
 
     async def wait_until_idle(self) -> None:
-        """Wait until the store's thread has done what it was given so far; `close` blocks for the rest."""
+        """Wait for the work submitted to the store's thread so far, so that `close` hardly blocks."""
         await asyncio.get_running_loop().run_in_executor(self.executor, lambda: None)
 
     def close(self) -> None:
-        """Close the journal; everything appended is on disk already."""
+        """Wait for the store's thread, then close the journal; whatever was appended is on disk already."""
         self.executor.shutdown()
         self.journal.close()
 
@@ -72,13 +74,13 @@
 
     def path(self, file_id: str) -> Path:
         """The path of a file's content."""
-        return self.contents.files / file_id
+        return self.contents.files_folder / file_id
 
     def open_scratch(self) -> tuple[Path, BinaryIO]:
         """A new scratch file and its path."""
         return self.contents.open_scratch()
 
-    def _new_file(self, filename: str, purpose: str, size: int, sha256: str) -> Record:
+    def _new_file_record(self, filename: str, purpose: str, size: int, sha256: str) -> Record:
         return {
             "id": f"file-{secrets.token_hex(12)}",
             "filename": filename,
@@ -100,17 +102,17 @@
         """Store a file whose content is in a scratch file.
 
         Args:
-            content: The scratch file; it is moved.
-            filename: The client's name for it.
-            purpose: The client's purpose.
-            sha256: Of the content.
-            key: The idempotency key, if the request had one.
-            fingerprint: Of the request, to recognise its repetition.
+            content: The scratch file, which is moved into the store.
+            filename: The filename that the client sent.
+            purpose: The purpose that the client sent.
+            sha256: The SHA-256 of the content.
+            key: The idempotency key; empty if the request had none.
+            fingerprint: The fingerprint of the request, by which a repeated request is recognised.
         """
-        made = self._new_file(filename, purpose, content_size(content), sha256)
-        await self.contents.commit(content, self.path(made["id"]))
-        await self._write({"op": "file", "made": made, "key": key, "print": fingerprint})
-        return self.files[made["id"]]
+        file_record = self._new_file_record(filename, purpose, content_size(content), sha256)
+        await self.contents.commit(content, self.path(file_record["id"]))
+        await self._write({"op": "file", "made": file_record, "key": key, "print": fingerprint})
+        return self.files[file_record["id"]]
 
     async def delete_file(self, file: File) -> None:
         """Delete a file and its content."""
@@ -120,39 +122,41 @@
     # Uploads
 
     async def add_upload(self, key: str, fingerprint: str, lifetime: int, **fields: Any) -> Upload:
-        """Create an upload that expires after `lifetime` seconds; `fields` are those of `Upload`."""
+        """Create an upload that expires after `lifetime` seconds; `fields` are further fields of `Upload`."""
         now = int(self.now())
-        made = {
+        upload_record = {
             "id": f"upload_{secrets.token_hex(12)}",
             "created_at": now,
             "expires_at": now + lifetime,
             **fields,
         }
-        await self._write({"op": "upload", "made": made, "key": key, "print": fingerprint})
-        return self.uploads[made["id"]]
+        await self._write({"op": "upload", "made": upload_record, "key": key, "print": fingerprint})
+        return self.uploads[upload_record["id"]]
 
     async def add_part(self, upload: Upload, content: Path, key: str, fingerprint: str) -> str:
         """Store a part whose content is in a scratch file; returns the part's ID."""
         part_id = f"part_{secrets.token_hex(12)}"
-        made = {"id": part_id, "bytes": content_size(content)}
-        await self.contents.commit(content, self.contents.parts / part_id)
-        await self._write({"op": "part", "upload": upload.id, "made": made, "key": key, "print": fingerprint})
+        part_record = {"id": part_id, "bytes": content_size(content)}
+        await self.contents.commit(content, self.contents.parts_folder / part_id)
+        await self._write(
+            {"op": "part", "upload": upload.id, "made": part_record, "key": key, "print": fingerprint}
+        )
         return part_id
 
     def _joined_content(self, upload: Upload) -> Path:
-        return self.contents.scratch_files / upload.id
+        return self.contents.scratch_folder / upload.id
 
     async def join_parts(self, upload: Upload, part_ids: Iterable[str]) -> Digests:
-        """Concatenate parts in the order given; `complete_upload` makes the result a file."""
+        """Concatenate parts in the given order; `complete_upload` stores the result as a file."""
         return await self.contents.join_parts(part_ids, self._joined_content(upload))
 
     async def complete_upload(self, upload: Upload, sha256: str) -> None:
         """Store the joined parts as a file."""
         content = self._joined_content(upload)
-        made = self._new_file(upload.filename, upload.purpose, content_size(content), sha256)
-        await self.contents.commit(content, self.path(made["id"]))
+        file_record = self._new_file_record(upload.filename, upload.purpose, content_size(content), sha256)
+        await self.contents.commit(content, self.path(file_record["id"]))
         status = UploadStatus.COMPLETED
-        await self._write({"op": "upload_status", "id": upload.id, "status": status, "made": made})
+        await self._write({"op": "upload_status", "id": upload.id, "status": status, "made": file_record})
         self._delete_parts(upload)
 
     async def abandon_upload(self, upload: Upload, status: UploadStatus) -> None:
@@ -161,7 +165,7 @@
         self._delete_parts(upload)
 
     async def expire_if_overdue(self, upload: Upload) -> None:
-        """Expire an upload if it is pending and its lifetime is over."""
+        """Expire an upload if it is pending and past its `expires_at`."""
         if upload.status is UploadStatus.PENDING and self.now() >= upload.expires_at:
             await self.abandon_upload(upload, UploadStatus.EXPIRED)
 
@@ -172,37 +176,37 @@
 
     def _delete_parts(self, upload: Upload) -> None:
         for part_id in upload.parts:
-            (self.contents.parts / part_id).unlink(missing_ok=True)
+            (self.contents.parts_folder / part_id).unlink(missing_ok=True)
 
     # Batches
 
     async def add_batch(self, key: str, fingerprint: str, **fields: Any) -> Batch:
-        """Create a batch; `fields` are those of `Batch`."""
-        made = {"id": f"batch_{secrets.token_hex(12)}", "created_at": int(self.now()), **fields}
-        await self._write({"op": "batch", "made": made, "key": key, "print": fingerprint})
-        return self.batches[made["id"]]
-
-    async def set_status(self, batch: Batch, status: BatchStatus, **more: Any) -> None:
-        """Change a batch's status; `more` are further members of the record."""
-        record = {"op": "batch_status", "id": batch.id, "status": status, "at": int(self.now()), **more}
+        """Create a batch; `fields` are further fields of `Batch`."""
+        batch_record = {"id": f"batch_{secrets.token_hex(12)}", "created_at": int(self.now()), **fields}
+        await self._write({"op": "batch", "made": batch_record, "key": key, "print": fingerprint})
+        return self.batches[batch_record["id"]]
+
+    async def set_status(self, batch: Batch, status: BatchStatus, **details: Any) -> None:
+        """Change a batch's status; `details` are stored in the same journal record."""
+        record = {"op": "batch_status", "id": batch.id, "status": status, "at": int(self.now()), **details}
         await self._write(record)
 
     async def end_line(self, batch: Batch, line: int, status: LineStatus, result: dict[str, Any]) -> None:
-        """Store the end of a line and the result that the result file will hold for it.
+        """Store the final status of a line, with its entry for the result file.
 
         Raises:
             StoreError: The line has ended, or its end is being written, or the write failed.
         """
-        # Checked before the write: a second end in the journal would make it unreadable.
-        if not batch.is_open(line) or (batch.id, line) in self._lines_ending:
+        # Checked before the write, because a journal that ends a line twice cannot be loaded.
+        if not batch.is_open(line) or (batch.id, line) in self._ending_lines:
             raise StoreError(f"{batch.id}: line {line} ended twice")
-        self._lines_ending.add((batch.id, line))
+        self._ending_lines.add((batch.id, line))
         try:
             await self._write(
                 {"op": "line", "batch": batch.id, "line": line, "end": int(status), "out": result}
             )
         finally:
-            self._lines_ending.discard((batch.id, line))
+            self._ending_lines.discard((batch.id, line))
 
     def _results(self, batch: Batch, served: bool) -> Iterator[dict[str, Any]]:
         for line, status in enumerate(batch.line_statuses):
@@ -210,18 +214,18 @@
                 yield self.journal.read(batch.result_offsets[line])["out"]
 
     async def finish(self, batch: Batch, status: BatchStatus, encode: ResultEncoder) -> None:
-        """Write the output and error files, and close the batch with one record that names both."""
+        """Write the output and error files, and set the batch's final status in one record with both."""
         result_files: Record = {}
         for name, served in (("output", True), ("error", False)):
-            made = await self._write_results(batch, name, served, encode)
-            if made is not None:
-                result_files[name] = made
+            file_record = await self._write_results(batch, name, served, encode)
+            if file_record is not None:
+                result_files[name] = file_record
         await self.set_status(batch, status, **result_files)
 
     async def _write_results(
         self, batch: Batch, name: str, served: bool, encode: ResultEncoder
     ) -> Record | None:
-        """Write one result file; None if there is nothing to write."""
+        """Write one result file and return its record; None if there are no results for it."""
         path, file = self.open_scratch()
         lines = (encode(result) for result in self._results(batch, served))
         sha256 = await self.contents.write_lines(file, lines)
@@ -229,6 +233,6 @@
         if not size:
             path.unlink()
             return None
-        made = self._new_file(f"{batch.id}_{name}.jsonl", "batch_output", size, sha256)
-        await self.contents.commit(path, self.path(made["id"]))
-        return made
+        file_record = self._new_file_record(f"{batch.id}_{name}.jsonl", "batch_output", size, sha256)
+        await self.contents.commit(path, self.path(file_record["id"]))
+        return file_record
--- a/lockspoke/batch/tables.py
+++ b/lockspoke/batch/tables.py
@@ -90,8 +90,8 @@
         if "error" in record:
             batch.error_file_id = self._add_result_file(record["error"])
 
-    def _add_result_file(self, made: Record) -> str:
-        file = File(**made)
+    def _add_result_file(self, file_record: Record) -> str:
+        file = File(**file_record)
         self.files[file.id] = file
         return file.id
 
--- a/tests/batch/harness.py
+++ b/tests/batch/harness.py
@@ -67,7 +67,7 @@
     def now(self) -> float:
         return self.clock
 
-    async def begin_batch(self, *input_lines: dict[str, Any] | bytes, window: int = 60) -> Batch:
+    async def create_batch(self, *input_lines: dict[str, Any] | bytes, window: int = 60) -> Batch:
         """Store an input file and begin a batch that reads it."""
         path, file = self.store.open_scratch()
         with file:
@@ -83,7 +83,7 @@
             expires_at=int(self.clock) + window,
             metadata={},
         )
-        self.runner.begin(batch)
+        self.runner.start_batch(batch)
         return batch
 
     def in_flight(self) -> list[Attempt]:
--- a/tests/batch/test_deleted_input.py
+++ b/tests/batch/test_deleted_input.py
@@ -37,14 +37,14 @@
     harness = Harness(tmp_path, concurrency=2)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(20))
+        batch = await harness.create_batch(*lines(20))
         await until(lambda: len(harness.in_flight()) == 2)
         await harness.store.delete_file(harness.store.files[batch.input_file_id])
         for attempt in harness.in_flight():
             harness.serve(attempt)
         await until(lambda: batch.is_final)
         assert batch.line_counts[LineStatus.FAILED] + batch.line_counts.get(LineStatus.SERVED, 0) == 20
-        other = await harness.begin_batch(*lines(1))
+        other = await harness.create_batch(*lines(1))
         await until(lambda: bool(harness.in_flight()))
         harness.serve(harness.in_flight()[0])
         await until(lambda: other.is_final)
@@ -70,7 +70,7 @@
         return read(batch, offset)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(2))
+        batch = await harness.create_batch(*lines(2))
         await until(lambda: len(harness.in_flight()) == 1)
         monkeypatch.setattr(harness.runner.lines, "read", read_without_descriptors)
         harness.serve(harness.in_flight()[0])
@@ -97,7 +97,7 @@
     monkeypatch.setattr(harness.store, "delete_file", delete_later)
 
     async def scenario() -> None:
-        first = await harness.begin_batch(*lines(1))
+        first = await harness.create_batch(*lines(1))
         await until(lambda: len(harness.in_flight()) == 1)
         harness.serve(harness.in_flight()[0])
         await until(lambda: first.is_final)
@@ -119,13 +119,13 @@
     harness = Harness(tmp_path, concurrency=1)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(90))
+        batch = await harness.create_batch(*lines(90))
         await until(lambda: len(harness.in_flight()) == 1)
         await harness.store.delete_file(harness.store.files[batch.input_file_id])
         await harness.store.set_status(batch, BatchStatus.CANCELLING)
         harness.runner.notify()
         await until(lambda: batch.line_counts.get(LineStatus.CANCELLED, 0) == 89)
-        assert harness.runner.scheduler.ending == 0
+        assert harness.runner.scheduler.ending_lines == 0
         harness.serve(harness.in_flight()[0])
         await until(lambda: batch.is_final)
         assert batch.status is BatchStatus.CANCELLED
@@ -150,7 +150,7 @@
     monkeypatch.setattr(harness.runner.lines, "index", index_later)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(2))
+        batch = await harness.create_batch(*lines(2))
         await until(lambda: len(harness.in_flight()) == 2)
         for attempt in harness.in_flight():
             harness.serve(attempt)
@@ -176,7 +176,7 @@
         return opened(path, mode)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(1))
+        batch = await harness.create_batch(*lines(1))
         monkeypatch.setattr(Path, "open", open_later)
         await until(lambda: len(harness.in_flight()) == 1)
         harness.serve(harness.in_flight()[0])
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -12,7 +12,7 @@
 from lockspoke.balancing.events import Outcome
 from lockspoke.batch.journal import StoreError
 from lockspoke.batch.records import Batch, BatchStatus, LineStatus
-from lockspoke.batch.scheduler import MAX_ENDING
+from lockspoke.batch.scheduler import MAX_ENDING_LINES
 from lockspoke.batch.slots import PAUSE_AFTER_REJECTION
 from lockspoke.batch.store import BatchStore
 from lockspoke.units import SECOND
@@ -25,7 +25,7 @@
     harness = Harness(tmp_path)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(5))
+        batch = await harness.create_batch(*lines(5))
         while not batch.is_final:
             await until(lambda: bool(harness.in_flight()) or batch.is_final)
             assert len(harness.in_flight()) <= 2
@@ -44,9 +44,9 @@
     harness = Harness(tmp_path)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(LINE, b"", b"{", LINE, LINE | {"custom_id": "b", "method": "GET"})
-        empty = await harness.begin_batch(b"", b"  ")
-        too_long = await harness.begin_batch(*lines(101))
+        batch = await harness.create_batch(LINE, b"", b"{", LINE, LINE | {"custom_id": "b", "method": "GET"})
+        empty = await harness.create_batch(b"", b"  ")
+        too_long = await harness.create_batch(*lines(101))
         await until(lambda: batch.is_final and empty.is_final and too_long.is_final)
         errors = [(error["line"], error["code"]) for error in batch.errors]
         assert errors == [(3, "invalid_json_line"), (4, "duplicate_custom_id"), (5, "invalid_method")]
@@ -62,7 +62,7 @@
     harness = Harness(tmp_path, max_attempts=1)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(1))
+        batch = await harness.create_batch(*lines(1))
         await until(lambda: len(harness.in_flight()) == 1)
         attempt = harness.in_flight()[0]
         harness.world.core.transport.cancel(attempt)
@@ -84,7 +84,7 @@
     harness = Harness(tmp_path, max_attempts=2)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(1))
+        batch = await harness.create_batch(*lines(1))
         for _ in range(2):
             await until(lambda: bool(harness.in_flight()))
             attempt = harness.in_flight()[0]
@@ -103,7 +103,7 @@
     harness = Harness(tmp_path, concurrency=1)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(3))
+        batch = await harness.create_batch(*lines(3))
         await until(lambda: len(harness.in_flight()) == 1)
         await harness.store.set_status(batch, BatchStatus.CANCELLING)
         harness.runner.notify()
@@ -121,7 +121,7 @@
     harness = Harness(tmp_path, concurrency=1)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(LINE, *lines(2, deadline_ms=5000), LINE | {"custom_id": "z"})
+        batch = await harness.create_batch(LINE, *lines(2, deadline_ms=5000), LINE | {"custom_id": "z"})
         await until(lambda: len(harness.in_flight()) == 1)
         harness.clock += 6
         await until(lambda: batch.line_counts.get(LineStatus.EXPIRED) == 2)
@@ -142,7 +142,7 @@
 
     async def scenario() -> None:
         harness.world.core.request_lifecycle.interactive_rejected_at = harness.world.now()
-        batch = await harness.begin_batch(*lines(1))
+        batch = await harness.create_batch(*lines(1))
         await until(lambda: batch.status is BatchStatus.IN_PROGRESS)
         await asyncio.sleep(0.15)
         assert not harness.world.started, "an interactive request was rejected a moment ago"
@@ -166,7 +166,7 @@
 
     async def serve_two_lines_and_crash() -> str:
         first.runner.start()
-        batch = await first.begin_batch(*lines(6))
+        batch = await first.create_batch(*lines(6))
         for _ in range(2):
             await until(lambda: len(first.in_flight()) == 3)
             await serve_next(first, batch)
@@ -199,15 +199,15 @@
     harness = Harness(tmp_path, concurrency=1)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(100))
+        batch = await harness.create_batch(*lines(100))
         await until(lambda: len(harness.in_flight()) == 1)
         await harness.store.set_status(batch, BatchStatus.CANCELLING)
         harness.runner.notify()
         most = 0
         while batch.line_counts.get(LineStatus.CANCELLED, 0) < 99:
-            most = max(most, harness.runner.scheduler.ending)
+            most = max(most, harness.runner.scheduler.ending_lines)
             await asyncio.sleep(0)
-        assert 0 < most <= MAX_ENDING
+        assert 0 < most <= MAX_ENDING_LINES
         harness.serve(harness.in_flight()[0])
         await until(lambda: batch.is_final)
         assert len(harness.results(batch)) == 100
@@ -219,7 +219,7 @@
     harness = Harness(tmp_path, concurrency=2)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(50))
+        batch = await harness.create_batch(*lines(50))
         for _ in range(6):
             await asyncio.sleep(0.06)
             for attempt in harness.in_flight():
@@ -251,7 +251,7 @@
     async def scenario() -> None:
         # No line starts while interactive requests are rejected; by the cancellation one may.
         harness.world.core.request_lifecycle.interactive_rejected_at = harness.world.now()
-        batch = await harness.begin_batch(*lines(100))
+        batch = await harness.create_batch(*lines(100))
         await until(lambda: batch.status is BatchStatus.IN_PROGRESS)
         await harness.store.set_status(batch, BatchStatus.CANCELLING)
         monkeypatch.setattr(slots, "available", available)
--- a/tests/batch/test_status_changes.py
+++ b/tests/batch/test_status_changes.py
@@ -79,7 +79,7 @@
     validation = HeldValidation(harness, monkeypatch)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(3))
+        batch = await harness.create_batch(*lines(3))
         handlers = BatchHandlers(harness.store, harness.runner)
         with HeldDisk(harness, monkeypatch) as disk:
             cancellation = asyncio.ensure_future(handlers.cancel(cancel_request(batch)))
@@ -103,7 +103,7 @@
     validation = HeldValidation(harness, monkeypatch)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(b"{")
+        batch = await harness.create_batch(b"{")
         handlers = BatchHandlers(harness.store, harness.runner)
         with HeldDisk(harness, monkeypatch) as disk:
             validation.may_end.set()
@@ -125,7 +125,7 @@
     harness = Harness(tmp_path, concurrency=1)
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(1))
+        batch = await harness.create_batch(*lines(1))
         handlers = BatchHandlers(harness.store, harness.runner)
         await until(lambda: len(harness.in_flight()) == 1)
         with HeldDisk(harness, monkeypatch) as disk:
--- a/tests/batch/test_store.py
+++ b/tests/batch/test_store.py
@@ -20,7 +20,7 @@
     harness.runner.slots.stopping = True  # no line starts
 
     async def scenario() -> None:
-        batch = await harness.begin_batch(*lines(1))
+        batch = await harness.create_batch(*lines(1))
         await until(lambda: batch.status is BatchStatus.IN_PROGRESS)
         await harness.store.end_line(batch, 0, LineStatus.FAILED, {})
         with pytest.raises(StoreError):
