--- a/lockspoke/batch/application.py
+++ b/lockspoke/batch/application.py
@@ -1,4 +1,4 @@
-"""The batch API without its sockets: routes, authorization, and errors of the store."""
+"""The batch API independent of connections: routing, authorization, and the response to store errors."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
         Args:
             store: Holds files, uploads and batches.
             runner: Runs new batches.
-            limits: May change while the program runs.
+            limits: Limits of requests, which a reload may change.
             token: The bearer token that clients must send; empty if none is required.
         """
         self.limits = limits
         self.token = token
-        self.draining = False  # connections close after their current response
+        self.draining = False  # Whether connections close after their current response.
         files = FileHandlers(store, limits)
         uploads = UploadHandlers(store, limits)
         batches = BatchHandlers(store, runner)
@@ -77,7 +77,7 @@
         try:
             return await match.handler(request)
         except StreamClosedError:
-            raise  # the client has disconnected; an OSError, too, but no fault of the store
+            raise  # The client has disconnected. This is an OSError as well, but not an error of the store.
         except (StoreError, OSError) as error:
             log.error("store_unavailable", error=str(error))
             raise ApiError(503, "The store takes nothing at the moment; try again.") from None
--- a/lockspoke/batch/chat_completion.py
+++ b/lockspoke/batch/chat_completion.py
@@ -1,4 +1,4 @@
-"""Chat completions: the size of a prompt, and the response that a stream of events adds up to."""
+"""Chat completions: estimating the size of a prompt, and assembling an event stream into one response."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from lockspoke.wire.http.sse import LINE_LIMIT
 
 CHARACTERS_PER_TOKEN = 4  # the platform's estimate
-MAX_TOKENS_LIMIT = 1e9  # a larger `max_tokens` is taken for none
-RESPONSE_LIMIT = 1024 * 1024  # bytes of one stream
+MAX_TOKENS_LIMIT = 1e9  # A larger `max_tokens` is treated as no limit.
+RESPONSE_LIMIT = 1024 * 1024  # the maximum size of one stream in bytes
 END_OF_STREAM = b"[DONE]"
 DATA_FIELD = b"data:"
 
 
 @dataclass(frozen=True, slots=True)
 class PromptSize:
-    """What a request body says about the work that it requests."""
+    """The estimated size of a request."""
 
     tokens: float
-    shared_prefix: str  # the first message of a conversation, which conversations may have in common
+    shared_prefix: str  # The first of several messages, which other conversations may share; else empty.
     prefix_tokens: float
-    max_tokens: float  # 0 if the body sets no limit
+    max_tokens: float  # The limit of the response; 0 if the body sets none.
 
 
 def measure_prompt(body: dict[str, Any]) -> PromptSize:
@@ -36,20 +36,20 @@
 
 
 class ChatCompletionAssembler:
-    """Assembles a replica's event stream into the response of a request without streaming."""
+    """Assembles a replica's event stream into the response to a non-streaming request."""
 
     def __init__(self, model: str, created: int) -> None:
         """Start without events.
 
         Args:
-            model: The model that the response names.
-            created: Unix time of the response.
+            model: The `model` of the response.
+            created: The Unix time at which the response was created.
         """
         self.model = model
         self.created = created
         self._incomplete_line = b""
-        self._contents: dict[int, list[str]] = {}  # by choice
-        self._finish_reasons: dict[int, str] = {}  # by choice
+        self._contents: dict[int, list[str]] = {}  # Pieces of text by the index of their choice.
+        self._finish_reasons: dict[int, str] = {}  # Finish reasons by the index of their choice.
         self._usage: dict[str, Any] | None = None
         self._id = ""
         self._size = 0
@@ -57,7 +57,7 @@
         self._malformed = False
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes of the stream; they may end anywhere."""
+        """Process the next bytes of the stream, which may end anywhere in a line."""
         self._size += len(data)
         *lines, incomplete = (self._incomplete_line + data).split(b"\n")
         if self._size > RESPONSE_LIMIT or len(incomplete) > LINE_LIMIT:
@@ -65,9 +65,9 @@
         self._incomplete_line = b"" if self._malformed else incomplete
         for line in lines:
             if line.startswith(DATA_FIELD) and not self._malformed:
-                self._take_event(line[len(DATA_FIELD) :].strip())
+                self._process_event(line[len(DATA_FIELD) :].strip())
 
-    def _take_event(self, data: bytes) -> None:
+    def _process_event(self, data: bytes) -> None:
         if data == END_OF_STREAM:
             self._done = True
             return
@@ -78,13 +78,13 @@
                 return
             self._id = self._id or str(event.get("id") or "")
             for choice in event.get("choices", ()):
-                self._take_choice(choice)
+                self._process_choice(choice)
             if isinstance(event.get("usage"), dict):
                 self._usage = event["usage"]
         except (ValueError, TypeError, AttributeError, RecursionError):
-            self._malformed = True  # the event may have held a part of the response
+            self._malformed = True  # The event may have contained a part of the response.
 
-    def _take_choice(self, choice: dict[str, Any]) -> None:
+    def _process_choice(self, choice: dict[str, Any]) -> None:
         index = int(choice.get("index", 0))
         content = (choice.get("delta") or {}).get("content")
         if isinstance(content, str):
@@ -93,7 +93,7 @@
             self._finish_reasons[index] = str(choice["finish_reason"])
 
     def body(self) -> dict[str, Any] | None:
-        """The response, or None if the stream was malformed or did not end."""
+        """The response, or None if the stream is malformed, incomplete or empty."""
         indices = sorted(self._contents.keys() | self._finish_reasons.keys())
         if self._malformed or not self._done or not indices:
             return None
--- a/lockspoke/batch/connection.py
+++ b/lockspoke/batch/connection.py
@@ -20,10 +20,10 @@
 from .errors import ApiError
 from .messages import ApiRequest, FileResponse, JsonResponse, RequestBody, Response
 
-FORM_OVERHEAD = 256 * 1024  # bytes of a form beside the content of its file
+FORM_OVERHEAD = 256 * 1024  # bytes that a form may have in addition to the content of its file
 LINGER_TIMEOUT = 2.0  # seconds
 SEND_SIZE = 64 * 1024  # bytes of a file that are read and sent at a time
-SHORT_BODY = 64 * 1024  # bytes of a body that is read even if the response is an error
+SHORT_BODY = 64 * 1024  # the largest body in bytes that is read to its end when the response is an error
 
 log = structlog.get_logger()
 
@@ -42,8 +42,8 @@
         self.stream = stream
         self.reader = FairReader(stream)
         self.opened_at = self.active_at = self.queued_since = asyncio.get_running_loop().time()
-        # The listener closes connections that have never received anything first. The clients of this
-        # front are few and known, so that none of them is closed before another.
+        # The listener first closes connections that have not received any data. This front has few and known
+        # clients, so all its connections count as having received data.
         self.has_received = True
         self.close_reason: CloseReason | None = None
         self._between_requests = True
@@ -56,7 +56,7 @@
         return self._between_requests and not self.reader.has_unread
 
     async def run(self) -> None:
-        """Serve until the client or an error ends the connection."""
+        """Serve requests until the connection ends."""
         with suppress(StreamClosedError, OSError):
             while True:
                 try:
@@ -74,7 +74,7 @@
                 self._between_requests = True
 
     async def _linger(self) -> None:
-        """Read on for a while: a close with unread bytes resets the connection and loses the response."""
+        """Discard input for a while: closing with unread bytes resets the connection and loses a response."""
         self.stream.socket.shutdown(socket.SHUT_WR)
         with suppress(TimeoutError):
             async with asyncio.timeout(LINGER_TIMEOUT):
@@ -98,7 +98,7 @@
         try:
             response = await self._handle(head, body)
         except ApiError as error:
-            # Bytes of the body that are left unread would be taken for the next request.
+            # Unread bytes of the body would be parsed as the next request.
             if not body.complete and _has_short_body(head):
                 await body.discard()
             keep_alive = keep_alive and body.complete
@@ -138,7 +138,7 @@
         await self._send_json(JsonResponse(error.as_object(), error.status), keep_alive, method)
 
     async def _send_file(self, response: FileResponse, keep_alive: bool) -> None:
-        """Send a file piece by piece, each once the client has taken the one before."""
+        """Send a file in pieces, each once the previous one has been written to the socket."""
         headers = response.headers()
         if not keep_alive:
             headers["Connection"] = "close"
@@ -149,7 +149,7 @@
             while remaining:
                 data = file.read(min(SEND_SIZE, remaining))
                 if not data:
-                    raise StreamClosedError  # the file has become shorter: the client sees a short body
+                    raise StreamClosedError  # The file was truncated: the client receives an incomplete body.
                 await self.stream.write(data)
                 self._mark_active()
                 remaining -= len(data)
--- a/lockspoke/batch/errors.py
+++ b/lockspoke/batch/errors.py
@@ -1,4 +1,4 @@
-"""The error that a request to the batch API is answered with."""
+"""Error responses of the batch API."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class ApiError(Exception):
-    """A request that is answered with an error object."""
+    """An error that a request is answered with, as an error object."""
 
     def __init__(self, status: int, message: str, param: str | None = None, code: str | None = None) -> None:
         """Describe the error.
 
         Args:
             status: The HTTP status.
-            message: For people.
-            param: The member, field or header that is at fault, if one is.
-            code: For programs.
+            message: A description for people.
+            param: The JSON member, field, parameter or header that caused the error, if any.
+            code: An identifier of the error for programs.
         """
         super().__init__(message)
         self.status = status
--- a/lockspoke/batch/file_handlers.py
+++ b/lockspoke/batch/file_handlers.py
@@ -18,7 +18,7 @@
 
 
 def find_file(store: BatchStore, file_id: str) -> File:
-    """A file by its ID; raises ApiError if there is none."""
+    """Find a file by its ID; raises ApiError if it does not exist."""
     file = store.files.get(file_id)
     if file is None:
         raise ApiError(404, f"No such File object: {file_id}", "id", "not_found")
@@ -58,7 +58,7 @@
 
     async def delete(self, request: ApiRequest) -> JsonResponse:
         """`DELETE /v1/files/{id}`."""
-        # With the lock no batch that reads the file is created while the deletion is written.
+        # The lock prevents the creation of a batch that reads the file while the deletion is being written.
         async with self.store.creation_lock:
             file = find_file(self.store, request.object_id)
             unfinished = [batch for batch in self.store.batches.values() if not batch.is_final]
@@ -68,7 +68,7 @@
         return JsonResponse(deleted_file_object(file))
 
     async def content(self, request: ApiRequest) -> FileResponse:
-        """`GET /v1/files/{id}/content`: the file, or the rest of it after a broken download."""
+        """`GET /v1/files/{id}/content`: the file, or a range of it to resume an interrupted download."""
         file = find_file(self.store, request.object_id)
         headers = request.head.headers
         etag = f'"{file.sha256}"'
--- a/lockspoke/batch/form.py
+++ b/lockspoke/batch/form.py
@@ -1,4 +1,4 @@
-"""Multipart forms, parsed as they arrive; the content of the file field goes straight to a sink."""
+"""Streaming parser of multipart forms; passes the content of the file field on as it arrives."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 if TYPE_CHECKING:
     from python_multipart.multipart import MultipartCallbacks
 
-FIELD_LIMIT = 64 * 1024  # bytes of all fields but the file
-MAX_BOUNDARY_LENGTH = 70
+FIELD_LIMIT = 64 * 1024  # the maximum size in bytes of all fields together, without the file
+MAX_BOUNDARY_LENGTH = 70  # bytes
 
 
 class FormReader:
     """Reads one form: keeps its small fields and passes on the content of one file field."""
 
     def __init__(self, content_type: str, file_field: str, write: Callable[[bytes], object]) -> None:
-        """Expect a form.
+        """Prepare for the first bytes of a form.
 
         Args:
-            content_type: The header of the request.
-            file_field: Name of the field that holds the file.
+            content_type: The `Content-Type` header of the request.
+            file_field: The name of the field that contains the file.
             write: Called with each piece of the file's content.
 
         Raises:
-            ApiError: The content type is not that of a form.
+            ApiError: The content type is not that of a multipart form.
         """
         media_type, options = parse_options_header(content_type)
         boundary = options.get(b"boundary", b"")
@@ -38,7 +38,7 @@
         self.file_field = file_field
         self.write = write
         self.fields: dict[str, str] = {}
-        self.filename: str | None = None  # None until the file field has begun
+        self.filename: str | None = None  # None until the header of the file field has been read.
         self.complete = False
         self._fields_size = 0
         self._name = ""
@@ -57,7 +57,7 @@
         self._parser = MultipartParser(boundary, cast("MultipartCallbacks", callbacks))
 
     def feed(self, data: bytes) -> None:
-        """Take the next bytes of the body.
+        """Parse the next bytes of the body.
 
         Raises:
             ApiError: The form is malformed, or a field is too large.
@@ -68,10 +68,10 @@
             raise ApiError(400, f"The form is malformed: {error}") from None
 
     def finish(self) -> None:
-        """Check, at the end of the body, that the form has ended and held the file.
+        """Check, at the end of the body, that the form is complete and contained the file.
 
         Raises:
-            ApiError: It has not.
+            ApiError: The form is incomplete or contained no file.
         """
         if not self.complete:
             raise ApiError(400, "The form is cut short.", self.file_field, "missing_required_parameter")
@@ -85,11 +85,11 @@
 
     def _on_header_end(self) -> None:
         if self._header_name.lower() == b"content-disposition":
-            self._take_disposition(bytes(self._header_value))
+            self._process_disposition(bytes(self._header_value))
         self._header_name.clear()
         self._header_value.clear()
 
-    def _take_disposition(self, value: bytes) -> None:
+    def _process_disposition(self, value: bytes) -> None:
         _, options = parse_options_header(value)
         self._name = options.get(b"name", b"").decode(errors="replace")
         if self._name != self.file_field:
--- a/lockspoke/batch/front.py
+++ b/lockspoke/batch/front.py
@@ -1,7 +1,7 @@
-"""The batch front: the batch API on a listener.
+"""The batch front: serves the batch API on a listener.
 
-It is made for clients with unreliable connections: a file may be sent in parts, a download may resume where
-it broke, and a creation that is repeated with the same `Idempotency-Key` gives what it gave the first time.
+It supports clients with unreliable connections: a file may be uploaded in parts, an interrupted download may
+be resumed, and a request that is repeated with the same `Idempotency-Key` does not create a second object.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from .runner import BatchRunner
 from .store import BatchStore
 
-IDLE_TIMEOUT = 60.0  # seconds between two requests
-STALL_TIMEOUT = 120.0  # seconds that a client may take to send or take the next bytes
+IDLE_TIMEOUT = 60.0  # seconds that a connection may be idle between two requests
+STALL_TIMEOUT = 120.0  # seconds without sending or receiving a byte after which a busy connection is closed
 
 
 class BatchFront:
-    """Accepts connections and looks after them."""
+    """Accepts connections and enforces their limits."""
 
     def __init__(
         self, store: BatchStore, runner: BatchRunner, max_connections: int, file_limit: int, token: str = ""
@@ -35,8 +35,8 @@
         Args:
             store: Holds files, uploads and batches.
             runner: Runs new batches.
-            max_connections: Accepted at the same time.
-            file_limit: Bytes of the largest file.
+            max_connections: The maximum number of open connections.
+            file_limit: The maximum size of a file in bytes.
             token: The bearer token that clients must send; empty if none is required.
         """
         self.limits = FrontLimits(file_limit)
@@ -47,7 +47,7 @@
         return BatchConnection(self.application, stream)
 
     def run_periodic_checks(self) -> None:
-        """Close idle connections, and those whose client neither sends nor takes anything."""
+        """Close connections that are idle, above the limit, or stalled in the middle of a request."""
         self.listener.close_idle(IDLE_TIMEOUT)
         self.listener.enforce_limit()
         stalled_since = asyncio.get_running_loop().time() - STALL_TIMEOUT
--- a/lockspoke/batch/idempotency.py
+++ b/lockspoke/batch/idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: a creation that is repeated with its key gives what it gave the first time."""
+"""Idempotency keys: a request that is repeated with the same key returns what the first one created."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def fingerprint(*parts: str | bytes) -> str:
-    """Identifies the content of a request: two with the same key must have the same fingerprint."""
+    """A digest of a request's content; requests with the same key must have the same fingerprint."""
     digest = hashlib.sha256()
     for part in parts:
         digest.update(part if isinstance(part, bytes) else part.encode())
@@ -23,18 +23,18 @@
 
 @dataclass(frozen=True, slots=True)
 class IdempotencyKey:
-    """The key of a creation, as it is stored with it."""
+    """The idempotency key of a request that creates an object."""
 
-    key: str  # empty if the request has none
+    key: str  # The path and the header's value, as they are stored; empty if the request has no key.
     fingerprint: str
-    existing_id: str  # what an earlier request with this key created; empty if there was none
+    existing_id: str  # The ID of what an earlier request with this key created; empty if there was none.
 
 
 def idempotency_key(store: BatchStore, request: ApiRequest, request_fingerprint: str) -> IdempotencyKey:
     """Look up the key of a request; call it with the store's `creation_lock` held.
 
     Raises:
-        ApiError: The key is too long, or came with another request before.
+        ApiError: The key is too long, or was used by a different request before.
     """
     header = request.head.headers.get("idempotency-key")
     if not header:
--- a/lockspoke/batch/input_lines.py
+++ b/lockspoke/batch/input_lines.py
@@ -1,4 +1,4 @@
-"""Lines of an input file: decoding, and the checks that a file must pass before any line runs."""
+"""Decodes the lines of an input file, and validates the whole file before any line runs."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
 
 from lockspoke.wire.http.parser import BODY_LIMIT
 
-MAX_ID_LENGTH = 512  # characters of a `custom_id` and of other members that name something
-MAX_REPORTED_ERRORS = 100  # a check stops after this many invalid lines
-READ_LIMIT = 2 * BODY_LIMIT  # bytes read at a time; a longer line comes in pieces, each of them too large
+MAX_ID_LENGTH = 512  # characters of a `custom_id`, and of other required string members
+MAX_REPORTED_ERRORS = 100  # Validation stops after this many invalid lines.
+# Bytes read at a time. A longer line is read in pieces and reported as too large, because its first piece
+# already exceeds the limit of a line.
+READ_LIMIT = 2 * BODY_LIMIT
 
 
 class LineError(ValueError):
-    """A line that is no valid request."""
+    """A line is not a valid request."""
 
     def __init__(self, code: str, message: str, param: str | None = None) -> None:
         super().__init__(message)
@@ -25,12 +27,12 @@
         self.param = param
 
     def as_object(self, line_number: int | None) -> dict[str, Any]:
-        """The entry in the batch's `errors`; the number counts from 1, None if no line is to blame."""
+        """The entry in the batch's `errors`; line numbers start at 1, None for an error of the whole file."""
         return {"code": self.code, "message": str(self), "param": self.param, "line": line_number}
 
 
 class InvalidInputFileError(Exception):
-    """An input file that cannot run; `errors` are the entries for the batch's `errors`."""
+    """An input file is invalid; `errors` are the entries for the batch's `errors`."""
 
     def __init__(self, errors: list[dict[str, Any]]) -> None:
         super().__init__(f"{len(errors)} invalid lines")
@@ -38,7 +40,7 @@
 
 
 def file_error(code: str, message: str) -> InvalidInputFileError:
-    """An error of the file itself instead of one of its lines."""
+    """An error of the whole file instead of one of its lines."""
     return InvalidInputFileError([LineError(code, message).as_object(None)])
 
 
@@ -48,14 +50,15 @@
 
     custom_id: str
     body: dict[str, Any]
-    deadline_ms: int | None  # counted from the batch's creation; an extension of the public API
+    # Milliseconds from the batch's creation to the line's own deadline; an extension of the public API.
+    deadline_ms: int | None
 
 
 def decode_line(raw: bytes, endpoint: str, size_limit: int) -> InputLine:
     """Decode and validate a line of an input file for a batch with this endpoint.
 
     Raises:
-        LineError: The line is no valid request.
+        LineError: The line is not a valid request.
     """
     if len(raw) > size_limit:
         raise LineError("line_too_large", f"The line is larger than {size_limit} bytes.")
@@ -101,10 +104,11 @@
 
 @dataclass(slots=True)
 class InputIndex:
-    """Where the lines of a valid input file are; blank lines do not count."""
+    """Offsets and deadlines of the lines of a valid input file; blank lines are not counted."""
 
-    offsets: array[int] = field(default_factory=lambda: array("Q"))  # by line, in bytes
-    deadlines_ms: dict[int, int] = field(default_factory=dict)  # of lines that have their own
+    offsets: array[int] = field(default_factory=lambda: array("Q"))  # Byte offsets by line number.
+    # The `deadline_ms` of the lines that have one, by line number.
+    deadlines_ms: dict[int, int] = field(default_factory=dict)
 
 
 def index_input_file(file: BinaryIO, endpoint: str, max_lines: int) -> InputIndex:
--- a/lockspoke/batch/limits.py
+++ b/lockspoke/batch/limits.py
@@ -7,6 +7,6 @@
 
 @dataclass(slots=True)
 class FrontLimits:
-    """Shared by the front and its handlers."""
+    """Limits shared by the front and its handlers."""
 
-    file_size: int  # bytes of the largest file
+    file_size: int  # The maximum size of a file in bytes.
--- a/lockspoke/batch/messages.py
+++ b/lockspoke/batch/messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses of the batch API, between the connection and the handlers."""
+"""Requests and responses of the batch API, as connections and handlers exchange them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .errors import ApiError
 from .validation import ByteRange, decode_json
 
-JSON_LIMIT = 1024 * 1024  # bytes of a JSON request body
+JSON_LIMIT = 1024 * 1024  # the maximum size of a JSON request body in bytes
 
 
 class RequestBody:
@@ -21,10 +21,10 @@
 
     def __init__(self, next_piece: Callable[[], Awaitable[MessagePart]]) -> None:
         self._next_piece = next_piece
-        self.complete = False  # whether all of it has been read
+        self.complete = False  # Whether the whole body has been read.
 
     async def read(self) -> bytes | None:
-        """The next bytes; None at the end."""
+        """Read the next bytes; returns None at the end of the body."""
         if self.complete:
             return None
         piece = await self._next_piece()
@@ -34,18 +34,18 @@
         return None
 
     async def discard(self) -> None:
-        """Read to the end and discard the bytes."""
+        """Read and discard the rest of the body."""
         while await self.read() is not None:
             pass
 
 
 @dataclass(slots=True)
 class ApiRequest:
-    """A request as handlers see it."""
+    """A request as handlers receive it."""
 
     head: RequestHead
     body: RequestBody
-    object_id: str = ""  # from the path
+    object_id: str = ""  # The ID in the path; empty if the path has none.
 
     def query(self, name: str) -> str:
         """A query parameter; empty if it is missing."""
@@ -55,7 +55,7 @@
         """Read the complete body as JSON.
 
         Raises:
-            ApiError: It is too large, or no JSON object.
+            ApiError: The body is too large, or is not a JSON object.
         """
         data = bytearray()
         while (chunk := await self.body.read()) is not None:
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class JsonResponse:
-    """A response in JSON."""
+    """A response with a JSON object as its body."""
 
     members: dict[str, Any]
     status: int = 200
@@ -83,7 +83,7 @@
 
 
 def replayed(members: dict[str, Any]) -> JsonResponse:
-    """The response to a creation that an earlier request has made already."""
+    """The response to a repeated request, with what the earlier request created."""
     return JsonResponse(members, headers={"Idempotency-Replayed": "true"})
 
 
@@ -98,7 +98,7 @@
 
     @property
     def is_partial(self) -> bool:
-        """Whether only a part of the file is sent."""
+        """Whether the response has only a part of the file."""
         return self.range.length != self.size
 
     @property
--- a/lockspoke/batch/objects.py
+++ b/lockspoke/batch/objects.py
@@ -1,4 +1,4 @@
-"""JSON objects of the Files, Uploads and Batch API, as the public API of OpenAI defines them."""
+"""JSON objects of the Files, Uploads and Batch APIs, as the public API of OpenAI defines them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from .records import Batch, BatchStatus, File, LineStatus, Upload
 
-# Statuses whose time of entry a batch object shows, in the order of its members.
+# Statuses for which a batch object has a member with the time of entry, in the order of these members.
 _TIMED_STATUSES = (
     BatchStatus.IN_PROGRESS,
     BatchStatus.FINALIZING,
@@ -19,7 +19,7 @@
 
 
 def file_object(file: File) -> dict[str, Any]:
-    """A file."""
+    """The object of a file."""
     return {
         "id": file.id,
         "object": "file",
@@ -32,12 +32,12 @@
 
 
 def deleted_file_object(file: File) -> dict[str, Any]:
-    """A file that has been deleted."""
+    """The object that confirms the deletion of a file."""
     return {"id": file.id, "object": "file", "deleted": True}
 
 
 def upload_object(upload: Upload, file: File | None) -> dict[str, Any]:
-    """An upload, and the file that it has become if it is completed."""
+    """The object of an upload, including its file if the upload is completed."""
     return {
         "id": upload.id,
         "object": "upload",
@@ -52,7 +52,7 @@
 
 
 def part_object(upload: Upload, part_id: str) -> dict[str, Any]:
-    """A part of an upload."""
+    """The object of a part of an upload."""
     return {
         "id": part_id,
         "object": "upload.part",
@@ -62,7 +62,7 @@
 
 
 def batch_object(batch: Batch) -> dict[str, Any]:
-    """A batch."""
+    """The object of a batch."""
     times = {f"{status}_at": batch.entered_at.get(status) for status in _TIMED_STATUSES}
     served = batch.line_counts.get(LineStatus.SERVED, 0)
     return {
@@ -88,7 +88,7 @@
 
 
 def list_object(objects: list[dict[str, Any]], has_more: bool) -> dict[str, Any]:
-    """One page of a listing."""
+    """The object of one page of a listing."""
     return {
         "object": "list",
         "data": objects,
--- a/lockspoke/batch/pagination.py
+++ b/lockspoke/batch/pagination.py
@@ -1,4 +1,4 @@
-"""Listings, page by page."""
+"""Pagination of listings."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 def page(
     request: ApiRequest, objects: list[dict[str, Any]], default_limit: int, max_limit: int
 ) -> JsonResponse:
-    """The page that a request asks for, newest object first.
+    """The requested page of a listing, newest object first.
 
     Args:
-        request: Its query may hold `limit` and `after`.
+        request: A request whose query may contain `limit` and `after`.
         objects: All objects, oldest first.
-        default_limit: Length of a page if the request sets none.
-        max_limit: The longest page.
+        default_limit: The page size if the request does not set one.
+        max_limit: The maximum page size.
 
     Raises:
         ApiError: The limit is invalid, or no object has the ID in `after`.
@@ -33,7 +33,7 @@
 
 
 def _position(objects: list[dict[str, Any]], object_id: str) -> int:
-    for position, one in enumerate(objects):
-        if one["id"] == object_id:
+    for position, candidate in enumerate(objects):
+        if candidate["id"] == object_id:
             return position
     raise ApiError(404, f"No such object: {object_id}", "after", "not_found")
--- a/lockspoke/batch/received_form.py
+++ b/lockspoke/batch/received_form.py
@@ -1,4 +1,4 @@
-"""Forms with a file, received into a scratch file."""
+"""Receives multipart forms, with the content of their file in a scratch file."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedForm:
-    """A complete form."""
+    """A form that has been received completely."""
 
     fields: dict[str, str]
-    filename: str  # may be empty
-    content: Path  # a scratch file with the content of the file field
-    sha256: str  # of the content
+    filename: str  # The filename that the client sent; may be empty.
+    content: Path  # The scratch file with the content of the file field.
+    sha256: str  # The SHA-256 of the content.
 
 
 class _ContentSink:
-    """Writes a content to a file, within a limit, and computes its checksum."""
+    """Writes the content of a file field to disk, up to a size limit, and computes its checksum."""
 
     def __init__(self, file: BinaryIO, file_field: str, limit: int) -> None:
         self.file = file
@@ -48,7 +48,7 @@
 async def received_form(
     store: BatchStore, request: ApiRequest, file_field: str, limit: int
 ) -> AsyncIterator[ReceivedForm]:
-    """Receive the form in a request; the scratch file is deleted on exit unless the store has moved it.
+    """Receive the form in a request; its scratch file is deleted on exit unless the store has moved it.
 
     Raises:
         ApiError: The form is malformed, or its file is larger than `limit` bytes.
--- a/lockspoke/batch/results.py
+++ b/lockspoke/batch/results.py
@@ -1,4 +1,4 @@
-"""Lines of a batch's output and error files."""
+"""Results of lines, as the output and error files of a batch contain them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from .records import LineStatus
 
-# Error code and message of lines that were not served.
+# Error codes and messages of lines that were not served.
 _LINE_ERRORS = {
     LineStatus.FAILED: ("upstream_failed", "The request was tried and failed; it may have run."),
     LineStatus.CANCELLED: ("batch_cancelled", "This request was not executed: the batch was cancelled."),
@@ -17,7 +17,7 @@
 
 
 def new_result(custom_id: str, status: LineStatus, body: dict[str, Any]) -> dict[str, Any]:
-    """The result of a line with new IDs; `body` is the response of a line that was served."""
+    """The result of a line, with newly generated IDs; `body` is the response if the line was served."""
     result: dict[str, Any] = {
         "id": f"batch_req_{secrets.token_hex(12)}",
         "custom_id": custom_id,
@@ -34,5 +34,5 @@
 
 
 def encode_result(result: dict[str, Any]) -> bytes:
-    """A line of a result file."""
+    """Encode a result as a line of a result file."""
     return json.dumps(result, ensure_ascii=False, separators=(",", ":")).encode() + b"\n"
--- a/lockspoke/batch/routing.py
+++ b/lockspoke/batch/routing.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A handler for one method and one pattern of paths."""
+    """A handler for one method and one path pattern."""
 
     method: str
     pattern: re.Pattern[str]
@@ -21,17 +21,17 @@
 
     @classmethod
     def to(cls, method: str, path: str, handler: Handler) -> Self:
-        """A route; `{id}` in the path stands for the ID of an object."""
+        """Create a route; `{id}` in the path matches the ID of an object."""
         return cls(method, re.compile(path.replace("{id}", OBJECT_ID)), handler)
 
 
 @dataclass(frozen=True, slots=True)
 class RouteMatch:
-    """What the routes say about one request."""
+    """The result of looking up a request's method and path."""
 
-    allowed_methods: frozenset[str]  # empty if the path is unknown
-    handler: Handler | None  # None if the method is not allowed
-    object_id: str
+    allowed_methods: frozenset[str]  # The methods that the path has; empty if the path is unknown.
+    handler: Handler | None  # None if the path is unknown or the method is not allowed.
+    object_id: str  # The ID in the path; empty if the path has none.
 
 
 class Router:
@@ -41,7 +41,7 @@
         self.routes = routes
 
     def match(self, method: str, path: str) -> RouteMatch:
-        """Look up a method and a path."""
+        """Find the handler for a method and a path."""
         allowed: set[str] = set()
         handler: Handler | None = None
         object_id = ""
--- a/lockspoke/batch/settings.py
+++ b/lockspoke/batch/settings.py
@@ -15,18 +15,19 @@
 class BatchSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
     """The section `[batch]`; field names are the keys of the file."""
 
-    listen: str  # host:port
-    store: str  # a folder that survives restarts
-    kind: str = "bulk"  # the request class of a line
-    concurrency: Count = 4  # lines in flight
-    tries: Count = 3  # failed attempts after which a line has failed
-    max_file_mb: Count = 200
-    max_lines: Count = 50000
-    connections: Count = 64
-    token_env: str = ""  # the environment variable that holds the key clients must send
+    listen: str  # The address to listen on, as host:port.
+    store: str  # The folder of the store; it must survive restarts.
+    kind: str = "bulk"  # The request class of lines.
+    concurrency: Count = 4  # The maximum number of lines in flight.
+    tries: Count = 3  # The number of failed attempts after which a line fails.
+    max_file_mb: Count = 200  # The maximum size of a file in mebibytes.
+    max_lines: Count = 50000  # The maximum number of lines in an input file.
+    connections: Count = 64  # The maximum number of client connections.
+    # The environment variable with the bearer token that clients must send; empty if none is required.
+    token_env: str = ""
 
     def __post_init__(self) -> None:
-        """Check what types cannot express.
+        """Check the constraints that the field types cannot express.
 
         Raises:
             ValueError: The store is empty or the address is malformed.
@@ -40,10 +41,10 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Host and port to listen at."""
+        """The host and port to listen on."""
         return decode_address(self.listen, 0)
 
     @property
     def file_limit(self) -> int:
-        """Bytes of the largest file."""
+        """The maximum size of a file in bytes."""
         return self.max_file_mb * MEBIBYTE
--- a/lockspoke/batch/slots.py
+++ b/lockspoke/batch/slots.py
@@ -1,4 +1,4 @@
-"""The bound on lines in flight, and the precedence of interactive requests over lines."""
+"""Limits the lines in flight and gives interactive requests precedence over lines."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 # No line starts for this long after an interactive request was rejected, in nanoseconds.
 PAUSE_AFTER_REJECTION = SECOND
-# Lines in flight or backing off, as a multiple of the concurrency, above which no new line starts: a long
-# overload must not start every line of a file and leave them all backing off.
+# No new line starts while the lines in flight or backing off reach this multiple of the concurrency. Without
+# the limit, a long overload would start every line of a file and leave all of them backing off.
 BACKLOG_FACTOR = 2
 
 
@@ -21,13 +21,13 @@
         self.core = core
         self.concurrency = concurrency
         self.in_flight = 0
-        self.backing_off = 0  # lines that wait for their next attempt without a slot
+        self.backing_off = 0  # Lines without a slot that are waiting for their next attempt.
         self.stopping = False
-        self.changed = asyncio.Event()  # set when the scheduler has something to examine
+        self.changed = asyncio.Event()  # Set to wake the scheduler.
 
     @property
     def backlog_full(self) -> bool:
-        """Whether so many lines have started that no new one should."""
+        """Whether too many lines are in flight or backing off for a new one to start."""
         return self.in_flight + self.backing_off >= BACKLOG_FACTOR * self.concurrency
 
     def available(self) -> bool:
@@ -39,15 +39,15 @@
         return self.in_flight < self.concurrency
 
     def acquire(self) -> None:
-        """Take a slot, even above the bound: a line that only has to be ended needs one as well."""
+        """Take a slot, even above the limit: a line that is only going to be ended takes one as well."""
         self.in_flight += 1
 
     def release(self) -> None:
-        """Give a slot back."""
+        """Release a slot and wake the scheduler."""
         self.in_flight -= 1
         self.changed.set()
 
     def stop(self) -> None:
-        """Let no line start any more."""
+        """Make no slot available any more, and wake the scheduler."""
         self.stopping = True
         self.changed.set()
--- a/lockspoke/batch/subsystem.py
+++ b/lockspoke/batch/subsystem.py
@@ -1,4 +1,4 @@
-"""The batch front as a subsystem of the program: store, runner and front put together."""
+"""The batch front as a subsystem of the program: connects the store, the runner and the front."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from .store import BatchStore
 
 EXPIRY_INTERVAL = 60.0  # seconds between two searches for expired uploads
-FIXED_SETTINGS = ("listen", "store", "connections", "token_env")  # a change needs a restart
+FIXED_SETTINGS = ("listen", "store", "connections", "token_env")  # Changing these requires a restart.
 
 log = structlog.get_logger()
 
@@ -31,7 +31,7 @@
 
 
 def create(settings: BatchSettings, context: SubsystemContext) -> Subsystem:
-    """The batch front; raises ConfigError if the settings do not fit the gateway's configuration."""
+    """Create the batch front; raises ConfigError if the settings do not match the gateway's configuration."""
     return BatchSubsystem(settings, context)
 
 
@@ -66,7 +66,7 @@
             raise ConfigError(f"batch.token_env names {settings.token_env}, which is not set")
         self.descriptors = settings.connections
 
-    def attach(self, core: Core, clients: ClientFront) -> None:  # noqa: ARG002  lines need no client front
+    def attach(self, core: Core, clients: ClientFront) -> None:  # noqa: ARG002  Batches do not use the client front.
         """Open the store and connect runner and front; raises ConfigError if the store cannot be opened."""
         settings = self.settings
         try:
@@ -85,10 +85,10 @@
         )
 
     def prepare_reload(self, settings: BatchSettings, gateway: GatewayConfig) -> Callable[[], None]:
-        """Check new settings; returns what puts them in force.
+        """Check new settings; returns a function that applies them.
 
         Raises:
-            ConfigError: A setting has changed that needs a restart, or the request class is unknown.
+            ConfigError: A changed setting requires a restart, or the request class is unknown.
         """
         for name in FIXED_SETTINGS:
             if getattr(settings, name) != getattr(self.settings, name):
@@ -125,11 +125,11 @@
             await asyncio.sleep(EXPIRY_INTERVAL)
 
     def run_periodic_checks(self) -> None:
-        """Close idle and stalled connections."""
+        """Enforce the time limits and the maximum number of connections."""
         self.front.run_periodic_checks()
 
     def status(self) -> dict[str, Any]:
-        """The numbers of batches and connections."""
+        """The number of batches and of connections."""
         return {"batches": len(self.store.batches), "connections": len(self.front.listener.connections)}
 
     async def drain(self) -> None:
@@ -138,4 +138,4 @@
         await stop_batches(self.front, self.runner, self.store)
 
     def stop(self) -> None:
-        """Do nothing: the drain has closed everything."""
+        """Do nothing: `drain` has closed everything."""
--- a/lockspoke/batch/tables.py
+++ b/lockspoke/batch/tables.py
@@ -1,7 +1,7 @@
 """The store's state in memory, rebuilt from the records of the journal.
 
-`apply` is the only way to change it, at start-up and afterwards, so a restart arrives at the same state.
-Operation names and keys of records are a storage format and must not change.
+`StoreTables.apply` is the only way to change it, at start-up and afterwards, so a restart rebuilds the same
+state. Operation names and keys of records are part of the storage format and must not change.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class IdempotentCreation:
-    """A creation that was made with an idempotency key."""
+    """An object that was created by a request with an idempotency key."""
 
-    fingerprint: str  # of the request that came with the key
-    object_id: str  # of what the request created
+    fingerprint: str  # The fingerprint of the request.
+    object_id: str  # The ID of the object.
 
 
 class StoreTables:
@@ -41,10 +41,10 @@
         }
 
     def apply(self, offset: int, record: Record) -> None:
-        """Make the change that a record describes; `offset` is its position in the journal.
+        """Apply the change that a record describes; `offset` is its position in the journal.
 
         Raises:
-            StoreError: The record ends a line that has ended.
+            StoreError: The record ends a line that has already ended.
         """
         applier = self._appliers.get(record["op"])
         if applier is not None:
--- a/lockspoke/batch/tasks.py
+++ b/lockspoke/batch/tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks whose failures are logged, and writes that are retried until they succeed."""
+"""Background tasks whose failures are logged, and reads and writes that are retried until they succeed."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 async def retry_until_stored(write: Callable[[], Awaitable[None]]) -> None:
-    """Repeat a write until it succeeds: what has happened must not be lost to a full disk."""
+    """Repeat a write until it succeeds, so that nothing is lost because of a full disk."""
     while True:
         try:
             await write()
@@ -53,7 +53,7 @@
 
 
 async def retry_until_readable(read: Callable[[], Awaitable[ResultT]]) -> ResultT:
-    """Repeat a read until the system allows it: what was accepted must not be dropped for a failing disk."""
+    """Repeat a read until it succeeds, so that no accepted batch fails because of a temporary error."""
     while True:
         try:
             return await read()
--- a/lockspoke/batch/upload_handlers.py
+++ b/lockspoke/batch/upload_handlers.py
@@ -1,4 +1,4 @@
-"""Handlers of `/v1/uploads`: files in parts, for clients whose connection may break."""
+"""Handlers of `/v1/uploads`: files uploaded in parts, for clients with unreliable connections."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from .store import BatchStore
 from .validation import purpose_member, size_member, text_member
 
-PART_LIMIT = 64 * 1024 * 1024  # bytes of one part
-UPLOAD_LIFETIME = 3600  # seconds
+PART_LIMIT = 64 * 1024 * 1024  # the maximum size of a part in bytes
+UPLOAD_LIFETIME = 3600  # seconds until a pending upload expires
 
 
 class UploadHandlers:
-    """Creates uploads, takes their parts and makes them files."""
+    """Creates uploads, receives their parts and turns them into files."""
 
     def __init__(self, store: BatchStore, limits: FrontLimits) -> None:
         self.store = store
@@ -41,9 +41,9 @@
         async with self.store.creation_lock:
             key = idempotency_key(self.store, request, fingerprint(body.raw))
             if key.existing_id:
-                return replayed(self._object(self._find(key.existing_id)))
+                return replayed(self._upload_object(self._find(key.existing_id)))
             upload = await self.store.add_upload(key.key, key.fingerprint, UPLOAD_LIFETIME, **fields)
-            return JsonResponse(self._object(upload))
+            return JsonResponse(self._upload_object(upload))
 
     async def add_part(self, request: ApiRequest) -> JsonResponse:
         """`POST /v1/uploads/{id}/parts`."""
@@ -63,13 +63,15 @@
         async with self.store.creation_lock:
             upload = self._find(request.object_id)
             if upload.status is UploadStatus.COMPLETED:
-                return replayed(self._object(upload))  # the first response may have been lost
+                return replayed(
+                    self._upload_object(upload)
+                )  # The response to the first request may have been lost.
             await self._require_pending(upload)
             digests = await self.store.join_parts(upload, _checked_parts(upload, members))
             if members.get("md5") not in (None, digests.md5):
                 raise ApiError(400, "The parts do not have this MD5.", "md5", "checksum_mismatch")
             await self.store.complete_upload(upload, digests.sha256)
-            return JsonResponse(self._object(upload))
+            return JsonResponse(self._upload_object(upload))
 
     async def cancel(self, request: ApiRequest) -> JsonResponse:
         """`POST /v1/uploads/{id}/cancel`."""
@@ -78,7 +80,7 @@
             if upload.status is not UploadStatus.CANCELLED:
                 await self._require_pending(upload)
                 await self.store.abandon_upload(upload, UploadStatus.CANCELLED)
-            return JsonResponse(self._object(upload))
+            return JsonResponse(self._upload_object(upload))
 
     def _find(self, upload_id: str) -> Upload:
         upload = self.store.uploads.get(upload_id)
@@ -91,12 +93,12 @@
         if upload.status is not UploadStatus.PENDING:
             raise ApiError(409, f"The upload is {upload.status}.", "id", f"upload_{upload.status}")
 
-    def _object(self, upload: Upload) -> dict[str, Any]:
+    def _upload_object(self, upload: Upload) -> dict[str, Any]:
         return upload_object(upload, self.store.files.get(upload.file_id))
 
 
 def _checked_parts(upload: Upload, members: dict[str, Any]) -> list[str]:
-    """The parts that an upload is to consist of, in order."""
+    """The IDs of the parts to join, in order; raises ApiError if they do not match the upload."""
     part_ids = members.get("part_ids")
     if (
         not isinstance(part_ids, list)
--- a/lockspoke/batch/validation.py
+++ b/lockspoke/batch/validation.py
@@ -14,8 +14,8 @@
 from .errors import ApiError
 from .input_lines import MAX_ID_LENGTH
 
-ENDPOINT = "/v1/chat/completions"  # the only one that batches may use
-PURPOSE = "batch"  # the only one that files may have
+ENDPOINT = "/v1/chat/completions"  # The only endpoint that batches may use.
+PURPOSE = "batch"  # The only purpose that clients may give to files.
 MAX_METADATA_PAIRS = 16
 MAX_METADATA_KEY_LENGTH = 64
 MAX_METADATA_VALUE_LENGTH = 512
@@ -26,7 +26,7 @@
 
 
 def decode_json(body: bytes) -> dict[str, Any]:
-    """The object in a request body; an empty body is an empty object."""
+    """Decode the JSON object in a request body; an empty body is decoded as an empty object."""
     try:
         members = json.loads(body or b"{}")
     except (ValueError, RecursionError):
@@ -37,7 +37,7 @@
 
 
 def text_member(members: Mapping[str, Any], name: str, max_length: int = MAX_ID_LENGTH) -> str:
-    """A required member, as text."""
+    """A required string member."""
     value = members.get(name)
     if not isinstance(value, str) or not value:
         raise ApiError(400, f"Missing required parameter: '{name}'.", name, "missing_required_parameter")
@@ -47,7 +47,7 @@
 
 
 def size_member(members: Mapping[str, Any], name: str) -> int:
-    """A required member, as a size in bytes."""
+    """A required member that is a size in bytes."""
     value = members.get(name)
     if isinstance(value, bool) or not isinstance(value, int) or value <= 0:
         raise ApiError(400, f"'{name}' must be a whole number above 0.", name, "invalid_value")
@@ -55,7 +55,7 @@
 
 
 def purpose_member(members: Mapping[str, Any]) -> str:
-    """The purpose of a file."""
+    """The member `purpose` of a file, which must be 'batch'."""
     purpose = text_member(members, "purpose")
     if purpose != PURPOSE:
         raise ApiError(400, "'purpose' must be 'batch'.", "purpose", "invalid_value")
@@ -63,13 +63,13 @@
 
 
 def require_supported_endpoint(endpoint: str) -> None:
-    """Check the endpoint of a batch."""
+    """Check that batches may use an endpoint."""
     if endpoint != ENDPOINT:
         raise ApiError(400, f"'endpoint' must be {ENDPOINT!r}.", "endpoint", "invalid_value")
 
 
 def metadata_member(members: Mapping[str, Any]) -> dict[str, str]:
-    """The metadata of a batch: a few pairs of texts."""
+    """The member `metadata` of a batch: up to `MAX_METADATA_PAIRS` pairs of strings."""
     pairs = members.get("metadata") or {}
     is_valid = isinstance(pairs, dict) and len(pairs) <= MAX_METADATA_PAIRS
     if not is_valid or not all(_is_metadata_pair(key, value) for key, value in pairs.items()):
@@ -98,7 +98,7 @@
 
 
 def page_limit(text: str, default: int, maximum: int) -> int:
-    """The `limit` of a listing; an empty text gives the default."""
+    """Decode the `limit` of a listing; the default if the text is empty."""
     if not text:
         return default
     if not (text.isascii() and text.isdigit() and 1 <= int(text[:9]) <= maximum):
@@ -108,10 +108,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ByteRange:
-    """A part of a file, in bytes."""
+    """A range of bytes in a file."""
 
     start: int
-    end: int  # exclusive
+    end: int  # The offset after the last byte.
 
     @property
     def length(self) -> int:
@@ -120,12 +120,12 @@
 
 
 def decode_range(text: str, size: int) -> ByteRange | None:
-    """The range that a `Range` header asks for; None to send the complete file.
+    """Decode a `Range` header; None to send the complete file.
 
-    The result is also None for what a server may ignore: several ranges, other units, a malformed header.
+    Headers that a server may ignore result in None: several ranges, units other than bytes, malformed values.
 
     Raises:
-        ApiError: The range lies past the end of the file (416).
+        ApiError: The range starts past the end of the file or is empty (416).
     """
     match = _RANGE.fullmatch(text.replace(" ", ""))
     if not match or match[1] == match[2] == "":
