--- a/tests/batch/api_client.py
+++ b/tests/batch/api_client.py
@@ -1,4 +1,4 @@
-"""A client of the batch API, and the settings of a program that serves it."""
+"""A client of the batch API, and the edge file of a program that serves it."""
 
 from __future__ import annotations
 
@@ -38,9 +38,11 @@
     ) -> tuple[Any, dict[str, str]]:
         raw = body if isinstance(body, bytes) else b"" if body is None else json.dumps(body).encode()
         fields = {"Host": "a"} | {name.replace("_", "-"): value for name, value in headers.items()}
-        status, got, data, complete = await self.client.request(encode_request(method, path, fields, raw))
+        status, response_headers, data, complete = await self.client.request(
+            encode_request(method, path, fields, raw)
+        )
         assert (status, complete) == (expect, True), (status, data)
-        return (json.loads(data) if "json" in got["content-type"] else data), got
+        return (json.loads(data) if "json" in response_headers["content-type"] else data), response_headers
 
     async def send_form(self, path: str, name: str, data: bytes, expect: int = 200, **headers: str) -> Any:
         body = b'--b\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n'
@@ -79,9 +81,9 @@
 
 
 def batch_port(program: Program) -> int:
-    found = program.log("batch_listening")
-    assert found is not None
-    return int(found["port"])
+    event = program.log("batch_listening")
+    assert event is not None
+    return int(event["port"])
 
 
 async def connect(program: Program) -> Api:
--- a/tests/batch/gateway_probes.py
+++ b/tests/batch/gateway_probes.py
@@ -1,8 +1,8 @@
-"""Probes that show whether a gateway still serves everybody else while its batch front is busy.
+"""Probes that measure whether a gateway serves other requests in time while its batch front is busy.
 
-Each probe records the longest delay that its client saw. The bounds are the stated
-aims: an event of a stream is forwarded within 0.3 s of its replica writing it, and an operator's call and
-`GET /up` are answered within a second.
+Each probe records the delays that its client measures. The limits are the goals of the gateway: an event of a
+stream is forwarded within 0.3 s after its replica has written it, and an operator's request and `GET /up` are
+answered within a second.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from tests.standins import STREAM_HEAD, STREAM_TAIL, Client, FakeReplica, Program, chunk, request_bytes, until
 
 MAX_EVENT_DELAY = 0.3  # seconds from a replica's write to the client's read
-MAX_ANSWER_DELAY = 1.0  # seconds for `GET /up` and for an operator's call
-# Seconds after which a probe gives up: the gateway does not answer at all.
+MAX_RESPONSE_DELAY = 1.0  # seconds for `GET /up` and for an operator's request
+# Seconds without a response after which a probe fails.
 PROBE_TIMEOUT = 8.0
-# Delay of the probing process's own loop above which its measurements say nothing about the gateway.
+# Delay of the test process's own event loop, in seconds, above which its measurements are not valid.
 MAX_OWN_DELAY = 0.1
 UP_INTERVAL = 0.02
 OPERATOR_INTERVAL = 0.1
@@ -35,7 +35,7 @@
 
 
 class TimestampReplica(FakeReplica):
-    """Answers lines of batches at once, and streams to interactive requests the time of each write."""
+    """Answers lines of batches like `FakeReplica`, and sends interactive requests the time of each write."""
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
         if request.head.headers.get("req-kind") != "docs":
@@ -54,29 +54,29 @@
 
 @dataclass
 class Measurements:
-    """What the probes have seen, in seconds."""
+    """The delays that the probes have measured, in seconds, and their failures."""
 
     up_delays: list[float] = field(default_factory=list)
     operator_delays: list[float] = field(default_factory=list)
     event_delays: list[float] = field(default_factory=list)
     own_delays: list[float] = field(default_factory=list)
-    faults: list[str] = field(default_factory=list)
+    failures: list[str] = field(default_factory=list)
 
     def is_void(self) -> bool:
-        """Whether the probing process itself was too late for its measurements to count."""
+        """Whether the test process's own event loop was too late for the measurements to be valid."""
         return max(self.own_delays, default=0.0) > MAX_OWN_DELAY
 
     def violations(self) -> list[str]:
-        """The aims that were missed, each with what was measured.
+        """The limits that were exceeded, each with the measured delay.
 
-        A delay holds the lateness of the probing process itself, at its begin and at its end, which is not
-        the gateway's.
+        A measured delay may include the delay of the test process's own event loop twice, at its start and at
+        its end, so each limit is raised by that much.
         """
-        found = list(self.faults)
+        found = list(self.failures)
         own = 2 * max(self.own_delays, default=0.0)
         for name, delays, bound in (
-            ("GET /up", self.up_delays, MAX_ANSWER_DELAY),
-            ("an operator's call", self.operator_delays, MAX_ANSWER_DELAY),
+            ("GET /up", self.up_delays, MAX_RESPONSE_DELAY),
+            ("an operator's call", self.operator_delays, MAX_RESPONSE_DELAY),
             ("an event of an interactive stream", self.event_delays, MAX_EVENT_DELAY),
         ):
             if not delays:
@@ -98,7 +98,7 @@
 
 
 class GatewayProbes:
-    """Asks a running gateway for what must not wait for batches."""
+    """Sends a running gateway requests that batches must not delay."""
 
     def __init__(self, program: Program) -> None:
         self._program = program
@@ -107,10 +107,10 @@
 
     @asynccontextmanager
     async def running(self) -> AsyncIterator[Measurements]:
-        """Probe until the block ends."""
+        """Run the probes until the block ends."""
         await until(lambda: self._program.log("operators_listening") is not None)
         probes = (self._probe_up, self._probe_operator, self._probe_stream, self._measure_own_delay)
-        tasks = [asyncio.ensure_future(self._repeat(probe)) for probe in probes]
+        tasks = [asyncio.ensure_future(self._run_probe(probe)) for probe in probes]
         try:
             yield self.measurements
         finally:
@@ -118,36 +118,36 @@
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _repeat(self, probe: Callable[[], Awaitable[None]]) -> None:
+    async def _run_probe(self, probe: Callable[[], Awaitable[None]]) -> None:
         try:
             await probe()
         except TimeoutError:
-            self.measurements.faults.append(f"{probe.__name__}: no answer within {PROBE_TIMEOUT} s")
+            self.measurements.failures.append(f"{probe.__name__}: no answer within {PROBE_TIMEOUT} s")
         except OSError as error:
-            self.measurements.faults.append(f"{probe.__name__}: {error!r}")
+            self.measurements.failures.append(f"{probe.__name__}: {error!r}")
 
     async def _probe_up(self) -> None:
         async with Client(self._program.port) as client:
             while True:
-                await self._ask(client, UP, self.measurements.up_delays)
+                await self._time_request(client, UP, self.measurements.up_delays)
                 await asyncio.sleep(UP_INTERVAL)
 
     async def _probe_operator(self) -> None:
         port = self._program.log("operators_listening")["port"]  # type: ignore[index]  # awaited by `running`
-        while True:  # each call on a connection of its own: the gateway closes it after its response
+        while True:  # Each request needs a new connection: the gateway closes it after the response.
             async with Client(port) as client:
-                await self._ask(client, READY, self.measurements.operator_delays)
+                await self._time_request(client, READY, self.measurements.operator_delays)
             await asyncio.sleep(OPERATOR_INTERVAL)
 
-    async def _ask(self, client: Client, raw: bytes, delays: list[float]) -> None:
-        asked_at = time.monotonic()
+    async def _time_request(self, client: Client, raw: bytes, delays: list[float]) -> None:
+        sent_at = time.monotonic()
         client.writer.write(raw)
         # Not `wait_for`: before Python 3.12 it may swallow the cancellation that ends the probe.
         async with asyncio.timeout(PROBE_TIMEOUT):
             status, _, _, complete = await client.read_response()
-        delays.append(time.monotonic() - asked_at)
+        delays.append(time.monotonic() - sent_at)
         if status != 200 or not complete:
-            self.measurements.faults.append(f"{raw.split()[1].decode()}: {status}, complete: {complete}")
+            self.measurements.failures.append(f"{raw.split()[1].decode()}: {status}, complete: {complete}")
 
     async def _probe_stream(self) -> None:
         async with Client(self._program.port) as client:
@@ -162,7 +162,7 @@
                 data = await client.reader.read(65536)
             read_at = time.monotonic()
             if not data:
-                self.measurements.faults.append("an interactive stream broke off")
+                self.measurements.failures.append("an interactive stream broke off")
                 raise ConnectionResetError
             for piece in parser.feed(data):
                 if isinstance(piece, BodyChunk):
--- a/tests/batch/harness.py
+++ b/tests/batch/harness.py
@@ -1,4 +1,4 @@
-"""Input lines, and a batch runner on a core whose replicas the test plays."""
+"""Input lines, and a batch runner on a core whose attempts are answered by the test."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 ENDPOINT = "/v1/chat/completions"
 RESPONSE = b"".join(EVENTS) + STREAM_TAIL
 MAX_REQUEST_SIZE = 64 * 1024  # bytes
-TIMEOUT = 30  # seconds that a scenario may take
+TIMEOUT = 30  # the maximum duration of a scenario in seconds
 LINE: dict[str, Any] = {
     "custom_id": "a",
     "method": "POST",
@@ -40,7 +40,7 @@
 
 
 def api_request(method: str, path: str, object_id: str, body: bytes = b"") -> ApiRequest:
-    """A request as handlers of the batch API get it."""
+    """A request as handlers of the batch API receive it."""
     raw = encode_request(method, path, {"Host": "a"}, body)
     head, *pieces = RequestParser(MAX_REQUEST_SIZE).feed(raw)
     assert isinstance(head, RequestHead)
@@ -68,7 +68,7 @@
         return self.clock
 
     async def create_batch(self, *input_lines: dict[str, Any] | bytes, window: int = 60) -> Batch:
-        """Store an input file and begin a batch that reads it."""
+        """Store an input file, and create and start a batch for it."""
         path, file = self.store.open_scratch()
         with file:
             for line in input_lines:
@@ -96,13 +96,13 @@
         attempt.end(Outcome.OK)
 
     def reject(self, attempt: Attempt, retry_after: int) -> None:
-        """Reject an attempt's request, as the core does when it sheds load; nanoseconds."""
+        """Reject a request as the core does when it sheds load; `retry_after` is in nanoseconds."""
         attempt.outcome = Outcome.OVERLOADED
         attempt.request.answered = True
         attempt.request.response.reject(retry_after)
 
     def results(self, batch: Batch) -> dict[str, str]:
-        """What both result files say by `custom_id`: an error code or "served"."""
+        """The entries of both result files by `custom_id`: an error code or "served"."""
         rows = []
         for file_id in (batch.output_file_id, batch.error_file_id):
             if file_id:
@@ -112,7 +112,7 @@
         return found
 
     def run(self, scenario: Callable[[], Awaitable[None]]) -> None:
-        """Run a scenario beside the runner, then close both runner and store."""
+        """Run a scenario while the runner is running, then stop the runner and close the store."""
 
         async def run() -> None:
             self.runner.start()
--- a/tests/batch/test_cancelled_batches.py
+++ b/tests/batch/test_cancelled_batches.py
@@ -1,15 +1,9 @@
-"""Cancelling a long batch must not stop the gateway for everybody else.
+"""Cancelling a long batch must not block the event loop.
 
-What happened: a client cancelled a batch of some thousand lines, and from then on the process answered
-nobody: no `GET /up`, no interactive request, no operator's call, no SIGTERM, until it was killed.
-
-Why: at most 64 lines are ended without an attempt at the same time. While the other lines of the cancelled
-batch waited for that, `LineScheduler._start_lines` looked for a line to start as long as any batch had lines
-left. A cancelled batch has lines left and none that may start, so the loop turned without ever awaiting.
-
-What showed it: in five runs of five (1 or 3 batches of 3,000 lines, `concurrency` 2, 8 and 32) the process
-used a whole core, its log ended with `batch_started`, and a stack taken a second after the last answer stood
-in `_start_lines` or in what that calls.
+After the cancellation of a batch with 3,000 lines the process used a whole core and did not respond to any
+request or to SIGTERM. At most 64 lines are ended without an attempt at the same time. While the others
+waited, `LineScheduler._start_lines` looped without awaiting, because the cancelled batch still had lines, but
+none that it may start. It happened in each of five runs with 1 or 3 batches and a concurrency of 2, 8 or 32.
 """
 
 from __future__ import annotations
@@ -26,8 +20,8 @@
 from .gateway_probes import GatewayProbes, TimestampReplica
 
 
-async def statuses_of_lines(api: Api, batch_id: str) -> Counter[str]:
-    """How often each result stands in the batch's two files; every line must have exactly one."""
+async def count_line_results(api: Api, batch_id: str) -> Counter[str]:
+    """Count the results in the batch's two result files by kind; no line may have two results."""
     batch = await api.wait_until_final(batch_id)
     results = []
     for file_id in (batch["output_file_id"], batch["error_file_id"]):
@@ -38,7 +32,7 @@
 
 
 @pytest.mark.parametrize(("batches", "concurrency"), [(1, 8), (3, 32)])
-def test_a_gateway_serves_everybody_else_while_long_batches_are_cancelled(
+def test_cancelling_long_batches_does_not_delay_other_requests(
     tmp_path: Path, batches: int, concurrency: int
 ) -> None:
     count = 3000
@@ -58,7 +52,7 @@
                 for batch_id in ids:
                     await api.request("POST", f"/v1/batches/{batch_id}/cancel")
                 for batch_id in ids:
-                    statuses = await statuses_of_lines(api, batch_id)
+                    statuses = await count_line_results(api, batch_id)
                     assert statuses.total() == count, statuses
                     assert set(statuses) <= {"served", "batch_cancelled"}, statuses
             assert not measurements.violations(), measurements.summary()
--- a/tests/batch/test_chat_completion.py
+++ b/tests/batch/test_chat_completion.py
@@ -1,4 +1,4 @@
-"""Prompt sizes, and responses assembled from event streams."""
+"""Estimating prompt sizes, and assembling responses from event streams."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.standins import EVENTS, STREAM_TAIL
 
 
-def test_a_prompt_is_measured_in_tokens_of_four_characters() -> None:
+def test_prompt_sizes_are_estimated_at_four_characters_per_token() -> None:
     messages = [{"role": "system", "content": "x" * 398}, {"role": "user", "content": "y" * 198}]
     prompt = measure_prompt({"messages": messages, "max_tokens": 50})
     assert (prompt.tokens, prompt.prefix_tokens, prompt.max_tokens) == (150.0, 100.0, 50.0)
--- a/tests/batch/test_deleted_input.py
+++ b/tests/batch/test_deleted_input.py
@@ -1,14 +1,10 @@
-"""An input file that cannot be read while its batch runs must not stop the batch front.
+"""An input file that cannot be read while its batch runs must not block other batches.
 
-What happened: the lines of such a batch never ended, other batches started no line any more, and SIGTERM
-waited for the slots until the kill. A file cannot be read when it was deleted as its batch was created (the
-API refuses that at any other time), when somebody removed it, or when all descriptors are taken.
-
-Why: a result holds the line's `custom_id`, which is read from the file. The error left the line's task, so
-that its slot, and its place among the lines that are being ended, were never given back.
-
-What showed it: these tests; `batch_task_failed` with FileNotFoundError, once for each line in a slot and once
-for each of the 64 lines that may be ended at the same time, and nothing after that.
+Ending a line reads its `custom_id` from the input file. If that failed, the exception ended the line's task
+without releasing its slot, or its place among the 64 lines that may be ended at the same time. The batch
+never ended, other batches started no more lines, and a shutdown waited for the slots until the process was
+killed. The file cannot be read if it was deleted while its batch was being created (the API refuses to delete
+it at any other time), if it was removed from the disk, or if no file descriptor is free.
 """
 
 from __future__ import annotations
@@ -33,7 +29,7 @@
 from .harness import ENDPOINT, Harness, api_request, lines
 
 
-def test_lines_of_a_deleted_input_file_end_and_other_batches_go_on(tmp_path: Path) -> None:
+def test_lines_of_a_deleted_input_file_end_and_other_batches_continue(tmp_path: Path) -> None:
     harness = Harness(tmp_path, concurrency=2)
 
     async def scenario() -> None:
@@ -54,15 +50,15 @@
     harness.run(scenario)
 
 
-def test_a_line_that_ends_while_its_file_cannot_be_opened_ends_later(
+def test_ending_a_line_is_retried_while_its_input_file_cannot_be_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All descriptors are taken for a moment, as in a crowd of clients."""
+    """No file descriptor is free for a moment, as with many clients."""
     monkeypatch.setattr(tasks, "WRITE_RETRY_INTERVAL", 0.05)
     harness = Harness(tmp_path, concurrency=1)
     read, failures = harness.runner.lines.read, 0
 
-    def read_without_descriptors(batch: Batch, offset: int) -> InputLine:
+    def read_after_failures(batch: Batch, offset: int) -> InputLine:
         nonlocal failures
         if failures < 3:
             failures += 1
@@ -72,7 +68,7 @@
     async def scenario() -> None:
         batch = await harness.create_batch(*lines(2))
         await until(lambda: len(harness.in_flight()) == 1)
-        monkeypatch.setattr(harness.runner.lines, "read", read_without_descriptors)
+        monkeypatch.setattr(harness.runner.lines, "read", read_after_failures)
         harness.serve(harness.in_flight()[0])
         await until(lambda: failures == 3 and bool(harness.in_flight()))
         harness.serve(harness.in_flight()[0])
@@ -82,19 +78,19 @@
     harness.run(scenario)
 
 
-def test_a_file_is_not_deleted_while_a_batch_that_reads_it_is_created(
+def test_a_batch_is_not_created_while_its_input_file_is_being_deleted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness = Harness(tmp_path, concurrency=1)
     deleting = asyncio.Event()
     delete_file = harness.store.delete_file
 
-    async def delete_later(file: File) -> None:
+    async def delete_slowly(file: File) -> None:
         deleting.set()
-        await asyncio.sleep(0.1)  # the write of the deletion, in which the batch is created
+        await asyncio.sleep(0.1)  # The batch is created while the deletion is being written.
         await delete_file(file)
 
-    monkeypatch.setattr(harness.store, "delete_file", delete_later)
+    monkeypatch.setattr(harness.store, "delete_file", delete_slowly)
 
     async def scenario() -> None:
         first = await harness.create_batch(*lines(1))
@@ -115,7 +111,7 @@
     harness.run(scenario)
 
 
-def test_a_cancelled_batch_whose_input_file_is_deleted_ends(tmp_path: Path) -> None:
+def test_a_cancelled_batch_with_a_deleted_input_file_ends(tmp_path: Path) -> None:
     harness = Harness(tmp_path, concurrency=1)
 
     async def scenario() -> None:
@@ -133,21 +129,21 @@
     harness.run(scenario)
 
 
-def test_a_batch_whose_input_file_cannot_be_read_for_a_moment_begins_later(
+def test_validation_is_retried_while_the_input_file_cannot_be_read(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Before it has been read once: all descriptors are taken, or the disk fails."""
+    """The first read fails because no file descriptor is free, or because of a disk error."""
     monkeypatch.setattr(tasks, "WRITE_RETRY_INTERVAL", 0.05)
     harness = Harness(tmp_path)
     failures = [errno.EMFILE, errno.EIO]
     index = harness.runner.lines.index
 
-    def index_later(batch: Batch) -> InputIndex:
+    def index_after_failures(batch: Batch) -> InputIndex:
         if failures:
             raise OSError(failures.pop(), "injected")
         return index(batch)
 
-    monkeypatch.setattr(harness.runner.lines, "index", index_later)
+    monkeypatch.setattr(harness.runner.lines, "index", index_after_failures)
 
     async def scenario() -> None:
         batch = await harness.create_batch(*lines(2))
@@ -161,23 +157,23 @@
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.EIO])
-def test_a_file_that_cannot_be_opened_for_a_moment_does_not_count_as_gone(
+def test_an_input_file_that_cannot_be_opened_is_not_treated_as_deleted(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: int
 ) -> None:
-    """The batch would have failed for good, though its file is there."""
+    """Only a missing file fails the batch; after any other error the file is opened again."""
     monkeypatch.setattr(tasks, "WRITE_RETRY_INTERVAL", 0.05)
     harness = Harness(tmp_path)
     opened = Path.open
     failures = [error]
 
-    def open_later(path: Path, mode: str = "r") -> Any:
+    def open_after_failures(path: Path, mode: str = "r") -> Any:
         if failures and path.parent.name == "files" and mode == "rb":
             raise OSError(failures.pop(), "injected")
         return opened(path, mode)
 
     async def scenario() -> None:
         batch = await harness.create_batch(*lines(1))
-        monkeypatch.setattr(Path, "open", open_later)
+        monkeypatch.setattr(Path, "open", open_after_failures)
         await until(lambda: len(harness.in_flight()) == 1)
         harness.serve(harness.in_flight()[0])
         await until(lambda: batch.is_final)
--- a/tests/batch/test_form.py
+++ b/tests/batch/test_form.py
@@ -19,7 +19,7 @@
 
 @reproducible
 @given(st.lists(st.integers(0)))
-def test_a_form_reads_the_same_wherever_it_is_split(cuts: list[int]) -> None:
+def test_a_form_is_parsed_the_same_wherever_it_is_split(cuts: list[int]) -> None:
     content: list[bytes] = []
     form = FormReader("multipart/form-data; boundary=b1", "file", content.append)
     for part in split_at(FORM, cuts):
@@ -31,7 +31,7 @@
 
 @reproducible
 @given(st.lists(st.binary(max_size=40) | st.sampled_from([FORM, FORM[:60], b"--b1", b"\r\n\r\n"])))
-def test_a_malformed_form_raises_nothing_but_an_api_error(parts: list[bytes]) -> None:
+def test_a_malformed_form_raises_only_api_errors(parts: list[bytes]) -> None:
     form = FormReader("multipart/form-data; boundary=b1", "file", lambda _: None)
     status = None
     try:
--- a/tests/batch/test_journal.py
+++ b/tests/batch/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal: records survive a crash, and damage is detected."""
+"""The journal: records survive a crash, and damaged records are detected."""
 
 from __future__ import annotations
 
@@ -97,10 +97,10 @@
 
 
 class FailingDisk:
-    """Writes half and fails, and for a while rejects truncations, too."""
+    """A disk that fails after writing half of the data, and fails the given number of truncations."""
 
     def __init__(self, patch: pytest.MonkeyPatch, truncations: int) -> None:
-        self.truncations = truncations  # that fail
+        self.truncations = truncations  # The number of truncations that are still to fail.
         self.write, self.truncate = os.write, os.ftruncate
         patch.setattr("lockspoke.batch.journal.os.write", self.write_half)
         patch.setattr("lockspoke.batch.journal.os.ftruncate", self.reject_truncation)
@@ -117,10 +117,10 @@
 
 
 @pytest.mark.parametrize("truncations", [0, 1, 2])
-def test_records_behind_a_write_that_was_left_half_done_can_be_read_after_a_restart(
+def test_records_after_a_partial_write_are_readable_after_a_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, truncations: int
 ) -> None:
-    """The write fails, and so does the attempt to take the half back."""
+    """The write fails halfway, and so do truncations that would remove the partial record."""
     path, acknowledged = tmp_path / "journal", [1]
 
     async def scenario() -> None:
@@ -144,7 +144,7 @@
     assert [record["n"] for _, record in open_journal(path).load()] == acknowledged
 
 
-def test_a_kill_after_a_half_write_that_could_not_be_taken_back_loses_no_record(
+def test_a_crash_after_a_partial_write_loses_no_earlier_record(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
--- a/tests/batch/test_large_transfers.py
+++ b/tests/batch/test_large_transfers.py
@@ -1,13 +1,9 @@
-"""A fast client that sends or takes a large file must not hold the event loop.
+"""A fast client that uploads or downloads a large file must not block the event loop.
 
-What happened: while a client on a fast link uploaded a file, interactive streams, `GET /up` and operators'
-calls waited until the upload was over.
-
-Why: `await` gives way to other tasks only if it has to wait, and a read from a socket that holds bytes
-already does not. So the loop that reads a body went on for as long as the client was fast enough.
-
-What showed it: this test with uploads of 64, 190 and 400 MB, whose longest delays grew with the size: 0.2,
-0.47 and 0.94 s. Downloads did not (at most 25 ms): the kernel's buffer fills up, and the write waits.
+An `await` yields to other tasks only if it has to wait, and a read does not wait while the socket has data.
+A fast upload therefore blocked streams, `GET /up` and operators' requests until it ended: for 0.2, 0.47 and
+0.94 s with 64, 190 and 400 MB. Downloads caused delays of at most 25 ms, as writes wait once the socket's
+send buffer is full.
 """
 
 from __future__ import annotations
@@ -21,8 +17,8 @@
 from .api_client import batch_config, batch_port, connect
 from .gateway_probes import GatewayProbes, TimestampReplica
 
-SIZE_MB = 190  # a little less than the default limit of 200
-# In a process of its own, so that it is as fast as the kernel and does not delay the probes.
+SIZE_MB = 190  # just below the default limit of 200
+# Runs in a separate process, so that it is as fast as the kernel allows and does not delay the probes.
 UPLOAD = """
 import socket, sys
 port, size = int(sys.argv[1]), int(sys.argv[2])
@@ -57,7 +53,7 @@
     assert await process.wait() == 0
 
 
-def test_a_large_upload_and_a_large_download_delay_nobody_else(tmp_path: Path) -> None:
+def test_large_transfers_do_not_delay_other_requests(tmp_path: Path) -> None:
     options = ("--batch", batch_config(tmp_path, max_file_mb=200))
     size = SIZE_MB * 1024 * 1024
 
--- a/tests/batch/test_program.py
+++ b/tests/batch/test_program.py
@@ -1,4 +1,4 @@
-"""The batch front in a running program: a crash, reloads, and interactive requests beside it."""
+"""The batch front in a running program: restarts, settings, and its effect on interactive requests."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 LINES = 2000
 
 
-def test_two_thousand_lines_survive_a_kill_and_a_restart(tmp_path: Path) -> None:
+def test_a_batch_completes_after_a_kill_and_a_restart(tmp_path: Path) -> None:
     options = ("--batch", batch_config(tmp_path))
 
     async def scenario() -> None:
@@ -46,7 +46,7 @@
                 assert counts["total"] == LINES
                 assert 0 < counts["completed"] < LINES
                 await until(lambda: len(one.seen) + len(two.seen) > 2 * LINES // 3)
-                assert await program.terminate() == 0  # a graceful shutdown as well
+                assert await program.terminate() == 0  # A graceful shutdown also leaves lines open.
             async with Program(one, two, options=options) as program:
                 api = await connect(program)
                 batch = await api.wait_until_final(batch_id)
@@ -63,7 +63,7 @@
 
 
 async def serve_docs(port: int, count: int, rate: float) -> tuple[int, list[float]]:
-    """How many of `count` `docs` requests were served in time, and the seconds that each took."""
+    """Send `count` `docs` requests; returns how many were served in time, and all durations in seconds."""
     durations: list[float] = []
 
     async def request(number: int) -> bool:
@@ -78,7 +78,7 @@
 
 
 class BusyReplica(FakeReplica):
-    """A replica with a few slots and a short queue, which sheds what exceeds them."""
+    """A replica with a few slots and a short queue, which rejects requests above both."""
 
     def __init__(self, slots: int = 4, queue: int = 8, pause: float = 0.05) -> None:
         super().__init__(pause=pause)
@@ -92,7 +92,7 @@
         self.capacity -= 1
         try:
             async with self.slots:
-                for event in EVENTS:  # together they take the pause
+                for event in EVENTS:  # Both events together take `pause` seconds.
                     await asyncio.sleep(self.pause / 2)
                     writer.write((STREAM_HEAD if event is EVENTS[0] else b"") + chunk(event))
                 writer.write(chunk(STREAM_TAIL) + chunk(b""))
@@ -101,36 +101,42 @@
             self.capacity += 1
 
 
-def test_interactive_requests_are_served_beside_a_batch_as_without_it(
+def test_a_batch_does_not_slow_down_interactive_requests(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    """80 requests a second take a third of the capacity of two such replicas."""
+    """80 requests per second use a third of the capacity of two such replicas."""
     count, rate = 400, 80.0
     options = ("--batch", batch_config(tmp_path, concurrency=4))
 
     async def scenario() -> tuple[int, int, int]:
         async with BusyReplica() as one, BusyReplica() as two:  # noqa: SIM117
             async with Program(one, two, options=options) as program:
-                alone, durations_alone = await serve_docs(program.port, count, rate)
+                without_batch, durations_without_batch = await serve_docs(program.port, count, rate)
                 api = await connect(program)
                 batch_id = await api.create_batch(input_file(LINES))
                 await until(lambda: len(one.seen) + len(two.seen) > count)
-                beside, durations_beside = await serve_docs(program.port, count, rate)
+                with_batch, durations_with_batch = await serve_docs(program.port, count, rate)
                 batch = (await api.request("GET", f"/v1/batches/{batch_id}"))[0]
-                assert batch["status"] == "in_progress", "the batch ran all the while"
+                assert batch["status"] == "in_progress", "the batch ended too early to compare"
                 completed = batch["request_counts"]["completed"]
                 with capsys.disabled():
-                    p99 = [sorted(d)[int(0.99 * count)] * 1000 for d in (durations_alone, durations_beside)]
-                    print(f"\ndocs in time: {alone} alone, {beside} beside {completed} lines; p99 ms {p99}")
-                return alone, beside, completed
-
-    alone, beside, completed = asyncio.run(scenario())
-    assert alone >= 0.98 * count
+                    p99 = [
+                        sorted(d)[int(0.99 * count)] * 1000
+                        for d in (durations_without_batch, durations_with_batch)
+                    ]
+                    print(
+                        f"\ndocs in time: {without_batch} without a batch, {with_batch} with one "
+                        f"({completed} lines completed); p99 ms {p99}"
+                    )
+                return without_batch, with_batch, completed
+
+    without_batch, with_batch, completed = asyncio.run(scenario())
+    assert without_batch >= 0.98 * count
     assert completed > 0
-    assert beside >= 0.98 * alone
+    assert with_batch >= 0.98 * without_batch
 
 
-def test_an_inventory_feeds_the_replica_set_and_an_invalid_reload_keeps_the_old_list(tmp_path: Path) -> None:
+def test_an_invalid_inventory_keeps_the_previous_replicas(tmp_path: Path) -> None:
     inventory = tmp_path / "replicas.csv"
     options = (
         "--batch",
@@ -165,7 +171,7 @@
     asyncio.run(scenario())
 
 
-def test_the_deploy_file_is_valid_and_errors_in_others_name_the_key(tmp_path: Path) -> None:
+def test_the_deploy_file_is_valid_and_settings_errors_name_the_key(tmp_path: Path) -> None:
     (section,) = read_batch_file(ROOT / "deploy" / "batch.toml")
     assert (section.settings.listen, section.settings.concurrency) == ("127.0.0.1:5080", 4)
     good = 'listen = "127.0.0.1:1"\nstore = "s"\n'
--- a/tests/batch/test_public_api.py
+++ b/tests/batch/test_public_api.py
@@ -44,7 +44,7 @@
 
 
 async def create_file_twice(api: Api) -> Any:
-    """A creation that is repeated with its idempotency key gives what it gave the first time."""
+    """A request that is repeated with its idempotency key returns the file of the first request."""
     file = await api.send_form("/v1/files", "file", input_file(2), Idempotency_Key="f")
     assert file == await api.send_form("/v1/files", "file", input_file(2), Idempotency_Key="f")
     other = await api.send_form("/v1/files", "file", input_file(3), 409, Idempotency_Key="f")
@@ -73,7 +73,7 @@
 
 
 async def download_in_pieces(api: Api, file: Any) -> bytes:
-    """A download resumes where it broke."""
+    """Download a file and ranges of it, as a client that resumes a download does."""
     path = f"/v1/files/{file['id']}/content"
     content, head = await api.request("GET", path)
     assert isinstance(content, bytes)
@@ -86,7 +86,7 @@
 
 
 async def upload_in_parts(api: Api, content: bytes) -> Any:
-    """A file in parts, one of them repeated; returns the file."""
+    """Upload a file in parts, one of them sent twice; returns the file."""
     members = {
         "filename": "u.jsonl",
         "purpose": "batch",
@@ -111,7 +111,7 @@
 
 
 async def list_pages(api: Api, newest: Any, oldest: Any, batch: Any) -> None:
-    """Listings, page by page; newest first."""
+    """Listings are paginated, newest object first."""
     files = (await api.request("GET", "/v1/files?limit=2"))[0]
     assert files["has_more"]
     assert files["data"][0]["id"] == newest["id"]
@@ -122,7 +122,7 @@
 
 
 async def provoke_errors(api: Api, batch: Any) -> None:
-    """Each error has an error object."""
+    """Each error response contains an error object."""
     cancel_final: tuple[str, str, Any, int] = ("POST", f"/v1/batches/{batch['id']}/cancel", {}, 409)
     for method, path, body, status in [*ERRORS, cancel_final]:
         error = (await api.request(method, path, body, expect=status))[0]["error"]
@@ -130,10 +130,10 @@
         assert error["type"] == "invalid_request_error"
 
 
-def test_a_client_that_disconnects_in_the_middle_of_an_upload_is_no_fault_of_the_store(
+def test_a_disconnect_during_an_upload_is_not_logged_as_a_store_error(
     tmp_path: Path,
 ) -> None:
-    """Its end was logged as `store_unavailable`, which wakes somebody up: a closed stream is an OSError."""
+    """A closed stream is an OSError, so it was logged as `store_unavailable`, which alerts an operator."""
     options = ("--batch", batch_config(tmp_path))
 
     async def scenario() -> None:
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -1,4 +1,4 @@
-"""The batch runner: bounds, retries, deadlines, and that each line ends exactly once."""
+"""The batch runner: limits, retries, deadlines, and that each line ends exactly once."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from .harness import LINE, Harness, lines
 
 
-def test_lines_run_within_the_bound_and_fill_the_result_files(tmp_path: Path) -> None:
+def test_lines_run_within_the_concurrency_limit_and_fill_the_result_files(tmp_path: Path) -> None:
     harness = Harness(tmp_path)
 
     async def scenario() -> None:
@@ -40,7 +40,7 @@
     harness.run(scenario)
 
 
-def test_a_file_with_invalid_lines_fails_and_names_them(tmp_path: Path) -> None:
+def test_a_batch_with_invalid_lines_fails_and_reports_them(tmp_path: Path) -> None:
     harness = Harness(tmp_path)
 
     async def scenario() -> None:
@@ -58,7 +58,7 @@
     harness.run(scenario)
 
 
-def test_a_rejection_waits_for_its_retry_after_and_is_no_failed_attempt(tmp_path: Path) -> None:
+def test_a_rejection_waits_for_retry_after_and_is_not_a_failed_attempt(tmp_path: Path) -> None:
     harness = Harness(tmp_path, max_attempts=1)
 
     async def scenario() -> None:
@@ -89,7 +89,7 @@
             await until(lambda: bool(harness.in_flight()))
             attempt = harness.in_flight()[0]
             attempt.stream_received(EVENTS[0])
-            attempt.end(Outcome.RESET)  # a part of a response is of no use
+            attempt.end(Outcome.RESET)  # A partial response fails the attempt.
             await until(lambda: not harness.runner.slots.in_flight)
             harness.clock += 2
         await until(lambda: batch.is_final)
@@ -99,7 +99,7 @@
     harness.run(scenario)
 
 
-def test_a_cancel_ends_waiting_lines_and_lets_lines_in_flight_finish(tmp_path: Path) -> None:
+def test_a_cancellation_ends_waiting_lines_and_lets_lines_in_flight_finish(tmp_path: Path) -> None:
     harness = Harness(tmp_path, concurrency=1)
 
     async def scenario() -> None:
@@ -117,7 +117,7 @@
 
 
 def test_an_expired_line_is_not_run(tmp_path: Path) -> None:
-    """By its own deadline, or by that of the batch."""
+    """A line expires at its own deadline or at that of the batch."""
     harness = Harness(tmp_path, concurrency=1)
 
     async def scenario() -> None:
@@ -170,12 +170,12 @@
         for _ in range(2):
             await until(lambda: len(first.in_flight()) == 3)
             await serve_next(first, batch)
-        return batch.id  # without closing anything
+        return batch.id  # Nothing is closed, as in a crash.
 
     batch_id = asyncio.run(serve_two_lines_and_crash())
-    with pytest.raises(StoreError):  # two programs on one store would both run its lines
+    with pytest.raises(StoreError):  # Two programs that use the same store would run the same lines.
         BatchStore(tmp_path, lambda: 0.0)
-    first.store.journal.close()  # as the system does for a killed program
+    first.store.journal.close()  # The system closes the file of a killed program.
     second = Harness(tmp_path, concurrency=3)
 
     async def finish() -> None:
@@ -194,8 +194,8 @@
     third.close()
 
 
-def test_a_cancel_of_a_long_file_ends_a_few_lines_at_a_time(tmp_path: Path) -> None:
-    """Thousands of results at once would delay interactive requests."""
+def test_a_cancellation_ends_a_limited_number_of_lines_at_a_time(tmp_path: Path) -> None:
+    """Ending thousands of lines at once would delay interactive requests."""
     harness = Harness(tmp_path, concurrency=1)
 
     async def scenario() -> None:
@@ -203,11 +203,11 @@
         await until(lambda: len(harness.in_flight()) == 1)
         await harness.store.set_status(batch, BatchStatus.CANCELLING)
         harness.runner.notify()
-        most = 0
+        max_ending = 0
         while batch.line_counts.get(LineStatus.CANCELLED, 0) < 99:
-            most = max(most, harness.runner.scheduler.ending_lines)
+            max_ending = max(max_ending, harness.runner.scheduler.ending_lines)
             await asyncio.sleep(0)
-        assert 0 < most <= MAX_ENDING_LINES
+        assert 0 < max_ending <= MAX_ENDING_LINES
         harness.serve(harness.in_flight()[0])
         await until(lambda: batch.is_final)
         assert len(harness.results(batch)) == 100
@@ -215,7 +215,7 @@
     harness.run(scenario)
 
 
-def test_a_long_overload_makes_only_a_few_lines_back_off(tmp_path: Path) -> None:
+def test_the_number_of_lines_that_back_off_is_limited(tmp_path: Path) -> None:
     harness = Harness(tmp_path, concurrency=2)
 
     async def scenario() -> None:
@@ -233,23 +233,23 @@
     harness.run(scenario)
 
 
-def test_cancelling_a_batch_with_many_open_lines_leaves_the_event_loop_free(
+def test_cancelling_a_batch_with_many_open_lines_does_not_block_the_event_loop(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With more lines to end than may end at once, the scheduler looked for a line to start for ever."""
+    """With more lines to end than may be ended at once, the scheduler looped without awaiting."""
     harness = Harness(tmp_path)
     slots = harness.runner.slots
     is_available, calls = slots.available, itertools.count()
-    endless = asyncio.Event()
+    never_yields = asyncio.Event()
 
     def available() -> bool:
         if next(calls) >= 10_000:
-            endless.set()
-            raise AssertionError("the scheduler does not give up the event loop")
+            never_yields.set()
+            raise AssertionError("the scheduler does not yield to the event loop")
         return is_available()
 
     async def scenario() -> None:
-        # No line starts while interactive requests are rejected; by the cancellation one may.
+        # An interactive request was just rejected, so no line starts. After the cancellation one could.
         harness.world.core.request_lifecycle.interactive_rejected_at = harness.world.now()
         batch = await harness.create_batch(*lines(100))
         await until(lambda: batch.status is BatchStatus.IN_PROGRESS)
@@ -257,8 +257,8 @@
         monkeypatch.setattr(slots, "available", available)
         harness.world.time += 2 * PAUSE_AFTER_REJECTION
         harness.runner.notify()
-        await until(lambda: batch.is_final or endless.is_set())
-        assert not endless.is_set()
+        await until(lambda: batch.is_final or never_yields.is_set())
+        assert not never_yields.is_set()
         assert set(harness.results(batch).values()) == {"batch_cancelled"}
 
     harness.run(scenario)
--- a/tests/batch/test_status_changes.py
+++ b/tests/batch/test_status_changes.py
@@ -1,14 +1,11 @@
-"""A cancellation and a change of status that the runner makes meet in the store.
+"""Race conditions between a client's cancellation and the runner's changes of a batch's status.
 
-What happened: a client cancelled a batch while its input file was being validated, got `cancelling`, and the
-batch ran to its end all the same; or the batch stayed in `cancelling` until the next restart.
+A change of status is decided, written to the journal, and applied once it is on disk. Without
+`BatchStore.status_lock` a second change could be decided by the old status before the first was applied, and
+the last one written won. A batch that its client had cancelled then ran to its end (`in_progress` replaced
+`cancelling`), or stayed in `cancelling` until a restart (`cancelling` replaced `failed`).
 
-Why: a status is checked first, then written to the journal, and applied once it is on disk. Between the check
-and the end of the write another change could be decided by the same old status. The one that was written
-last won: `in_progress` over `cancelling`, or `cancelling` over `failed`, which nobody ends.
-
-What showed it: these tests, which hold back the store's disk until both changes are decided; found by reading
-every change of a status while the event loop's freeze at a cancellation was looked into.
+The tests block the writes of the store until both changes have been decided.
 """
 
 from __future__ import annotations
@@ -31,17 +28,17 @@
 from .harness import Harness, api_request, lines
 
 
-class HeldDisk:
-    """Holds back every write to the store's disk from entering its block to the end of it."""
+class BlockedDisk:
+    """Blocks every write of the store while its `with` block runs."""
 
     def __init__(self, harness: Harness, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.appended = 0  # records given to the journal since the block was entered
+        self.appended = 0  # The number of records passed to the journal since the block was entered.
         self._executor = harness.store.executor
         self._released = threading.Event()
         self._append = harness.store.journal.append
-        monkeypatch.setattr(harness.store.journal, "append", self._append_counted)
+        monkeypatch.setattr(harness.store.journal, "append", self._append_and_count)
 
-    async def _append_counted(self, record: Record) -> int:
+    async def _append_and_count(self, record: Record) -> int:
         self.appended += 1
         return await self._append(record)
 
@@ -54,38 +51,38 @@
         self._released.set()
 
 
-class HeldValidation:
-    """Lets the validation of input files end only once the test says so."""
+class BlockedValidation:
+    """Blocks the validation of input files until the test sets `may_finish`."""
 
     def __init__(self, harness: Harness, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.may_end = threading.Event()
+        self.may_finish = threading.Event()
         self._index = harness.runner.lines.index
-        monkeypatch.setattr(harness.runner.lines, "index", self._index_later)
+        monkeypatch.setattr(harness.runner.lines, "index", self._index_when_released)
 
-    def _index_later(self, batch: Batch) -> InputIndex:
-        assert self.may_end.wait(20)
+    def _index_when_released(self, batch: Batch) -> InputIndex:
+        assert self.may_finish.wait(20)
         return self._index(batch)
 
 
 def cancel_request(batch: Batch) -> ApiRequest:
-    """The request that cancels a batch, as a handler gets it."""
+    """The request that cancels a batch, as a handler receives it."""
     return api_request("POST", f"/v1/batches/{batch.id}/cancel", batch.id)
 
 
-def test_a_cancellation_that_is_being_written_as_validation_ends_is_kept(
+def test_a_cancellation_written_while_validation_ends_is_kept(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness = Harness(tmp_path, concurrency=1)
-    validation = HeldValidation(harness, monkeypatch)
+    validation = BlockedValidation(harness, monkeypatch)
 
     async def scenario() -> None:
         batch = await harness.create_batch(*lines(3))
         handlers = BatchHandlers(harness.store, harness.runner)
-        with HeldDisk(harness, monkeypatch) as disk:
+        with BlockedDisk(harness, monkeypatch) as disk:
             cancellation = asyncio.ensure_future(handlers.cancel(cancel_request(batch)))
             await until(lambda: disk.appended == 1)
-            validation.may_end.set()
-            await asyncio.sleep(0.2)  # the runner has decided on `in_progress`, or waits to decide
+            validation.may_finish.set()
+            await asyncio.sleep(0.2)  # The runner has decided on `in_progress`, or waits for the lock.
         response = await cancellation
         assert response.members["status"] in ("cancelling", "cancelled")
         await until(lambda: batch.is_final)
@@ -96,17 +93,17 @@
     harness.run(scenario)
 
 
-def test_a_cancellation_that_meets_a_failed_validation_leaves_the_batch_final(
+def test_a_cancellation_during_a_failing_validation_is_refused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness = Harness(tmp_path, concurrency=1)
-    validation = HeldValidation(harness, monkeypatch)
+    validation = BlockedValidation(harness, monkeypatch)
 
     async def scenario() -> None:
         batch = await harness.create_batch(b"{")
         handlers = BatchHandlers(harness.store, harness.runner)
-        with HeldDisk(harness, monkeypatch) as disk:
-            validation.may_end.set()
+        with BlockedDisk(harness, monkeypatch) as disk:
+            validation.may_finish.set()
             await until(lambda: disk.appended == 1)
             cancellation = asyncio.ensure_future(handlers.cancel(cancel_request(batch)))
             await asyncio.sleep(0.2)
@@ -119,7 +116,7 @@
     harness.run(scenario)
 
 
-def test_a_cancellation_that_meets_the_end_of_the_last_line_leaves_the_batch_final(
+def test_a_cancellation_while_the_last_line_ends_leaves_the_batch_final(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness = Harness(tmp_path, concurrency=1)
@@ -128,7 +125,7 @@
         batch = await harness.create_batch(*lines(1))
         handlers = BatchHandlers(harness.store, harness.runner)
         await until(lambda: len(harness.in_flight()) == 1)
-        with HeldDisk(harness, monkeypatch) as disk:
+        with BlockedDisk(harness, monkeypatch) as disk:
             harness.serve(harness.in_flight()[0])
             await until(lambda: disk.appended == 1)
             cancellation = asyncio.ensure_future(handlers.cancel(cancel_request(batch)))
--- a/tests/batch/test_stop.py
+++ b/tests/batch/test_stop.py
@@ -1,13 +1,9 @@
-"""A stop while the store is busy must not hold the event loop, which still serves interactive streams.
+"""Stopping the batch front while its store is busy must not block the event loop.
 
-What happens: if a long result file is being written at SIGTERM, interactive streams stand still until the
-file is complete, so that events come late and the hand-off before the kill may be missed.
-
-Why: the drain of the batch front closes the store, and `BatchStore.close` waited for the store's thread in
-the event loop.
-
-What showed it: this test, whose store is busy for half a second; found by reading what else could hold the
-loop after a cancellation had (docs/incidents/0001-cancelled-batch-stops-gateway.md).
+The drain of the batch front closes the store, and `BatchStore.close` waits for the store's thread. If a long
+result file was being written at SIGTERM, interactive streams stopped until the file was complete: events were
+late, and the hand-off before the kill could be missed. Related: the incident in
+docs/incidents/0001-cancelled-batch-stops-gateway.md.
 """
 
 from __future__ import annotations
@@ -22,21 +18,21 @@
 from .gateway_probes import MAX_EVENT_DELAY
 from .harness import Harness
 
-STORE_BUSY = 0.6  # seconds, longer than an event may be late
-TICK = 0.01
+STORE_BUSY_DURATION = 0.6  # seconds; longer than MAX_EVENT_DELAY
+TICK = 0.01  # seconds
 
 
-def test_a_stop_with_a_busy_store_leaves_the_event_loop_free(tmp_path: Path) -> None:
+def test_stopping_with_a_busy_store_does_not_block_the_event_loop(tmp_path: Path) -> None:
     harness = Harness(tmp_path)
     front = BatchFront(harness.store, harness.runner, 8, 1024)
-    free = threading.Event()
+    released = threading.Event()
     longest_delay = 0.0
 
     async def scenario() -> None:
         nonlocal longest_delay
         harness.runner.start()
-        harness.store.executor.submit(free.wait)
-        threading.Timer(STORE_BUSY, free.set).start()
+        harness.store.executor.submit(released.wait)
+        threading.Timer(STORE_BUSY_DURATION, released.set).start()
         stop = asyncio.ensure_future(stop_batches(front, harness.runner, harness.store))
         loop = asyncio.get_running_loop()
         while not stop.done():
@@ -46,5 +42,5 @@
         await stop
 
     asyncio.run(scenario())
-    assert free.is_set(), "the store was closed while its thread was busy"
+    assert released.is_set(), "the store was closed while its thread was busy"
     assert longest_delay < MAX_EVENT_DELAY
--- a/tests/batch/test_wall_clock.py
+++ b/tests/batch/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""A wall clock that is set while batches run changes no window, pause or deadline."""
+"""Setting the wall clock while a batch runs does not change its completion window."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .api_client import batch_config, connect, input_file
 
 LINES = 20
-STEP_AT = 2.0  # seconds after the program began: the batch has begun and is not finished
+STEP_AT = 2.0  # seconds after the start of the program, when the batch is in progress
 PAUSE = 0.3  # seconds that a replica takes for a line
 
 
