--- a/lockspoke/batch/subsystem.py
+++ b/lockspoke/batch/subsystem.py
@@ -47,7 +47,7 @@
     front.start_draining()
     await runner.stop()
     front.close()
-    await store.wait_until_idle()  # interactive requests go on meanwhile
+    await store.wait_until_idle()  # Interactive requests continue meanwhile.
     store.close()
 
 
--- a/lockspoke/batch/tasks.py
+++ b/lockspoke/batch/tasks.py
@@ -10,7 +10,7 @@
 
 from .journal import StoreError
 
-WRITE_RETRY_INTERVAL = 1.0  # seconds
+RETRY_INTERVAL = 1.0  # seconds between attempts of a failed read or write
 
 log = structlog.get_logger()
 
@@ -47,7 +47,7 @@
             await write()
         except (StoreError, OSError) as error:
             log.error("store_write_retried", error=str(error))
-            await asyncio.sleep(WRITE_RETRY_INTERVAL)
+            await asyncio.sleep(RETRY_INTERVAL)
         else:
             return
 
@@ -59,4 +59,4 @@
             return await read()
         except OSError as error:
             log.error("batch_input_unreadable", error=str(error))
-            await asyncio.sleep(WRITE_RETRY_INTERVAL)
+            await asyncio.sleep(RETRY_INTERVAL)
--- a/lockspoke/batch/upload_handlers.py
+++ b/lockspoke/batch/upload_handlers.py
@@ -63,9 +63,8 @@
         async with self.store.creation_lock:
             upload = self._find(request.object_id)
             if upload.status is UploadStatus.COMPLETED:
-                return replayed(
-                    self._upload_object(upload)
-                )  # The response to the first request may have been lost.
+                # Repeated, because the response to the first request may have been lost.
+                return replayed(self._upload_object(upload))
             await self._require_pending(upload)
             digests = await self.store.join_parts(upload, _checked_parts(upload, members))
             if members.get("md5") not in (None, digests.md5):
--- a/tests/batch/test_deleted_input.py
+++ b/tests/batch/test_deleted_input.py
@@ -54,7 +54,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """No file descriptor is free for a moment, as with many clients."""
-    monkeypatch.setattr(tasks, "WRITE_RETRY_INTERVAL", 0.05)
+    monkeypatch.setattr(tasks, "RETRY_INTERVAL", 0.05)
     harness = Harness(tmp_path, concurrency=1)
     read, failures = harness.runner.lines.read, 0
 
@@ -133,7 +133,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first read fails because no file descriptor is free, or because of a disk error."""
-    monkeypatch.setattr(tasks, "WRITE_RETRY_INTERVAL", 0.05)
+    monkeypatch.setattr(tasks, "RETRY_INTERVAL", 0.05)
     harness = Harness(tmp_path)
     failures = [errno.EMFILE, errno.EIO]
     index = harness.runner.lines.index
@@ -161,7 +161,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: int
 ) -> None:
     """Only a missing file fails the batch; after any other error the file is opened again."""
-    monkeypatch.setattr(tasks, "WRITE_RETRY_INTERVAL", 0.05)
+    monkeypatch.setattr(tasks, "RETRY_INTERVAL", 0.05)
     harness = Harness(tmp_path)
     opened = Path.open
     failures = [error]
