--- a/lockspoke/simulator/__init__.py
+++ b/lockspoke/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the balancer under the operators' simulator, over a binary protocol on standard input and output."""
+"""Runs balancers for the platform's simulator, over a binary protocol on standard input and output."""
--- a/lockspoke/simulator/__main__.py
+++ b/lockspoke/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lockspoke.simulator` serves the operators' simulator on standard input and output."""
+"""`python -m lockspoke.simulator` answers the platform's simulator on standard input and output."""
 
 import sys
 
--- a/lockspoke/simulator/decoder.py
+++ b/lockspoke/simulator/decoder.py
@@ -1,7 +1,7 @@
 """Decodes batches of the simulator's binary protocol into the balancer's events.
 
-All numbers are little-endian and unpadded. A batch is a header and a number of records; a record is a
-u16 code, the u16 number of an instance and the fields that belong to the code.
+Numbers are little-endian, without padding between them. A batch is a header followed by records; a record
+is a u16 record code, a u16 instance number and the fields of that kind of record.
 """
 
 from __future__ import annotations
@@ -48,14 +48,15 @@
 }
 REPLICA_STATES = {0: ReplicaState.REMOVED, 1: ReplicaState.READY, 2: ReplicaState.DRAINING}
 
-HAS_COST_HINT = 1  # bits of a request's flags
+# Bits of the flags field of a request.
+HAS_COST_HINT = 1
 IS_CLIENT_RETRY = 2
 
-_BATCH_HEADER = struct.Struct("<IQI")  # count of records, clock, batch number
+_BATCH_HEADER = struct.Struct("<IQI")  # number of records, time, batch number
 _U8, _U16, _U32, _F32 = (struct.Struct("<" + letter) for letter in "BHIf")
 _PROVISION = struct.Struct("<QI")
-_LIST = struct.Struct("<QBI")
-_LIST_ENTRY = struct.Struct("<BIBfQHB")
+_ENDPOINT_LIST = struct.Struct("<QBI")
+_ENDPOINT_LIST_ENTRY = struct.Struct("<BIBfQHB")
 _REQUEST = struct.Struct("<IHHQQQQfffB")
 _FIRST_TOKEN = struct.Struct("<IHIQ")
 _OUTCOME = struct.Struct("<IQIIHHB")
@@ -66,10 +67,10 @@
 
 
 def decode_settings(text: bytes) -> BalancerSettings:
-    """Read the JSON settings of a provision; unknown keys are ignored.
+    """Read the JSON settings of a provision record; unknown keys are ignored.
 
     Raises:
-        SettingsError: The text is not JSON, or `read_settings` rejects what it holds.
+        SettingsError: The text is not JSON, or `read_settings` rejects the settings.
     """
     try:
         document = json.loads(text)
@@ -79,11 +80,11 @@
 
 
 def decode_batch(body: bytes) -> Batch:
-    """Decode a frame's body.
+    """Decode the body of a frame.
 
     Raises:
-        WireError: The bytes do not follow the protocol; the text names the batch, the record and its place.
-        SettingsError: A provision has impossible settings; the text names the place and the key.
+        WireError: The bytes do not follow the protocol; the message names batch, record and offset.
+        SettingsError: The settings of a provision record are invalid; the message also names the key.
     """
     if len(body) < _BATCH_HEADER.size:
         raise WireError(f"frame of {len(body)} bytes is shorter than its header")
@@ -91,13 +92,13 @@
     reader = _Reader(body, _BATCH_HEADER.size)
     records: list[InstanceRecord] = []
     for index in range(count):
-        start = reader.position
+        offset = reader.position
         try:
             (code,) = reader.read(_U16)
             (instance,) = reader.read(_U16)
             event = _lookup(_DECODERS, code, "record code")(reader)
         except (WireError, SettingsError) as error:
-            raise type(error)(f"batch {number}: record {index} at byte {start}: {error}") from None
+            raise type(error)(f"batch {number}: record {index} at byte {offset}: {error}") from None
         if event is not None:
             records.append(InstanceRecord(instance, event))
     if reader.position != len(body):
@@ -130,9 +131,9 @@
         return tuple(value for (value,) in _F32.iter_unpack(self.read_bytes(4 * count)))
 
 
-def _lookup(table: Mapping[int, ValueT], code: int, what: str) -> ValueT:
+def _lookup(table: Mapping[int, ValueT], code: int, code_name: str) -> ValueT:
     if code not in table:
-        raise WireError(f"unknown {what} {code}")
+        raise WireError(f"unknown {code_name} {code}")
     return table[code]
 
 
@@ -142,14 +143,14 @@
 
 
 def _decode_endpoint_list(reader: _Reader) -> EndpointListUpdate:
-    _, kind, count = reader.read(_LIST)
-    # Lists are the bulk of what a large fleet sends: they are unpacked in one pass.
+    _, kind, count = reader.read(_ENDPOINT_LIST)
+    # With many replicas, endpoint lists are most of the input, so all entries are unpacked in one pass.
     entries = [
         EndpointListEntry(
             replica, _lookup(REPLICA_STATES, state, "state"), zone, cell, weight, started_at, machine_kind
         )
-        for machine_kind, replica, zone, weight, started_at, cell, state in _LIST_ENTRY.iter_unpack(
-            reader.read_bytes(_LIST_ENTRY.size * count)
+        for machine_kind, replica, zone, weight, started_at, cell, state in _ENDPOINT_LIST_ENTRY.iter_unpack(
+            reader.read_bytes(_ENDPOINT_LIST_ENTRY.size * count)
         )
     ]
     return EndpointListUpdate(_lookup(LIST_KINDS, kind, "list kind"), tuple(entries))
@@ -190,21 +191,23 @@
 
 
 def _decode_outcome(reader: _Reader) -> AttemptEnded:
-    request, elapsed, cached_tokens, replica, attempt, code, answered = reader.read(_OUTCOME)
+    request, elapsed, cached_tokens, replica, attempt, code, request_answered = reader.read(_OUTCOME)
     outcome = _lookup(OUTCOMES, code, "outcome")
     report = reader.read_load_report()
-    return AttemptEnded(request, attempt, replica, outcome, elapsed, answered != 0, cached_tokens, report)
+    return AttemptEnded(
+        request, attempt, replica, outcome, elapsed, request_answered != 0, cached_tokens, report
+    )
 
 
 def _skip_health_check(reader: _Reader) -> None:
-    """Skip the result of a health check, which this balancer never asks for."""
+    """Skip the result of a health check; this balancer requests none."""
     _, _, code = reader.read(_HEALTH_CHECK)
     _lookup(OUTCOMES, code, "outcome")
     reader.read_load_report()
 
 
 def _skip_peer_message(reader: _Reader) -> None:
-    """Skip a message of another gateway; this balancer sends none."""
+    """Skip a message from another gateway; this balancer neither sends nor uses any."""
     _, size = reader.read(_PEER_MESSAGE)
     reader.read_bytes(size)
 
--- a/lockspoke/simulator/encoder.py
+++ b/lockspoke/simulator/encoder.py
@@ -1,7 +1,7 @@
 """Encodes the balancer's actions as records of the simulator's binary protocol.
 
-All numbers are little-endian and unpadded. A record is a u16 code, the u16 number of an instance and the
-fields that belong to the code.
+Numbers are little-endian, without padding between them. A record is a u16 record code, a u16 instance
+number and the fields of that kind of record.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 from .framing import encode_frame
 
-MAX_TIMER_DELAY = 71 * 60 * 1_000_000_000  # nanoseconds; the protocol takes no longer delay
+MAX_TIMER_DELAY = 71 * 60 * 1_000_000_000  # nanoseconds; the longest delay that the protocol allows
 MAX_TEXT_BYTES = 0xFFFF
 
 
 class RecordCode(IntEnum):
-    """The codes of the records that are sent."""
+    """The codes of the records that are sent to the simulator."""
 
     SEND_ATTEMPT = 1000
     REJECT = 1010
@@ -58,15 +58,15 @@
 
 
 def encode_crash(instance: int, text: str) -> bytes:
-    """Encode the record by which an instance reports that its balancer raised an exception."""
+    """Encode the record which reports that the balancer of an instance raised an exception."""
     return _encode_text(RecordCode.CRASH, instance, text)
 
 
 def encode_reply(batch_number: int, records: Iterable[bytes]) -> bytes:
-    """Return the frame that answers one batch."""
+    """Encode the frame that answers one batch."""
     return encode_frame(b"".join((_BATCH_NUMBER.pack(batch_number), *records)))
 
 
 def _encode_text(code: RecordCode, instance: int, text: str) -> bytes:
-    line = text.encode()[:MAX_TEXT_BYTES]
-    return _TEXT.pack(code, instance, len(line)) + line
+    encoded = text.encode()[:MAX_TEXT_BYTES]
+    return _TEXT.pack(code, instance, len(encoded)) + encoded
--- a/lockspoke/simulator/messages.py
+++ b/lockspoke/simulator/messages.py
@@ -1,4 +1,4 @@
-"""What the simulator sends besides the balancer's events, and the batches in which it sends all of them."""
+"""Batches of the simulator, and their records that are not events of a balancer."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Provision:
-    """A new instance starts, with empty state."""
+    """An instance starts with empty state."""
 
     settings: BalancerSettings
     seed: int
@@ -23,14 +23,14 @@
 
 
 class InstanceRecord(NamedTuple):
-    """One record of a batch: what happens at an instance."""
+    """One record of a batch: an event at one instance."""
 
     instance: int
     event: Event | Provision | Teardown
 
 
 class Batch(NamedTuple):
-    """The records of one frame, which all happen at one time (nanoseconds)."""
+    """The records of one frame; they all happen at the time `now`, in nanoseconds."""
 
     now: int
     number: int
--- a/lockspoke/simulator/program.py
+++ b/lockspoke/simulator/program.py
@@ -1,4 +1,4 @@
-"""Serves the simulator: many gateway instances in one process, over standard input and output.
+"""Runs many gateway instances in one process for the simulator, over standard input and output.
 
 Each instance has a `Balancer` of its own; instances share nothing. Standard output carries replies only.
 """
@@ -19,28 +19,31 @@
 
 
 class SimulatedGateways:
-    """The instances of this process by number."""
+    """The gateway instances of this process, by number."""
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
 
     def handle(self, now: int, records: list[InstanceRecord]) -> list[bytes]:
-        """Apply one batch; return the encoded actions by instance, in the order of their first events."""
+        """Apply one batch; return the encoded actions.
+
+        They are grouped by instance, in the order of the first event of each instance.
+        """
         replies: list[bytes] = []
         for instance, events in self._collect_events(records).items():
             try:
                 actions = self.balancers[instance].handle(now, events)
                 replies.extend([encode_action(instance, action) for action in actions])
-            except Exception as error:  # the protocol reports each exception as a crash of its instance
+            except Exception as error:  # the protocol has a record for the crash of one instance
                 replies.append(encode_crash(instance, f"{type(error).__name__}: {error}"))
         return replies
 
     def _collect_events(self, records: list[InstanceRecord]) -> dict[int, list[Event]]:
-        """Start and stop instances; return the events of each that runs at the end of the batch."""
+        """Start and stop instances; return the events of each instance that runs at the end of the batch."""
         events: dict[int, list[Event]] = {}
         for instance, event in records:
             if isinstance(event, Teardown):
-                # Events before it are void: their answers would name requests that no longer exist.
+                # Earlier events are dropped: the actions for them would name requests that no longer exist.
                 events.pop(instance, None)
                 self.balancers.pop(instance, None)
             elif isinstance(event, Provision):
@@ -56,7 +59,7 @@
 
     Raises:
         WireError: The input does not follow the protocol.
-        SettingsError: An instance cannot be started with its settings.
+        SettingsError: The settings of an instance are invalid.
     """
     gateways = SimulatedGateways()
     while (frame := read_frame(source)) is not None:
@@ -66,7 +69,10 @@
 
 
 def main() -> int:
-    """Run on standard input and output; return the exit code. Bad input ends it with one plain line."""
+    """Run on standard input and output; return the exit code.
+
+    Malformed input ends the run with exit code 1 and one line on standard error.
+    """
     try:
         run(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, SettingsError) as error:
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The decoder and encoder, against bytes written out field by field from the protocol's specification."""
+"""Tests the decoder and the encoder against bytes written out field by field from the protocol."""
 
 from __future__ import annotations
 
@@ -113,7 +113,7 @@
     assert records == [(3, Teardown())]
 
 
-def test_small_events() -> None:
+def test_client_disconnected_timer_fired_and_teardown() -> None:
     assert decode_one("1a04 0300 192b6f0e") == ClientDisconnected(0x0E6F2B19)
     assert decode_one("2404 0300 4d000000") == TimerFired(77)
     assert decode_one("4204 0300") == Teardown()
@@ -156,7 +156,7 @@
     assert encode_reply(1, [b"ab"]) == bytes.fromhex("06000000 01000000".replace(" ", "")) + b"ab"
 
 
-def test_a_timer_delay_is_limited_to_the_maximum_of_the_protocol() -> None:
+def test_timer_delay_is_limited_to_protocol_maximum() -> None:
     record = encode_action(0, SetTimer(10**15, 1))
     assert int.from_bytes(record[4:12], "little") == MAX_TIMER_DELAY
 
@@ -173,6 +173,6 @@
         (batch_body("2e04 0300 f211902c c05c150000000000 6300 00"), "unknown outcome 99"),
     ],
 )
-def test_errors_of_malformed_frames_name_the_fault_and_its_position(body: bytes, message: str) -> None:
+def test_malformed_frame_error_names_fault_and_position(body: bytes, message: str) -> None:
     with pytest.raises(WireError, match=message):
         decode_batch(body)
--- a/tests/simulator/test_program.py
+++ b/tests/simulator/test_program.py
@@ -1,4 +1,4 @@
-"""The simulator as a process: framing, flushing, malformed input, and independence of its instances."""
+"""Tests `python -m lockspoke.simulator`: framing, flushing, malformed input and independent instances."""
 
 from __future__ import annotations
 
@@ -36,13 +36,15 @@
     return struct.pack("<HHQBI", 1010, instance, 1, 3, len(replicas)) + entries
 
 
-def request_record(instance: int, request: int, kind: int = 0, tenant: int = 0) -> bytes:
-    fields = (request, kind, tenant, request % 7, 5 * 10**9, 0, request % 3, 900.0, 300.0, 200.0, 0)
+def request_record(instance: int, request: int, request_class: int = 0, tenant: int = 0) -> bytes:
+    fields = (request, request_class, tenant, request % 7, 5 * 10**9, 0, request % 3, 900.0, 300.0, 200.0, 0)
     return struct.pack("<HHIHHQQQQfffB", 1020, instance, *fields)
 
 
-def outcome_record(instance: int, request: int, replica: int, code: int, closed: int) -> bytes:
-    return struct.pack("<HHIQIIHHBB", 1040, instance, request, 10**7, 0, replica, 0, code, closed, 0)
+def outcome_record(instance: int, request: int, replica: int, code: int, request_answered: int) -> bytes:
+    return struct.pack(
+        "<HHIQIIHHBB", 1040, instance, request, 10**7, 0, replica, 0, code, request_answered, 0
+    )
 
 
 def run_simulator(stream: bytes, **environment: str) -> subprocess.CompletedProcess[bytes]:
@@ -67,13 +69,16 @@
     return replies
 
 
-def traffic(instances: list[int]) -> bytes:
-    """Return deterministic traffic for the given instances; that of each does not depend on the others."""
+def traffic_stream(instances: list[int]) -> bytes:
+    """Return deterministic batches for the given instances.
+
+    The records of an instance do not depend on which other instances there are.
+    """
     rngs = {instance: random.Random(instance) for instance in instances}
     number, now = 1, 10**9
     stream = batch_frame(0, now, [])
-    start = [record for i in instances for record in (provision(i), endpoint_list(i, 11, 12, 13, 14))]
-    stream += batch_frame(number, now, start)
+    first_records = [record for i in instances for record in (provision(i), endpoint_list(i, 11, 12, 13, 14))]
+    stream += batch_frame(number, now, first_records)
     for step in range(60):
         number, now = number + 1, now + 5_000_000
         records = []
@@ -93,27 +98,29 @@
 def actions_by_instance(output: bytes) -> dict[int, list[bytes]]:
     """Return the encoded actions of each instance."""
     sizes = {1000: 20, 1010: 16, 1020: 8, 1040: 16, 1100: 5}
-    found: dict[int, list[bytes]] = {}
+    encoded_actions: dict[int, list[bytes]] = {}
     for reply in split_replies(output):
-        at = 4
-        while at < len(reply):
-            code, instance = struct.unpack_from("<HH", reply, at)
-            size = sizes[code] if code != 1080 else 6 + struct.unpack_from("<H", reply, at + 4)[0]
-            found.setdefault(instance, []).append(reply[at : at + size])
-            at += size
-    return found
+        offset = 4
+        while offset < len(reply):
+            code, instance = struct.unpack_from("<HH", reply, offset)
+            size = sizes[code] if code != 1080 else 6 + struct.unpack_from("<H", reply, offset + 4)[0]
+            encoded_actions.setdefault(instance, []).append(reply[offset : offset + size])
+            offset += size
+    return encoded_actions
 
 
-def test_actions_are_the_same_in_one_process_or_several_and_with_any_hash_seed() -> None:
-    one_process = run_simulator(traffic([1, 2, 3]), PYTHONHASHSEED="1")
+def test_actions_do_not_depend_on_shared_process_or_hash_seed() -> None:
+    one_process = run_simulator(traffic_stream([1, 2, 3]), PYTHONHASHSEED="1")
     assert one_process.returncode == 0 and one_process.stderr == b""
-    assert one_process.stdout == run_simulator(traffic([1, 2, 3]), PYTHONHASHSEED="99").stdout
-    separate_processes = {i: actions_by_instance(run_simulator(traffic([i])).stdout)[i] for i in (1, 2, 3)}
+    assert one_process.stdout == run_simulator(traffic_stream([1, 2, 3]), PYTHONHASHSEED="99").stdout
+    separate_processes = {
+        i: actions_by_instance(run_simulator(traffic_stream([i])).stdout)[i] for i in (1, 2, 3)
+    }
     assert actions_by_instance(one_process.stdout) == separate_processes
     assert all(len(actions) > 60 for actions in separate_processes.values())
 
 
-def test_each_reply_is_flushed_and_the_process_ends_with_its_input() -> None:
+def test_replies_are_flushed_and_process_exits_at_end_of_input() -> None:
     with subprocess.Popen(COMMAND, stdin=subprocess.PIPE, stdout=subprocess.PIPE, cwd=ROOT) as process:
         assert process.stdin and process.stdout
         for number in range(3):
@@ -124,7 +131,7 @@
         assert process.wait(30) == 0
 
 
-def test_teardown_and_provision_in_one_batch_start_an_instance_with_empty_state() -> None:
+def test_teardown_and_provision_in_one_batch_start_with_empty_state() -> None:
     teardown = struct.pack("<HH", 1090, 1)
     stream = batch_frame(1, 5, [provision(1), endpoint_list(1, 11), request_record(1, 7)])
     stream += batch_frame(
@@ -152,44 +159,46 @@
     assert process.returncode == 0 and len(split_replies(process.stdout)[1]) == 4
 
 
-def test_a_failure_of_one_instance_is_reported_as_its_crash() -> None:
-    class Broken:
+def test_exception_of_an_instance_is_reported_as_its_crash() -> None:
+    class FailingBalancer:
         def handle(self, now: int, events: list[Event]) -> list[Action]:
             raise IndexError("out of range")
 
     gateways = SimulatedGateways()
-    gateways.balancers[3] = Broken()  # type: ignore[assignment]  # a balancer that raises an exception
+    gateways.balancers[3] = FailingBalancer()  # type: ignore[assignment]  # only its `handle` is called
     records = [InstanceRecord(3, TimerFired(1))]
     assert gateways.handle(5, records) == [encode_crash(3, "IndexError: out of range")]
 
 
-def assert_fails(stream: bytes, *expected: bytes) -> None:
+def assert_exits_with_one_error_line(stream: bytes, *expected: bytes) -> None:
     process = run_simulator(stream)
     assert process.returncode != 0
     assert process.stderr.count(b"\n") == 1
-    for word in expected:
-        assert word in process.stderr
+    for message in expected:
+        assert message in process.stderr
     split_replies(process.stdout)
 
 
-def test_malformed_input_ends_the_process_with_one_line_after_complete_replies() -> None:
+def test_malformed_input_exits_with_one_error_line_and_complete_replies() -> None:
     valid = batch_frame(1, 5, [provision(1), endpoint_list(1, 11)])
-    assert_fails(valid + b"\x01\x02", b"frame length cut short")
-    assert_fails(valid + batch_frame(2, 6, [request_record(1, 7)])[:-3], b"frame cut short")
-    assert_fails(valid + struct.pack("<I", 50), b"frame cut short")
-    assert_fails(
+    assert_exits_with_one_error_line(valid + b"\x01\x02", b"frame length cut short")
+    assert_exits_with_one_error_line(
+        valid + batch_frame(2, 6, [request_record(1, 7)])[:-3], b"frame cut short"
+    )
+    assert_exits_with_one_error_line(valid + struct.pack("<I", 50), b"frame cut short")
+    assert_exits_with_one_error_line(
         valid + batch_frame(2, 6, [struct.pack("<HH", 4242, 1)]), b"batch 2", b"unknown record code 4242"
     )
-    assert_fails(batch_frame(1, 5, [provision(1, limits={})]), b"limits.attemptsCap")
+    assert_exits_with_one_error_line(batch_frame(1, 5, [provision(1, limits={})]), b"limits.attemptsCap")
     malformed = b"{no json"
-    assert_fails(
+    assert_exits_with_one_error_line(
         batch_frame(1, 5, [struct.pack("<HHQI", 1000, 1, 1, len(malformed)) + malformed]), b"not JSON"
     )
 
 
-def test_renaming_every_label_changes_no_action() -> None:
-    def stream(word: str) -> bytes:
-        names = [f"{word}-{n}" for n in range(3)]
+def test_label_names_do_not_affect_actions() -> None:
+    def stream(label: str) -> bytes:
+        names = [f"{label}-{n}" for n in range(3)]
         labels = {
             "zones": names,
             "kinds": names,
@@ -197,9 +206,9 @@
             "tenants": [{"name": n, "share": 0.3, "quotaPerS": 4} for n in names],
             "profiles": [{"name": n, "effect": "free"} for n in names],
         }
-        text = batch_frame(1, 5, [provision(1, **labels), endpoint_list(1, 11, 12, 13)])
+        frames = batch_frame(1, 5, [provision(1, **labels), endpoint_list(1, 11, 12, 13)])
         for n in range(40):
-            text += batch_frame(2 + n, 10 + n, [request_record(1, n, kind=n % 3, tenant=n % 3)])
-        return text
+            frames += batch_frame(2 + n, 10 + n, [request_record(1, n, request_class=n % 3, tenant=n % 3)])
+        return frames
 
     assert run_simulator(stream("a")).stdout == run_simulator(stream("zebra")).stdout
