--- a/lockspoke/cli/__init__.py
+++ b/lockspoke/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line beside the gateway: tools for inventories and configurations."""
+"""Command-line tools for the service address, inventories and configuration files."""
--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -1,4 +1,4 @@
-"""`lockspoke address`: who holds the service address, moves of it, and a witness."""
+"""The commands `lockspoke address`: show and move the service address, and run a witness."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @click.group()
 def address() -> None:
-    """The service address that moves between instances."""
+    """Show and move the service address of a group of instances, or run a witness."""
 
 
 def _read_settings(edge: Path) -> AddressSettings:
@@ -58,42 +58,48 @@
 def _send_command(edge: Path | None, control: Path | None, command: JsonObject) -> JsonObject:
     if control is None:
         if edge is None:
-            raise click.UsageError("name --edge or --control")
+            raise click.UsageError("--edge or --control is required")
         settings = _read_settings(edge)
         if not settings.control:
-            raise click.UsageError(f"{edge}: address.control names no socket, so nobody listens to this")
+            raise click.UsageError(
+                f"{edge}: address.control is not set, so the instance has no control socket"
+            )
         control = Path(settings.control)
     try:
         return send_command(control, command)
     except OSError as error:
-        raise click.UsageError(f"{control}: no instance listens there ({error.strerror or error})") from None
+        raise click.UsageError(
+            f"{control}: no instance listens on this socket ({error.strerror or error})"
+        ) from None
     except ValueError as error:
         raise click.ClickException(str(error)) from None
 
 
 _edge_option = click.option("--edge", type=click.Path(path_type=Path), help="the instance's edge file")
-_control_option = click.option("--control", type=click.Path(path_type=Path), help="the socket that it names")
+_control_option = click.option(
+    "--control", type=click.Path(path_type=Path), help="the instance's control socket, instead of --edge"
+)
 
 
 @address.command()
 @_edge_option
 @_control_option
-@click.option("--json", "as_json", is_flag=True, help="as JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 def status(edge: Path | None, control: Path | None, as_json: bool) -> int:
-    """Show who holds the address, by which token and votes, and why not this instance.
+    """Show who holds the address, with its token and votes, and why this instance does not.
 
-    Exits 0 if somebody holds it, 1 if nobody does as far as this instance knows, 2 where none listens.
+    Exits with 0 if this instance knows of a holder, 1 if not, and 2 if no instance can be reached.
 
     \b
     Example:
       lockspoke address status --edge deploy/edge.toml
     """
-    found = _send_command(edge, control, {"do": "status"})
+    answer = _send_command(edge, control, {"do": "status"})
     if as_json:
-        click.echo(json.dumps(found, indent=2))
+        click.echo(json.dumps(answer, indent=2))
     else:
-        _print_status(found)
-    return 0 if found["holder"] else 1
+        _print_status(answer)
+    return 0 if answer["holder"] else 1
 
 
 def _print_status(status: JsonObject) -> None:
@@ -108,19 +114,19 @@
     health, lease_left_ms = status["health"], status["lease_left_ms"]
     return [
         ("instance", f"{status['name']} ({status['role']}, for {status['since_ms'] / 1000:.0f} s)"),
-        ("holder", status["holder"] or "nobody that it knows of"),
+        ("holder", status["holder"] or "none known"),
         ("token", status["token"]),
         ("term", status["term"]),
         ("lease left", f"{lease_left_ms} ms" if lease_left_ms is not None else None),
         ("votes", ", ".join(status["votes"])),
-        ("why not here", "; ".join(status["why_not"])),
-        ("fit", f"{'yes' if health['fit'] else 'no'}, penalty {health['penalty']:g}"),
+        ("why not holder", "; ".join(status["why_not"])),
+        ("healthy", f"{'yes' if health['fit'] else 'no'}, penalty {health['penalty']:g}"),
         ("members", ", ".join(status["members"])),
         ("witnesses", ", ".join(status["witnesses"])),
-        ("survives", status["survives"]),
+        ("fault tolerance", status["survives"]),
         ("generation", f"{status['generation']}, {'settled' if status['settled'] else 'not settled yet'}"),
         *(("mismatch", f"{name} {reason}") for name, reason in status["mismatches"].items()),
-        ("record", status["record_failing"]),
+        ("record error", status["record_failing"]),
         ("refused", ", ".join(f"{count} {reason}" for reason, count in status["refused"].items())),
     ]
 
@@ -128,9 +134,9 @@
 @address.command()
 @_edge_option
 @_control_option
-@click.option("--to", "successor", required=True, help="the member that is to have it")
+@click.option("--to", "successor", required=True, help="the member that becomes the holder")
 def move(edge: Path | None, control: Path | None, successor: str) -> None:
-    """Hand the address from this instance, which holds it, to another that is ready.
+    """Move the address from this instance, which must hold it, to another member that is ready.
 
     \b
     Example:
@@ -143,9 +149,9 @@
 @_edge_option
 @_control_option
 @click.option("--for", "seconds", type=click.FloatRange(0, 86400), default=3600.0, show_default=True)
-@click.option("--off", is_flag=True, help="let it stand again")
+@click.option("--off", is_flag=True, help="end the hold-down")
 def hold_down(edge: Path | None, control: Path | None, seconds: float, off: bool) -> None:
-    """Keep this instance from holding the address for some seconds; it votes on.
+    """Keep this instance from holding the address for some seconds; it still votes.
 
     \b
     Example:
@@ -166,7 +172,7 @@
 
 
 class _WitnessAnnouncer:
-    """A witness never holds the address, so it has nothing to announce."""
+    """The announcer of a witness. A witness never holds the address, so it announces nothing."""
 
     def claim(self, token: int, lease_until: Callable[[], int]) -> None:
         """Never called."""
@@ -176,12 +182,12 @@
 
 
 @address.command()
-@click.option("--edge", type=click.Path(path_type=Path), required=True, help="its edge file")
-@click.option("--name", default="", help="which of the members it is, where the file doesn't say")
+@click.option("--edge", type=click.Path(path_type=Path), required=True, help="the edge file of the witness")
+@click.option("--name", default="", help="the witness's name among the members, instead of that in the file")
 def witness(edge: Path, name: str) -> int:
-    """Run a witness: a member without a gateway that votes and never holds.
+    """Run a witness: a member without a gateway that votes but never holds the address.
 
-    SIGHUP reads the file again; SIGTERM ends it.
+    SIGHUP reloads the edge file; SIGTERM stops the witness.
 
     \b
     Example:
@@ -190,7 +196,7 @@
     settings = _read_settings(edge)
     name = name or settings.name
     if name not in settings.witnesses:
-        raise click.UsageError(f"{name!r} is none of address.witnesses ({', '.join(settings.witnesses)})")
+        raise click.UsageError(f"{name!r} is not in address.witnesses ({', '.join(settings.witnesses)})")
     start_logging()
     try:
         member = Member(settings, name, _WitnessAnnouncer())
@@ -210,8 +216,8 @@
         except (ValueError, click.UsageError) as error:
             log.error("reload_rejected", reason=getattr(error, "message", str(error)))
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     loop.add_signal_handler(signal.SIGHUP, reload)
     await member.start()
     while not stop.is_set():
--- a/lockspoke/cli/inventory.py
+++ b/lockspoke/cli/inventory.py
@@ -1,4 +1,4 @@
-"""The group `lockspoke inventory` with its commands."""
+"""The command group `lockspoke inventory`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @click.group()
 def inventory() -> None:
-    """Check, show, compare and convert lists of workers in files."""
+    """Check, show, compare, convert and watch files that list workers."""
 
 
 for _command in (check, codes, show, diff, plan, convert, status, accept, watch):
--- a/lockspoke/cli/inventory_compare.py
+++ b/lockspoke/cli/inventory_compare.py
@@ -1,4 +1,4 @@
-"""`lockspoke inventory diff`, `plan` and `convert`: inventories against each other, and in other formats."""
+"""The commands `lockspoke inventory diff`, `plan` and `convert`: compare and convert inventories."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Pair:
+class _InventoryPair:
     """Two inventories, read with the same options."""
 
     reader: InventoryReader
@@ -30,9 +30,9 @@
     new: Snapshot
 
 
-def _read_pair(old: Path, new: Path, options: dict[str, Any]) -> _Pair:
+def _read_pair(old: Path, new: Path, options: dict[str, Any]) -> _InventoryPair:
     reader = inventory_reader(paths=(old,), **options)
-    return _Pair(reader, reader.read((old,)).snapshot, reader.read((new,)).snapshot)
+    return _InventoryPair(reader, reader.read((old,)).snapshot, reader.read((new,)).snapshot)
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +41,7 @@
 
     host: str
     sign: str
-    changed: dict[str, tuple[Any, Any]]  # by field, the old and the new value
+    changed: dict[str, tuple[Any, Any]]  # the old and the new value of each field
 
     @classmethod
     def between(cls, host: str, old: ReplicaRecord | None, new: ReplicaRecord | None) -> _Difference:
@@ -66,11 +66,11 @@
 @click.argument("old", type=click.Path(exists=True, path_type=Path))
 @click.argument("new", type=click.Path(exists=True, path_type=Path))
 @reading_options
-@click.option("--json", "as_json", is_flag=True, help="as JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 def diff(old: Path, new: Path, as_json: bool, **options: Any) -> int:
-    """Compare the workers of two inventories, whatever their forms.
+    """Compare the workers of two inventories, whatever their formats.
 
-    Exits 0 if they give the same workers, 1 if not.
+    Exits with 0 if the workers are the same, 1 if not.
 
     \b
     Example:
@@ -85,11 +85,11 @@
         if before.get(host) != after.get(host)
     ]
     if as_json:
-        click.echo(json.dumps([asdict(one) for one in differences], indent=2))
+        click.echo(json.dumps([asdict(difference) for difference in differences], indent=2))
     else:
         out = console()
-        for one in differences:
-            out.print(f"[{_SIGN_COLORS[one.sign]}]{escape(str(one))}[/]", soft_wrap=True)
+        for difference in differences:
+            out.print(f"[{_SIGN_COLORS[difference.sign]}]{escape(str(difference))}[/]", soft_wrap=True)
         click.echo(f"{len(differences)} of {len(hosts)} workers differ")
     return 1 if differences else 0
 
@@ -98,13 +98,14 @@
 @click.argument("old", type=click.Path(exists=True, path_type=Path))
 @click.argument("new", type=click.Path(exists=True, path_type=Path))
 @reading_options
-@click.option("--json", "as_json", is_flag=True, help="as JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 @click.option("--accept", is_flag=True, help="as if an operator had accepted a mass removal")
 def plan(old: Path, new: Path, as_json: bool, accept: bool, **options: Any) -> int:
-    """Say what a gateway that has OLD would do with NEW, host by host, and why.
+    """Show what a gateway that has loaded OLD would do with NEW, for each host, and why.
 
-    It would add, change, drain, remove, hold hosts at their last good state, or keep them out; a mass
-    removal it would hold altogether. Exits 0 if all would be taken, 1 if something would be held or kept out.
+    It adds, changes, drains or removes a host, holds it at its last valid state, or keeps it out. It holds
+    back a mass removal as a whole. Exits with 0 if all changes would be applied, 1 if any would be held or
+    kept out.
 
     \b
     Example:
@@ -112,40 +113,44 @@
     """
     pair = _read_pair(old, new, options)
     policy = pair.reader.settings.reconcile_policy()
-    decisions = plan_decisions(policy, pair.old, _as_if_at(old, new, pair.new), accept)
-    held = [one for one in decisions if one.action in (Action.HOLD, Action.KEEP_OUT, Action.GUARD)]
+    decisions = plan_decisions(policy, pair.old, _relocate(old, new, pair.new), accept)
+    held = [
+        decision for decision in decisions if decision.action in (Action.HOLD, Action.KEEP_OUT, Action.GUARD)
+    ]
     if as_json:
-        click.echo(json.dumps([one.as_json() for one in decisions], indent=2))
+        click.echo(json.dumps([decision.as_json() for decision in decisions], indent=2))
     else:
         print_decisions(decisions)
         click.echo(f"{len(decisions)} decisions, {len(held)} of them hold something back")
     return 1 if held else 0
 
 
-def _as_if_at(old: Path, new: Path, snapshot: Snapshot) -> Snapshot:
-    """The snapshot of `new` as if it had been read from `old`, which it is to replace."""
+def _relocate(old: Path, new: Path, snapshot: Snapshot) -> Snapshot:
+    """Return the snapshot of `new` as if it had been read from `old`, the path that it would replace."""
 
-    def moved(file: str) -> str:
+    def relocate_file(file: str) -> str:
         if file == str(new):
             return str(old)
         return str(old / Path(file).relative_to(new)) if file.startswith(f"{new}/") else file
 
     return replace(
         snapshot,
-        files={host: tuple(map(moved, files)) for host, files in snapshot.files.items()},
-        incomplete_sources={moved(file): reason for file, reason in snapshot.incomplete_sources.items()},
-        unterminated_sources=frozenset(map(moved, snapshot.unterminated_sources)),
+        files={host: tuple(map(relocate_file, files)) for host, files in snapshot.files.items()},
+        incomplete_sources={
+            relocate_file(file): reason for file, reason in snapshot.incomplete_sources.items()
+        },
+        unterminated_sources=frozenset(map(relocate_file, snapshot.unterminated_sources)),
     )
 
 
 def plan_decisions(
     policy: ReconcilePolicy, old: Snapshot, new: Snapshot, accept: bool
 ) -> tuple[Decision, ...]:
-    """The decisions that lead from one snapshot to another one a while later.
+    """The decisions of a gateway that reads `new` long after `old`, when all time windows have passed.
 
-    `accept` accepts a mass removal.
+    With `accept`, an operator has accepted a mass removal.
     """
-    # Both files are complete, so a missing newline at the end means nothing.
+    # Both files are taken as complete, so a missing newline at the end suspends no removals.
     reconciler = Reconciler(replace(policy, unfinished_ms=0))
     reconciler.step(old, 0)
     if accept:
@@ -156,10 +161,12 @@
 @click.command()
 @paths_argument
 @reading_options
-@click.option("--to", "target", required=True, type=click.Choice(writing.FORMATS), help="the form to write")
-@click.option("-o", "--output", type=click.Path(path_type=Path), help="a file, put in place whole")
+@click.option("--to", "target", required=True, type=click.Choice(writing.FORMATS), help="the format to write")
+@click.option(
+    "-o", "--output", type=click.Path(path_type=Path), help="the file to write, replaced atomically"
+)
 def convert(paths: tuple[Path, ...], target: str, output: Path | None, **options: Any) -> int:
-    """Write the workers of sources in another form; with an error in them, nothing is written.
+    """Write the workers of sources in another format; if the sources have errors, nothing is written.
 
     \b
     Examples:
@@ -168,10 +175,10 @@
     """
     reader = inventory_reader(paths=paths, **options)
     report = reader.read(paths)
-    errors = [entry for entry in report.snapshot.problems if entry.is_error]
+    errors = [problem for problem in report.snapshot.problems if problem.is_error]
     if errors:
         click.echo(reports.as_text(errors, source_texts(paths or reader.paths)), err=True)
-        click.echo("nothing is written: mend these first", err=True)
+        click.echo("nothing was written: correct these errors first", err=True)
         return 1
     text = writing.write_inventory(report.snapshot.replicas.values(), target)
     if output is None:
--- a/lockspoke/cli/inventory_options.py
+++ b/lockspoke/cli/inventory_options.py
@@ -1,4 +1,4 @@
-"""The options of the commands that read inventories, and the reader that they result in."""
+"""The options of the commands that read inventories, and the reader that uses them."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
     zones: tuple[str, ...]
 
     def read(self, paths: tuple[Path, ...], cache: ParseCache | None = None) -> SnapshotReport:
-        """Read these sources, or those of the edge file where none are given."""
+        """Read these sources, or those of the settings if there are none."""
         return take_snapshot(read_files(paths or self.paths), self.settings.read_options(self.zones), cache)
 
     @property
     def paths(self) -> tuple[Path, ...]:
-        """The sources that the settings name."""
+        """The sources in the settings."""
         return tuple(Path(path) for path in self.settings.paths)
 
 
@@ -42,18 +42,24 @@
     for option in reversed(
         [
             click.option(
-                "--edge", type=click.Path(path_type=Path), help="take the section [inventory] of this file"
+                "--edge",
+                type=click.Path(path_type=Path),
+                help="an edge file; its section [inventory] is used",
             ),
-            click.option("--zone", "zones", multiple=True, help="a zone that is known; more may be given"),
+            click.option("--zone", "zones", multiple=True, help="a known zone; may be given several times"),
             click.option(
-                "--kind", "kinds", multiple=True, metavar="NAME[=WEIGHT]", help="a kind that is known"
+                "--kind",
+                "kinds",
+                multiple=True,
+                metavar="NAME[=WEIGHT]",
+                help="a known kind; may be given several times",
             ),
+            click.option("--form", type=click.Choice(FORMATS), help="the format, instead of that detected"),
+            click.option("--select", metavar="PATTERN", help="only hosts that match, e.g. lis-1:&gen_c:!w3"),
+            click.option("--port", type=click.IntRange(1, 65535), help="the port of hosts without one"),
             click.option(
-                "--form", type=click.Choice(FORMATS), help="where a file's name does not tell its form"
+                "--lookups/--no-lookups", default=None, help="allow host names as well as IP addresses"
             ),
-            click.option("--select", metavar="PATTERN", help="only hosts of a pattern, as lis-1:&gen_c:!w3"),
-            click.option("--port", type=click.IntRange(1, 65535), help="for hosts that give none"),
-            click.option("--lookups/--no-lookups", default=None, help="take host names beside IP addresses"),
         ]
     ):
         command = option(command)
@@ -70,13 +76,17 @@
     lookups: bool | None = None,
     paths: tuple[Path, ...] = (),
 ) -> InventoryReader:
-    """The reader for the options of a command, which override the edge file. Raises click.UsageError."""
+    """The reader for the options of a command, which override the edge file.
+
+    Raises:
+        click.UsageError: The options or the edge file are invalid, or there are no sources.
+    """
     if edge is not None:
         values = _edge_settings(edge)
     elif paths:
         values = {"paths": [str(path) for path in paths]}
     else:
-        raise click.UsageError("name a file or folder, or --edge")
+        raise click.UsageError("a file, a folder or --edge is required")
     if zones:
         values["zones"] = list(zones)
     if kinds:
@@ -107,7 +117,7 @@
     try:
         return name, float(weight or 1.0)
     except ValueError:
-        raise click.UsageError(f"--kind {option}: {weight!r} is no weight") from None
+        raise click.UsageError(f"--kind {option}: {weight!r} is not a weight") from None
 
 
 def paths_argument(command: F) -> F:
--- a/lockspoke/cli/inventory_show.py
+++ b/lockspoke/cli/inventory_show.py
@@ -1,4 +1,4 @@
-"""`lockspoke inventory check`, `codes` and `show`: the problems and the replicas of an inventory."""
+"""The commands `lockspoke inventory check`, `codes` and `show`: problems and replicas of an inventory."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 @click.command()
 @paths_argument
 @reading_options
-@click.option("--json", "as_json", is_flag=True, help="workers and problems as JSON")
-@click.option("--sarif", "as_sarif", is_flag=True, help="problems as SARIF 2.1.0")
-@click.option("--strict", is_flag=True, help="exit 1 for warnings too")
+@click.option("--json", "as_json", is_flag=True, help="print workers and problems as JSON")
+@click.option("--sarif", "as_sarif", is_flag=True, help="print problems as SARIF 2.1.0")
+@click.option("--strict", is_flag=True, help="exit with 1 for warnings too")
 def check(paths: tuple[Path, ...], as_json: bool, as_sarif: bool, strict: bool, **options: Any) -> int:
-    """Check sources and tell all that is wrong with them.
+    """Check sources and print all problems.
 
-    Exits 0 if they are clean, 1 if something is wrong, 2 on wrong usage. Each problem has its file, line
-    and column, a code that `lockspoke inventory codes` explains, and what to write instead.
+    Exits with 0 if there are no errors, 1 if there are some, and 2 on wrong usage. Each problem has its
+    file, line and column, a code that `lockspoke inventory codes` explains, and a suggested correction.
 
     \b
     Examples:
@@ -50,7 +50,7 @@
                 reports.as_text(problems, source_texts(paths or reader.paths), problem_style(console()))
             )
         click.echo(reports.summary(len(report.snapshot.replicas), problems))
-    return 1 if any(entry.is_error or strict for entry in problems) else 0
+    return 1 if any(problem.is_error or strict for problem in problems) else 0
 
 
 def _version() -> str:
@@ -61,9 +61,9 @@
 
 
 @click.command()
-@click.option("--json", "as_json", is_flag=True, help="as JSON")
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
 def codes(as_json: bool) -> None:
-    """List the codes of problems and what each means."""
+    """List the codes of problems with their meanings."""
     if as_json:
         rows = [
             {
@@ -85,11 +85,11 @@
 @click.command()
 @paths_argument
 @reading_options
-@click.option("--json", "as_json", is_flag=True, help="as JSON")
-@click.option("--host", metavar="NAME", help="one host, with where each of its values stands")
-@click.option("--groups", is_flag=True, help="the groups with their hosts")
+@click.option("--json", "as_json", is_flag=True, help="print JSON")
+@click.option("--host", metavar="NAME", help="one host, with the place of each of its values")
+@click.option("--groups", is_flag=True, help="show groups with their hosts")
 def show(paths: tuple[Path, ...], as_json: bool, host: str | None, groups: bool, **options: Any) -> int:
-    """Show the workers that sources give, as the gateway would take them.
+    """Show the workers in sources as a gateway would load them.
 
     \b
     Examples:
@@ -122,10 +122,10 @@
 
 
 def _show_host_values(report: SnapshotReport, name: str, as_json: bool) -> int:
-    found = [entry for entry in report.checked_rows if entry.row.name == name]
-    if not found:
+    entries = [entry for entry in report.checked_rows if entry.row.name == name]
+    if not entries:
         raise click.UsageError(f"no source names the host {name!r}")
-    for entry in found:
+    for entry in entries:
         values = {key: (value.text, str(value.place)) for key, value in sorted(entry.row.values.items())}
         record = entry.record.as_json() if entry.record is not None else None
         if as_json:
@@ -133,11 +133,11 @@
             click.echo(json.dumps({"worker": record, "groups": entry.row.groups, "values": shown}, indent=2))
             continue
         groups = " ".join(entry.row.groups) or "none"
-        click.echo(f"{name}, first at {entry.row.place}; groups, weakest first: {groups}")
+        click.echo(f"{name}, first at {entry.row.place}; groups, lowest precedence first: {groups}")
         table = Table("variable", "value", "from", box=None, pad_edge=False)
         for key, (text, place) in values.items():
             table.add_row(escape(key), escape(text), escape(place))
         console().print(table)
         if record is None:
-            click.echo(f"not taken: {entry.reason}")
+            click.echo(f"not loaded: {entry.reason}")
     return 0
--- a/lockspoke/cli/main.py
+++ b/lockspoke/cli/main.py
@@ -1,4 +1,4 @@
-"""The command `lockspoke` with its groups of commands. Without a command, the gateway itself runs."""
+"""The command-line tools of `lockspoke`. Without one of these commands, `lockspoke` runs a gateway."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .config import config
 from .inventory import inventory
 
-ABORTED = 130  # the exit code after Ctrl-C, as shells have it
+EXIT_ABORTED = 130  # after Ctrl-C, as in shells
 
 _COMPLETE_CLASSES: dict[str, type[ShellComplete]] = {
     "bash": BashComplete,
@@ -22,23 +22,23 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 def cli() -> None:
-    """Tools beside the gateway.
+    """Tools for use with a gateway.
 
-    Without a command, `lockspoke` is the gateway; see its --help with no command before it.
+    Without a command, `lockspoke` runs a gateway; see `lockspoke --help`.
     """
 
 
 @cli.command()
 @click.argument("shell", type=click.Choice(list(_COMPLETE_CLASSES)))
 def completion(shell: str) -> None:
-    """Print what makes a shell complete these commands.
+    """Print a script that makes a shell complete these commands.
 
     \b
     Example:
       lockspoke completion bash >> ~/.bashrc
     """
-    complete = _COMPLETE_CLASSES[shell](cli, {}, "lockspoke", "_LOCKSPOKE_COMPLETE")
-    click.echo(complete.source())
+    shell_complete = _COMPLETE_CLASSES[shell](cli, {}, "lockspoke", "_LOCKSPOKE_COMPLETE")
+    click.echo(shell_complete.source())
 
 
 cli.add_command(address)
@@ -49,13 +49,13 @@
 def run(arguments: list[str]) -> int:
     """Run a command and return its exit code."""
     try:
-        done = cli.main(arguments, prog_name="lockspoke", standalone_mode=False)
+        result = cli.main(arguments, prog_name="lockspoke", standalone_mode=False)
     except click.ClickException as error:
         error.show()
         return error.exit_code
     except click.exceptions.Abort:
-        return ABORTED
-    except BrokenPipeError:  # the reader of the pipe has ended
+        return EXIT_ABORTED
+    except BrokenPipeError:  # the process that reads the output has exited
         sys.stderr.close()
         return 0
-    return done if isinstance(done, int) else 0
+    return result if isinstance(result, int) else 0
--- a/lockspoke/cli/output.py
+++ b/lockspoke/cli/output.py
@@ -1,4 +1,4 @@
-"""What the commands print: tables of replicas, decisions, and the style of problems."""
+"""Output of the commands: tables of replicas, decisions, and the style of problems."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lockspoke.inventory.files import read_files
 from lockspoke.inventory.model import ReplicaRecord
 
-PIPED_WIDTH = 240  # characters of a line where the output is no terminal
+PIPED_WIDTH = 240  # characters per line if the output is not a terminal
 
 _ACTION_COLORS = {
     Action.ADD: "green",
@@ -31,13 +31,13 @@
 
 
 def console() -> Console:
-    """A console for tables: with colours on a terminal, plain and with long lines when piped."""
+    """A console for tables: with colours on a terminal, otherwise without colours and with long lines."""
     terminal = Console(highlight=False, soft_wrap=False)
     return terminal if terminal.is_terminal else Console(highlight=False, width=PIPED_WIDTH, no_color=True)
 
 
 def problem_style(out: Console) -> Callable[[str, str], str]:
-    """A function that styles the parts of a problem: with colours on a terminal."""
+    """A function that styles the parts of a problem: with colours on a terminal, otherwise unchanged."""
     if not out.is_terminal:
         return lambda text, _: text
     return lambda text, style: click.style(
@@ -46,23 +46,23 @@
 
 
 def source_texts(paths: tuple[Path, ...]) -> dict[str, str]:
-    """The text of each source, from which lines are shown."""
+    """The text of each source by path, for excerpts in problems."""
     return {file.path: (file.data or b"").decode("utf-8-sig", "replace") for file in read_files(paths)}
 
 
 def print_replicas(replicas: list[ReplicaRecord], hold_reasons: dict[str, str] | None = None) -> None:
-    """Print a table of replicas; with `hold_reasons` it has a column for them."""
+    """Print a table of replicas, with a column for `hold_reasons` (by host) if they are given."""
     names = ("name", "host", "port", "zone", "kind", "cell", "weight", "state", "labels")
     table = Table(*names, *(["held"] if hold_reasons is not None else []), box=None, pad_edge=False)
     for replica in replicas:
-        cells = _replica_cells(replica)
+        row = _replica_row(replica)
         if hold_reasons is not None:
-            cells.append(escape(hold_reasons.get(replica.name, "")))
-        table.add_row(*cells)
+            row.append(escape(hold_reasons.get(replica.name, "")))
+        table.add_row(*row)
     console().print(table)
 
 
-def _replica_cells(replica: ReplicaRecord) -> list[str]:
+def _replica_row(replica: ReplicaRecord) -> list[str]:
     labels = " ".join(f"{name}={value}" for name, value in replica.labels)
     return [
         escape(replica.name),
@@ -80,6 +80,6 @@
 def print_decisions(decisions: tuple[Decision, ...]) -> None:
     """Print one line for each decision."""
     out = console()
-    for one in decisions:
-        action = f"[{_ACTION_COLORS[one.action]}]{one.action.value:>8}[/]"
-        out.print(f"{action} {escape(one.host or '*')}: {escape(one.reason)}", soft_wrap=True)
+    for decision in decisions:
+        action = f"[{_ACTION_COLORS[decision.action]}]{decision.action.value:>8}[/]"
+        out.print(f"{action} {escape(decision.host or '*')}: {escape(decision.reason)}", soft_wrap=True)
