--- a/lockspoke/balancing/__init__.py
+++ b/lockspoke/balancing/__init__.py
@@ -1,6 +1,7 @@
 """The load balancer: decides which replica gets a request, and which requests are rejected.
 
-It does no I/O and reads no clock: events and the time go in, actions come out.
+It does no I/O and reads no clock: callers pass in events with the current time and carry out the actions that
+it returns.
 """
 
 from .balancer import Balancer
--- a/lockspoke/balancing/actions.py
+++ b/lockspoke/balancing/actions.py
@@ -1,6 +1,6 @@
 """The actions that a balancer returns, for the gateway to carry out in the given order.
 
-Durations are integer nanoseconds. Requests, replicas and timers are named by their numbers in the events.
+Durations are integer nanoseconds. Requests, replicas and timers have the same numbers as in the events.
 """
 
 from __future__ import annotations
@@ -14,16 +14,17 @@
 
     request: int
     replica: int
-    timeout: int = 0  # until the first token; 0: until the client's own time-out
-    start_within: int = 0  # unless its first byte is sent within this time, it must not be sent; 0: no bound
+    timeout: int = 0  # The time limit for the first token; 0 means the client's own time-out.
+    # If the first byte is not sent within this time, the attempt must not be sent; 0 means no limit.
+    start_within: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: the request was not served, and the client may safely retry it."""
+    """Final answer: the request was not served, and the client can safely retry it."""
 
     request: int
-    retry_after: int = 0  # how long the client should wait before a retry; 0: no advice
+    retry_after: int = 0  # How long the client should wait before it retries; 0 means no advice.
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpointList:
-    """Request the endpoint list and watch it for changes, or stop watching it."""
+    """Request the endpoint list and watch it for changes, or stop the watch."""
 
     enable: bool = True
 
--- a/lockspoke/balancing/admission.py
+++ b/lockspoke/balancing/admission.py
@@ -1,4 +1,4 @@
-"""The requests that wait for a replica: the order in which they are admitted, and tenant quotas.
+"""The queue of requests that wait for a replica: the order of admission, and tenant quotas.
 
 Times and durations are integer nanoseconds; work is counted in tokens.
 """
@@ -14,38 +14,42 @@
 from .tracked import TrackedReplica, TrackedRequest
 
 TENANT_USAGE_HALF_LIFE = 10 * SECOND
-OVER_QUOTA_FACTOR = 1.5  # times the mean usage of tenants relative to their quotas
+# A tenant is over its quota if its usage, relative to the quota, exceeds the tenants' mean by this factor.
+OVER_QUOTA_FACTOR = 1.5
 MIN_QUOTA = 1e-9
-FAIR_SHARE = 0.6  # of the share of all requests sent: prompt lengths with a lower share are preferred
-FAIRNESS_HALF_LIFE = 30 * SECOND  # a burst of some seconds leaves the order as it is
+# Prompt lengths of which a smaller share of requests was sent than this fraction of the overall share are
+# preferred.
+FAIR_SHARE = 0.6
+FAIRNESS_HALF_LIFE = 30 * SECOND  # With this, a burst of a few seconds hardly changes the order.
 
 
 class QueuePosition(NamedTuple):
-    """Sort key of a waiting request; the least is admitted first."""
+    """Sort key of a waiting request; the smallest is admitted first."""
 
     misses_objective: bool
     tenant_over_quota: bool
     length_is_served_fairly: bool
     work: float
-    negated_arrival: int  # the newest first: it has most of its time left
+    negated_arrival: int  # The newest request goes first, as it has the most time left.
 
 
 class AdmissionQueue:
-    """Holds requests until a replica has capacity, and what decides their order."""
+    """Holds requests until a replica has capacity, and the statistics that decide their order."""
 
     def __init__(self, settings: BalancerSettings) -> None:
         self.settings = settings
-        self.waiting: dict[int, TrackedRequest] = {}  # by request number
+        self.waiting: dict[int, TrackedRequest] = {}  # Keyed by request number.
         self.prompt_bands = PromptBands(FAIRNESS_HALF_LIFE)
-        self._tenant_usage = _usage_of_tenants(settings)  # work sent relative to the quota, by tenant
+        # Recently sent work relative to the quota, indexed by tenant.
+        self._tenant_usage = _usage_of_tenants(settings)
 
     def reconfigure(self, settings: BalancerSettings) -> None:
-        """Use new settings; the tenants' usage starts anew."""
+        """Switch to new settings; the recorded usage of all tenants is reset."""
         self.settings = settings
         self._tenant_usage = _usage_of_tenants(settings)
 
     def record_sent(self, now: int, request: TrackedRequest, work: float) -> None:
-        """Count an attempt against its tenant's quota and, if it is the first, for its prompt length."""
+        """Count an attempt against its tenant's quota, and a first attempt in the share sent by length."""
         if self._tenant_usage:
             tenant = self._tenant_of(request)
             quota = max(self.settings.tenants[tenant].quota, MIN_QUOTA)
@@ -54,13 +58,13 @@
             self.prompt_bands.record(now, request.arrived.prompt_tokens, sent=True)
 
     def record_answered(self, now: int, request: TrackedRequest) -> None:
-        """Count a request that was answered by the gateway itself; only those never sent matter."""
+        """Count a request that the gateway itself answered; those sent at least once are already counted."""
         if not request.attempts:
             self.prompt_bands.record(now, request.arrived.prompt_tokens, sent=False)
 
     def in_order(self, now: int, available: list[TrackedReplica]) -> list[int]:
         """Return the numbers of the waiting requests in the order of admission."""
-        if len(self.waiting) <= 1:  # the usual case needs no keys
+        if len(self.waiting) <= 1:  # This is the usual case; it needs no sort keys.
             return list(self.waiting)
         usage = [tenant.value(now) for tenant in self._tenant_usage]
         usage_limit = OVER_QUOTA_FACTOR * sum(usage) / len(usage) if usage else 0.0
@@ -69,8 +73,10 @@
         def position(number: int) -> QueuePosition:
             request = self.waiting[number]
             arrived = request.arrived
-            # Without a preference for little work, a nearly full fleet would read every prompt anew;
-            # with nothing else, the longest prompts would wait for as long as an overload lasts.
+            # Requests with little work are preferred. Otherwise a nearly full fleet would send requests to
+            # replicas that do not have their prompts cached, and would read every prompt again. With that
+            # preference alone, the longest prompts would wait until the overload ends; so prompt lengths
+            # that get less than their fair share are exempt from it and go first.
             work = min([replica.work_for(arrived) for replica in available], default=0.0)
             is_fair = self.prompt_bands.share_sent(arrived.prompt_tokens) >= fair_share
             return QueuePosition(
@@ -84,7 +90,7 @@
         return sorted(self.waiting, key=position)
 
     def _tenant_of(self, request: TrackedRequest) -> int:
-        """Return the tenant's index; a reload may have left fewer tenants than when the request arrived."""
+        """Return the index of the request's tenant, clamped because a reload may have removed tenants."""
         return min(request.arrived.tenant, len(self._tenant_usage) - 1)
 
 
@@ -93,7 +99,7 @@
 
 
 def _misses_objective(now: int, request: TrackedRequest) -> bool:
-    """Whether the latency objective is lost: a client's retry, or one that has too little time left."""
+    """Whether the latency objective cannot be met: for a client's retry, or with too little time left."""
     arrived = request.arrived
     waited = now - request.arrived_at
     return arrived.client_retry or not waited <= request.latency_objective <= arrived.time_remaining
--- a/lockspoke/balancing/attempt_results.py
+++ b/lockspoke/balancing/attempt_results.py
@@ -1,9 +1,12 @@
-"""What first tokens and outcomes of attempts say about replicas: the only place that learns from them."""
+"""Updates the records of replicas from the first tokens and outcomes of attempts.
+
+No other module does this.
+"""
 
 from __future__ import annotations
 
 from .breaker import BreakerState
-from .concurrency_control import NEVER, TIMELY_SHARE, ConcurrencyControl
+from .concurrency_control import NO_FIRST_TOKEN, TIMELY_SHARE, ConcurrencyControl
 from .endpoint_list import EndpointList
 from .events import AttemptEnded, FirstToken, Outcome
 from .load_reports import REPORT_LIFETIME
@@ -11,11 +14,14 @@
 from .slow_start_budget import SlowStartBudget
 from .tracked import ANSWER_TOKENS, TrackedAttempt, TrackedReplica, TrackedRequest
 
-MAX_OPEN_SHARE = 0.5  # of the ready replicas: when more fail, the fault is shared and not theirs
-CONNECTION_FAILURE_WEIGHT = 3  # in failures: with many gateways, each sees few failed connections
+# Failures other than failed connections open breakers of at most this share of the ready replicas. If more
+# replicas fail, the cause is a shared one, such as an overload.
+MAX_OPEN_SHARE = 0.5
+# A failed connection counts as this many failures, because each of many gateways sees only few of them.
+CONNECTION_FAILURE_WEIGHT = 3
 FAILURES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
 CONNECTION_FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET)
-# Utilization that is inferred from latency, where replicas send no load reports:
+# The utilization that is inferred from the latency of first tokens if load reports do not contain it.
 UTILIZATION_IF_LATE = 1.0
 UTILIZATION_IF_TIMELY = 0.5
 
@@ -44,17 +50,17 @@
         replica = attempt.replica
         replica.backoff.record_accepted(request.arrived.request_class)
         for other in request.attempts:
-            if other.outcome is Outcome.INVALID_REQUEST:  # wrongly, as this replica accepts the request
+            if other.outcome is Outcome.INVALID_REQUEST:  # It was wrong: this replica accepted the request.
                 other.replica.breaker.record_failure(now, may_open=self._another_may_open())
-        # Reading an uncached prompt takes its time: up to twice the latency is allowed for it.
+        # Reading an uncached prompt takes time: a wholly uncached one may take twice as long.
         allowance = 1.0 + attempt.uncached_tokens / max(1.0, request.arrived.prompt_tokens)
         objective_share = event.elapsed / request.latency_objective / allowance
-        self._limits.learn(now, attempt, objective_share)
+        self._limits.record_latency(now, attempt, objective_share)
         if self.settings.utilization_field is None:
             is_late = objective_share > TIMELY_SHARE
             self._update_utilization(now, replica, UTILIZATION_IF_LATE if is_late else UTILIZATION_IF_TIMELY)
         replica.breaker.record_success(attempt.trial)
-        replica.work_in_flight -= attempt.work - ANSWER_TOKENS  # the prompt is read, the answer goes on
+        replica.work_in_flight -= attempt.work - ANSWER_TOKENS  # Only the answer remains.
         attempt.work = ANSWER_TOKENS
 
     def ended(self, now: int, request: TrackedRequest, attempt: TrackedAttempt, event: AttemptEnded) -> bool:
@@ -67,20 +73,20 @@
         if event.load_report and self.settings.utilization_field is not None:
             self._apply_load_report(now, replica, event.load_report[self.settings.utilization_field])
         if not attempt.streaming and (is_overloaded or event.outcome is Outcome.TIMEOUT):
-            self._limits.learn(now, attempt, NEVER)
+            self._limits.record_latency(now, attempt, NO_FIRST_TOKEN)
         self._release(attempt)
         has_opened = False
         if event.outcome is Outcome.OK:
             replica.breaker.record_success(attempt.trial)
-            read = min(attempt.uncached_tokens, request.arrived.prompt_tokens - event.cached_tokens)
-            self._budget.record_completed(now, replica, read)
+            tokens_read = min(attempt.uncached_tokens, request.arrived.prompt_tokens - event.cached_tokens)
+            self._budget.record_completed(now, replica, tokens_read)
         elif event.outcome in FAILURES:
             has_opened = self._record_failure(now, replica, event)
         replica.breaker.release_trial(attempt.trial)
         return has_opened
 
     def _release(self, attempt: TrackedAttempt) -> None:
-        """Take an ended attempt out of the counts of what is in flight."""
+        """Remove an ended attempt from the counts of requests and work in flight."""
         replica = attempt.replica
         replica.concurrency.in_flight -= 1
         replica.reported_load.record_in_flight(replica.concurrency.in_flight)
@@ -97,12 +103,12 @@
             breaker.record_failure(now, may_open=self._another_may_open())
         if state_before is not BreakerState.CLOSED or breaker.state is not BreakerState.OPEN:
             return False
-        # All gateways will find it idle at once when it recovers: each begins with few requests.
+        # When it recovers, all gateways find it idle at the same time, so each starts with few requests.
         replica.concurrency.reset(limited=True)
         return True
 
     def _another_may_open(self) -> bool:
-        """Whether one more breaker may open; a shared slowdown must not open those of the whole fleet."""
+        """Whether one more breaker may open; a slowdown of the whole fleet must not open most breakers."""
         ready = self._endpoints.ready
         not_closed = sum([replica.breaker.state is not BreakerState.CLOSED for replica in ready])
         return not_closed + 1 <= MAX_OPEN_SHARE * len(ready)
--- a/lockspoke/balancing/balancer.py
+++ b/lockspoke/balancing/balancer.py
@@ -1,8 +1,8 @@
-"""The balancer of one gateway: passes each event to the parts that handle it, and returns actions.
+"""The balancer of one gateway: passes each event to the components that handle it, and returns actions.
 
-Each part has a module of its own: `endpoint_list` and `discovery_polling` (which replicas there are),
+Each component has a module of its own: `endpoint_list` and `discovery_polling` (which replicas exist),
 `admission` (the order of waiting requests), `replica_selection` (the replica for an attempt) and
-`attempt_results` (what is learned from first tokens and outcomes).
+`attempt_results` (what first tokens and outcomes tell about the replicas).
 """
 
 from __future__ import annotations
@@ -36,45 +36,47 @@
 from .tracked import ANSWER_TOKENS, TrackedAttempt, TrackedReplica, TrackedRequest
 from .weighted_sampling import WeightedSampler
 
-MIN_RETRY_AFTER = SECOND // 2  # a client that retries sooner meets the same overload
-MAX_UNPLACED = 4  # waiting requests that find no replica before the rest of the queue is left for later
-MAX_INVALID_VERDICTS = 2  # replicas that find a request invalid; one alone may itself be at fault
-TIMER_TOKEN = 0  # there is one kind of timer: any event makes the balancer look at the time
+MIN_RETRY_AFTER = SECOND // 2  # A client that retried sooner would meet the same overload.
+# Once this many waiting requests have found no replica, the rest of the queue waits for the next event.
+MAX_UNPLACED = 4
+# A request fails once this many replicas have rejected it as invalid; a single one may be faulty itself.
+INVALID_REQUEST_THRESHOLD = 2
+TIMER_TOKEN = 0  # All timers share one token, because every call checks everything that may be due.
 
-_NEVER = 1 << 80  # later than any time that a clock shows
+_NEVER = 1 << 80  # This is later than any clock reading.
 
 
 class Balancer:
-    """Decides for one gateway; does no I/O and reads no clock. Not safe for use by several threads."""
+    """Turns the events of one gateway into actions, without I/O or a clock. It is not thread-safe."""
 
     def __init__(self, settings: BalancerSettings, seed: int) -> None:
-        source = random.Random(seed)  # noqa: S311 - spreads load; draws must repeat for a seed
+        rng = random.Random(seed)  # noqa: S311 - not for security; the same seed must give the same draws
         self.settings = settings
-        self.requests: dict[int, TrackedRequest] = {}  # by number, until all of their attempts have ended
+        self.requests: dict[int, TrackedRequest] = {}  # Keyed by number, until every attempt has ended.
         self.endpoints = EndpointList(settings)
         self.limits = ConcurrencyControl(settings)
         self.queue = AdmissionQueue(settings)
-        self._polling = DiscoveryPolling(settings, source)
-        self._sampler = WeightedSampler(settings, source)
+        self._polling = DiscoveryPolling(settings, rng)
+        self._sampler = WeightedSampler(settings, rng)
         self.affinity = PrefixAffinity(settings, self.endpoints, self._sampler)
-        self._budget = SlowStartBudget(settings, source, self.endpoints)
+        self._budget = SlowStartBudget(settings, rng, self.endpoints)
         self._selector = ReplicaSelector(
             settings, self.endpoints, self._budget, self._sampler, self.affinity, self.limits.gateway
         )
         self._results = AttemptResults(settings, self.endpoints, self.limits, self._budget)
         self.deadlines = DeadlineQueue()
         self._timer_fires_at = _NEVER
-        # The actions of the latest call. After an exception they hold what was decided before it: that
-        # counts as done here, and has to be carried out.
+        # The actions of the latest call of `handle`. If it raised an exception, they are those decided before
+        # it. The balancer's state already reflects them, so the caller still has to carry them out.
         self.latest_actions: list[Action] = []
 
     @property
     def replicas(self) -> dict[int, TrackedReplica]:
-        """The replicas of the endpoint list by number, with those that were removed recently."""
+        """The replicas on the endpoint list and those removed from it recently, by number."""
         return self.endpoints.replicas
 
     def reconfigure(self, settings: BalancerSettings) -> None:
-        """Use new settings from now on; requests in progress keep the class that they arrived with."""
+        """Switch to new settings; requests in progress keep the request class that they arrived with."""
         self.settings = settings
         self.endpoints.settings = settings
         self.limits.settings = settings
@@ -95,7 +97,7 @@
         for event in events:
             self._apply(now, event)
         self._admit(now)
-        # After the events: an answer in the same batch comes before the deadline that it met.
+        # Deadlines are checked after the events, so that an answer in the same batch still counts as in time.
         self._answer_expired(now)
         if self._polling.take_due_poll(now):
             self.latest_actions.append(WatchEndpointList(True))
@@ -150,13 +152,13 @@
             )
         if event.request_answered or not request.is_open:
             self._close(event.request, request)
-        elif _found_invalid(request):
+        elif _is_invalid(request):
             self._answer(now, event.request, request)
         elif not request.is_streaming:
             self.queue.waiting[event.request] = request
 
     def _admit(self, now: int) -> None:
-        """Send waiting requests, in the queue's order, to replicas that have capacity."""
+        """Send waiting requests to replicas that have capacity, in the order of the admission queue."""
         if not self.queue.waiting:
             return
         ready = self.endpoints.ready
@@ -165,7 +167,7 @@
         if self.limits.gateway.has_capacity():
             available = [replica for replica in closed if replica.has_capacity(now)]
         if closed and not available and not any(replica.breaker.accepts_trial for replica in ready):
-            return  # saves the work below for each event while a large fleet is overloaded
+            return  # With a large, overloaded fleet, sorting the queue on every event would cost too much.
         unplaced = 0
         for number in self.queue.in_order(now, available):
             if not self._place(now, number, self.queue.waiting[number]):
@@ -174,7 +176,7 @@
                     return
 
     def _place(self, now: int, number: int, request: TrackedRequest) -> bool:
-        """Send the next attempt, or answer if no replica may take it; return False if it has to wait."""
+        """Send the next attempt, or answer if no replica can take it; return False if it stays queued."""
         replica, may_wait = None, False
         if len(request.attempts) < self.settings.max_attempts and now < request.deadline:
             replica, may_wait = self._selector.select(now, request)
@@ -197,12 +199,12 @@
             attempt.trial = replica.breaker.begin_trial(now)
         if replica.slow_start.in_progress(now):
             replica.slow_start.record_send(now, arrived.prompt_tokens + ANSWER_TOKENS)
-        start_within = _time_to_start(now, request)
+        start_within = _time_left_to_start(now, request)
         request.attempts.append(attempt)
         self.latest_actions.append(SendAttempt(number, replica.number, request.deadline - now, start_within))
 
     def _answer(self, now: int, number: int, request: TrackedRequest) -> None:
-        """Give the final answer: a rejection if the request certainly did not run, else a failure."""
+        """Give the final answer: a rejection if the request cannot have run, otherwise a failure."""
         self.queue.record_answered(now, request)
         if request.attempts_that_may_have_run:
             self.latest_actions.append(Fail(number))
@@ -213,44 +215,47 @@
     def _answer_expired(self, now: int) -> None:
         for number in self.deadlines.pop_expired(now):
             request = self.requests.get(number)
-            # A stream that has begun has no deadline.
+            # Once the answer is being streamed, the deadline no longer applies.
             if request is not None and request.is_open and not any(a.streaming for a in request.attempts):
                 self._answer(now, number, request)
 
     def _retry_after(self, now: int) -> int:
-        """Return how long until some replica may accept a request, in nanoseconds."""
+        """Return the time until a replica may accept requests again, in nanoseconds."""
         available_at = [
             max(replica.backoff.until, replica.breaker.half_opens_at) for replica in self.endpoints.ready
         ]
         return max(MIN_RETRY_AFTER, min(available_at, default=now + INITIAL_RECOVERY) - now)
 
     def _close(self, number: int, request: TrackedRequest) -> None:
-        """Mark the request answered; it is forgotten with the outcome of its last attempt."""
+        """Mark the request as answered; it is removed once its last attempt has ended."""
         request.is_open = False
         self.queue.waiting.pop(number, None)
         if not request.has_attempt_in_progress:
             self.requests.pop(number, None)
 
     def _set_timer(self, now: int) -> None:
-        """Request a timer if something falls due before the pending timer fires."""
+        """Set a timer if something is due before the pending timer fires."""
         wake_at = _NEVER
         for time in (self.deadlines.earliest(), self._polling.next_poll_at):
             if time is not None and time < wake_at:
                 wake_at = time
         if self.queue.waiting:
-            wake_at = min(wake_at, now + OVERLOAD_BACKOFF)  # no event marks the end of a backoff
+            wake_at = min(wake_at, now + OVERLOAD_BACKOFF)  # No event marks the end of a backoff.
         if wake_at < self._timer_fires_at:
             self._timer_fires_at = wake_at
             self.latest_actions.append(SetTimer(wake_at - now, TIMER_TOKEN))
 
 
-def _found_invalid(request: TrackedRequest) -> bool:
-    verdicts = sum([attempt.outcome is Outcome.INVALID_REQUEST for attempt in request.attempts])
-    return verdicts >= MAX_INVALID_VERDICTS
+def _is_invalid(request: TrackedRequest) -> bool:
+    rejections = sum([attempt.outcome is Outcome.INVALID_REQUEST for attempt in request.attempts])
+    return rejections >= INVALID_REQUEST_THRESHOLD
 
 
-def _time_to_start(now: int, request: TrackedRequest) -> int:
-    """Return how long a repeat under an idempotency key may take to connect and start; 0: no bound."""
+def _time_left_to_start(now: int, request: TrackedRequest) -> int:
+    """Return within what time a repeated attempt must be sent for its key to be recognized; 0 means no limit.
+
+    Replicas recognize an idempotency key only for a limited time after the first attempt.
+    """
     if request.request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
         return 0
     may_have_run = request.attempts_that_may_have_run
--- a/lockspoke/balancing/breaker.py
+++ b/lockspoke/balancing/breaker.py
@@ -1,4 +1,4 @@
-"""A circuit breaker with one trial at a time; each replica has its own.
+"""A circuit breaker, one for each replica; when half-open it lets one trial request through at a time.
 
 Times and durations are integer nanoseconds.
 """
@@ -9,11 +9,13 @@
 
 from lockspoke.units import SECOND
 
-FAILURE_THRESHOLD = 5  # consecutive failures that open a closed breaker
-SUCCESS_THRESHOLD = 2  # consecutive successful trials that close a half-open one
-INITIAL_RECOVERY = 2 * SECOND  # most faults are shorter than the customary 60 s; doubled by each failed trial
-MAX_RECOVERY = 16 * SECOND  # a replica that has recovered is found within this time
-TRIAL_TIMEOUT = 30 * SECOND  # a trial without a result frees its slot after this time
+FAILURE_THRESHOLD = 5  # This many consecutive failures open a closed breaker.
+SUCCESS_THRESHOLD = 2  # This many consecutive successful trials close a half-open breaker.
+# How long a breaker stays open at first; each failed trial doubles it. The customary 60 s would outlast most
+# faults.
+INITIAL_RECOVERY = 2 * SECOND
+MAX_RECOVERY = 16 * SECOND  # A replica that has recovered is tried again within this time.
+TRIAL_TIMEOUT = 30 * SECOND  # After this time, a trial without a result no longer blocks further trials.
 
 
 class BreakerState(Enum):
@@ -25,7 +27,7 @@
 
 
 class Trial:
-    """An attempt that a half-open breaker lets through. Compared by identity."""
+    """An attempt that a half-open breaker lets through. Trials are compared by identity."""
 
     __slots__ = ("started_at",)
 
@@ -34,7 +36,7 @@
 
 
 class Breaker:
-    """Closed while a replica answers, open after consecutive failures, half-open while it is tried again."""
+    """Closed while a replica answers, open after consecutive failures, half-open while trials test it."""
 
     __slots__ = ("failures", "last_failure_at", "recovery", "state", "successes", "trial")
 
@@ -47,9 +49,9 @@
         self.trial: Trial | None = None
 
     def refresh(self, now: int) -> BreakerState:
-        """Apply the passage of time and return the state.
+        """Update the state to the given time and return it.
 
-        An open breaker half-opens after its recovery time; a trial without a result frees its slot.
+        An open breaker becomes half-open after its recovery time; a trial without a result expires.
         """
         if self.state is BreakerState.OPEN and now - self.last_failure_at >= self.recovery:
             self.state = BreakerState.HALF_OPEN
@@ -66,16 +68,16 @@
 
     @property
     def half_opens_at(self) -> int:
-        """When it half-opens; 0 unless it is open."""
+        """The time at which an open breaker becomes half-open; 0 if it is not open."""
         return self.last_failure_at + self.recovery if self.state is BreakerState.OPEN else 0
 
     def begin_trial(self, now: int) -> Trial:
-        """Occupy the trial slot and return the trial, to be passed back with its result."""
+        """Start the only trial and return it; the caller passes it back with its result."""
         self.trial = Trial(now)
         return self.trial
 
     def record_success(self, trial: Trial | None = None) -> None:
-        """Count a first token, or an answer without one; unless closed, only the current trial's counts."""
+        """Count a first token, or an answer without one; if not closed, only the current trial's counts."""
         if self.state is BreakerState.CLOSED:
             self.failures = 0
         elif trial is not None and trial is self.trial:
@@ -90,7 +92,7 @@
         self.recovery = INITIAL_RECOVERY
 
     def record_failure(self, now: int, *, may_open: bool, weight: int = 1) -> None:
-        """Count a failure; in any state but closed it opens the breaker and restarts its recovery time."""
+        """Count a failure; if the breaker is not closed, it opens and its recovery time starts again."""
         self.failures += weight
         self.last_failure_at = now
         if self.state is BreakerState.HALF_OPEN:
@@ -100,6 +102,6 @@
             self.trial = None
 
     def release_trial(self, trial: Trial | None) -> None:
-        """Free the slot of a trial that ended without a verdict (overloaded, cancelled)."""
+        """End a trial with an outcome that is neither success nor failure (overloaded, cancelled)."""
         if trial is not None and trial is self.trial:
             self.trial = None
--- a/lockspoke/balancing/concurrency_control.py
+++ b/lockspoke/balancing/concurrency_control.py
@@ -1,6 +1,7 @@
-"""Learning the concurrency limits, of each replica and of the gateway, from the latency of first tokens.
+"""Adapts the concurrency limits of each replica and of the gateway to the latency of first tokens.
 
-Sending faster than replicas can serve makes all requests late; requests beyond the limits wait instead.
+If more requests were sent than the replicas can serve, all of them would be late. Requests beyond the limits
+wait in the admission queue instead.
 """
 
 from __future__ import annotations
@@ -12,36 +13,43 @@
 from .settings import BalancerSettings
 from .tracked import TrackedAttempt
 
-TIMELY_SHARE = 0.2  # of the latency objective: a later first token means that the replica holds too much
-EXCUSABLE_SHARE = 0.5  # of the objective: up to that, a load report that shows capacity outweighs the latency
-INCREASE = 0.75  # by a timely first token, divided by the number of gateways; small, as load shows late
-MAX_GATEWAYS_FOR_INCREASE = 16  # with more, limits would take minutes to rise
-LATENESS_MEMORY = 8  # signals over which the share of late ones is taken
-SHARED_LATENESS = 0.5  # share of late signals above which the fault is not one replica's
-NEVER = math.inf  # share of the objective that stands for a first token that has not come
+# Latencies are compared with these shares of the latency objective. A first token is timely up to the first;
+# a later one is a sign of overload, unless it is within the second and a load report shows free capacity.
+TIMELY_SHARE = 0.2
+TOLERATED_SHARE = 0.5
+# A timely first token raises a limit by this amount, divided by the number of gateways. It is small because
+# the effect of more load shows only after a delay.
+LIMIT_INCREASE = 0.75
+# The increase is not divided by more gateways than this, or limits would take minutes to rise.
+MAX_GATEWAYS_FOR_INCREASE = 16
+# The share of late results is a moving average over this many first tokens and time-outs.
+LATE_SHARE_SAMPLES = 8
+SHARED_OVERLOAD_THRESHOLD = 0.5  # Above this share of late results, the cause is not a single replica.
+NO_FIRST_TOKEN = math.inf  # The share of the objective that is recorded if no first token came.
 
 
 class ConcurrencyControl:
-    """Raises limits after timely first tokens and lowers them after late ones, time-outs and overloads."""
+    """Raises limits after timely first tokens; lowers them after late ones, time-outs and overloads."""
 
     def __init__(self, settings: BalancerSettings) -> None:
         self.settings = settings
-        self.gateway = ConcurrencyLimit(minimum=INITIAL_LIMIT)  # counts requests without a first token
-        self._lateness = 0.0  # share of late signals among the latest
+        self.gateway = ConcurrencyLimit(minimum=INITIAL_LIMIT)  # Counts requests without a first token.
+        self._late_share = 0.0  # A moving average: the share of late results.
 
-    def learn(self, now: int, attempt: TrackedAttempt, objective_share: float) -> None:
-        """Apply one signal: the latency as a share of the objective, or `NEVER`."""
-        # An overload is one replica's alone: quick rejections would outnumber all other signals.
+    def record_latency(self, now: int, attempt: TrackedAttempt, objective_share: float) -> None:
+        """Apply a latency, given as a share of the latency objective, or `NO_FIRST_TOKEN`."""
+        # Overload replies concern one replica only. They are quick, and would outnumber all other results in
+        # the share of late ones.
         is_overload = attempt.outcome is Outcome.OVERLOADED
         timely = objective_share <= TIMELY_SHARE
-        excusable = not timely and objective_share <= EXCUSABLE_SHARE and not is_overload
-        if excusable and self._has_reported_capacity(now, attempt):
-            return  # the replica was reading an uncached prompt, or a long one before it
+        tolerated = not timely and objective_share <= TOLERATED_SHARE and not is_overload
+        if tolerated and self._has_reported_capacity(now, attempt):
+            return  # The replica was reading an uncached prompt, or a long one before it.
         if not is_overload:
-            self._lateness += ((not timely) - self._lateness) / LATENESS_MEMORY
+            self._late_share += ((not timely) - self._late_share) / LATE_SHARE_SAMPLES
         replica = attempt.replica.concurrency
         if timely:
-            step = INCREASE / min(self.settings.gateway_count, MAX_GATEWAYS_FOR_INCREASE)
+            step = LIMIT_INCREASE / min(self.settings.gateway_count, MAX_GATEWAYS_FOR_INCREASE)
             replica.increase(step)
             self.gateway.increase(step)
             return
@@ -49,7 +57,7 @@
             replica.decrease(now)
         if (
             not is_overload
-            and self._lateness > SHARED_LATENESS
+            and self._late_share > SHARED_OVERLOAD_THRESHOLD
             and attempt.sent_at >= self.gateway.lowered_at
         ):
             self.gateway.decrease(now)
--- a/lockspoke/balancing/endpoint_list.py
+++ b/lockspoke/balancing/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The replicas that the endpoint list names, and those that it removed recently."""
+"""The replicas on the endpoint list, and those removed from it recently."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 
 class EndpointList:
-    """Applies updates of the endpoint list and keeps what follows from it for all replicas."""
+    """Applies updates of the endpoint list, and keeps totals over the ready replicas."""
 
     def __init__(self, settings: BalancerSettings) -> None:
         self.settings = settings
-        self.replicas: dict[int, TrackedReplica] = {}  # by number
+        self.replicas: dict[int, TrackedReplica] = {}  # Keyed by replica number.
         self.ready: list[TrackedReplica] = []
         self.machine_kinds = MachineKinds()
-        self.slow_starts_end_at = 0  # when the last of the ready replicas is warm
-        self.total_max_capacity = 0.0  # of the ready replicas
+        self.slow_starts_end_at = 0  # When the last ready replica completes its slow start.
+        self.total_max_capacity = 0.0  # The sum over the ready replicas.
 
     def apply(self, now: int, update: EndpointListUpdate) -> None:
         """Apply an update; one that reports a failed poll changes nothing."""
@@ -37,7 +37,7 @@
         for replica in self.replicas.values():
             if replica.number not in listed and replica.state is not ReplicaState.REMOVED:
                 replica.state = ReplicaState.REMOVED
-                replica.state_changed_at = now
+                replica.state_updated_at = now
 
     def _apply_entry(self, now: int, entry: EndpointListEntry) -> None:
         replica = self.replicas.get(entry.replica)
@@ -46,7 +46,7 @@
         if entry.started_at > replica.slow_start.started_at:
             replica.restart(now, entry.started_at, self.settings)
         replica.state = entry.state
-        replica.state_changed_at = now
+        replica.state_updated_at = now
         replica.zone = entry.zone
         replica.cell = entry.cell
         replica.listed_capacity = max(entry.weight, MIN_CAPACITY)
@@ -54,15 +54,15 @@
         replica.kind = self.machine_kinds.get_or_add(entry.machine_kind)
 
     def _forget_removed(self, now: int) -> None:
-        """Forget removed replicas, but only when they could not return within the same slow start.
+        """Drop removed replicas once they can no longer return within the same slow start.
 
-        One that returns earlier must find what it has already used of its slow-start budget.
+        A replica that returned earlier would otherwise get its slow-start budget a second time.
         """
         oldest = now - self.settings.slow_start_duration - self.settings.overload_duration
         for replica in list(self.replicas.values()):
             if (
                 replica.state is ReplicaState.REMOVED
                 and replica.concurrency.in_flight == 0
-                and replica.state_changed_at < oldest
+                and replica.state_updated_at < oldest
             ):
                 del self.replicas[replica.number]
--- a/lockspoke/balancing/load_reports.py
+++ b/lockspoke/balancing/load_reports.py
@@ -1,4 +1,4 @@
-"""What replicas report about their utilization, and what that says of each kind of machine.
+"""The utilization that replicas report, and the capacity of each machine kind that follows from it.
 
 Utilization is the share of a replica's slots in use, from 0 to 1. Times are integer nanoseconds.
 """
@@ -9,51 +9,52 @@
 
 from lockspoke.units import SECOND
 
-TARGET_UTILIZATION = 0.65  # above that, limits may hold requests back
-MIN_REPORTED_UTILIZATION = 0.1  # lower reports are raised to this: they only show that there is much capacity
-REPORT_LIFETIME = 4 * SECOND  # an older report no longer overrides latency signals
-MACHINE_KIND_MEMORY = 64  # reports over which a machine kind is judged
-MACHINE_KIND_PRIOR = 1.5  # weight of the listed capacity, in reports, until enough have arrived
-MIN_COUNTED_UTILIZATION = 0.02  # keeps near-zero reports from dominating a kind's mean
+TARGET_UTILIZATION = 0.65  # Above this, concurrency limits may hold requests back.
+# Lower reports are raised to this value: they only show that there is much free capacity.
+MIN_REPORTED_UTILIZATION = 0.1
+REPORT_LIFETIME = 4 * SECOND  # An older report no longer overrides the latency of first tokens.
+MACHINE_KIND_SAMPLES = 64  # The statistics of a machine kind are moving averages over this many reports.
+MACHINE_KIND_PRIOR = 1.5  # The listed capacity counts like this many reports, until there are enough.
+MIN_COUNTED_UTILIZATION = 0.02  # Lower reports are raised to this, or they would dominate a kind's mean.
 MIN_CAPACITY_FACTOR = 0.25
 MAX_CAPACITY_FACTOR = 4.0
 
 
 class ReportedLoad:
-    """The latest load report of one replica, set against the gateway's own requests there."""
+    """The latest load report of one replica, together with the gateway's own requests in flight there."""
 
     __slots__ = ("lowest_in_flight", "supported_in_flight", "updated_at", "utilization")
 
     def __init__(self) -> None:
         self.utilization = 0.0
         self.updated_at = 0
-        self.supported_in_flight = 0.0  # own requests in flight that the last report has capacity for
-        # The fewest own requests in flight since that report: the next may describe any time since.
+        self.supported_in_flight = 0.0  # How many own requests in flight the last report leaves capacity for.
+        # The fewest own requests in flight since that report; the next report may describe any moment since.
         self.lowest_in_flight = 0
 
     def update(self, now: int, utilization: float) -> None:
-        """Take a utilization that was reported, or inferred from latency."""
+        """Record a utilization that was reported, or inferred from latency."""
         self.utilization = utilization
         self.updated_at = now
 
     def record_in_flight(self, in_flight: int) -> None:
-        """Note how many own requests remain in flight after one has ended."""
+        """Record how many own requests remain in flight after one has ended."""
         self.lowest_in_flight = min(self.lowest_in_flight, in_flight)
 
     def estimate_capacity(self, utilization: float, in_flight: int) -> float:
-        """Work out how many own requests the report leaves capacity for, and return it."""
+        """Return how many own requests in flight a report leaves capacity for, and remember it."""
         utilization = max(utilization, MIN_REPORTED_UTILIZATION)
         self.supported_in_flight = max(1, self.lowest_in_flight) * TARGET_UTILIZATION / utilization
         self.lowest_in_flight = in_flight
         return self.supported_in_flight
 
     def shows_capacity(self, now: int, in_flight: int) -> bool:
-        """Whether a recent report had capacity for the requests in flight now."""
+        """Whether a recent report left capacity for the requests that are in flight now."""
         return now - self.updated_at < REPORT_LIFETIME and in_flight <= self.supported_in_flight
 
 
 class MachineKind:
-    """One kind of machine, as recent answers of its replicas describe it."""
+    """Statistics of one kind of machine, from recent reports of its replicas."""
 
     __slots__ = (
         "capacity_factor",
@@ -64,21 +65,21 @@
     )
 
     def __init__(self) -> None:
-        self.listed_capacity = 0.0  # of its ready replicas together
-        self.report_count = 0.0  # decays, as does the sum
+        self.listed_capacity = 0.0  # The sum over its ready replicas.
+        self.report_count = 0.0  # Decays like `utilization_sum`.
         self.utilization_sum = 0.0
         self.mean_utilization = 0.0
-        self.capacity_factor = 1.0  # actual capacity per listed capacity
+        self.capacity_factor = 1.0  # The actual capacity divided by the listed one.
 
     def record_utilization(self, utilization: float) -> None:
-        """Count the report of a replica that has completed its slow start."""
+        """Count a report of a replica that has completed its slow start."""
         self.report_count += 1.0
         self.utilization_sum += max(utilization, MIN_COUNTED_UTILIZATION)
 
     def decay(self) -> None:
         """Reduce the weight of the reports so far."""
-        self.report_count *= 1.0 - 1.0 / MACHINE_KIND_MEMORY
-        self.utilization_sum *= 1.0 - 1.0 / MACHINE_KIND_MEMORY
+        self.report_count *= 1.0 - 1.0 / MACHINE_KIND_SAMPLES
+        self.utilization_sum *= 1.0 - 1.0 / MACHINE_KIND_SAMPLES
 
 
 class MachineKinds:
@@ -88,11 +89,11 @@
         self.by_number: dict[int, MachineKind] = {}
 
     def get_or_add(self, number: int) -> MachineKind:
-        """Return the kind with this number; a new one where it is unknown."""
+        """Return the kind with this number, and add it if it is unknown."""
         return self.by_number.setdefault(number, MachineKind())
 
     def update_listed(self, ready: Iterable[tuple[MachineKind, float]]) -> None:
-        """Sum up the listed capacity of the ready replicas by kind; drop the kinds that have none."""
+        """Sum the listed capacity of the ready replicas by kind; remove kinds without ready replicas."""
         for kind in self.by_number.values():
             kind.listed_capacity = 0.0
         for kind, listed_capacity in ready:
@@ -100,11 +101,12 @@
         self.by_number = {number: kind for number, kind in self.by_number.items() if kind.listed_capacity}
 
     def estimate_capacity(self, *, reports_utilization: bool) -> None:
-        """Estimate each kind's capacity per listed capacity: answers given against utilization.
+        """Estimate the capacity factor of each kind from its number of reports and its mean utilization.
 
-        Kinds are compared because a single replica gives too few answers. `reports_utilization` is false
-        where utilization is only inferred from latency: it then does not grow evenly with the number of
-        answers, and the rates of answers are left out.
+        A kind that gives more answers at a lower utilization than the others has more capacity. Kinds are
+        compared, not replicas, because a single replica gives too few answers. `reports_utilization` is
+        false if utilization is inferred from latency: it is then not proportional to the number of
+        answers, and the rates of answers are ignored.
         """
         kinds = self.by_number.values()
         report_count = sum(kind.report_count for kind in kinds)
--- a/lockspoke/balancing/moving_statistics.py
+++ b/lockspoke/balancing/moving_statistics.py
@@ -1,4 +1,4 @@
-"""Statistics in which recent observations weigh most: a decaying sum, recent keys, shares by prompt length.
+"""Statistics that favour recent observations: a decaying sum, recent keys, shares by prompt length.
 
 Times and half-lives are integer nanoseconds.
 """
@@ -10,13 +10,14 @@
 
 from lockspoke.units import SECOND
 
-MAX_AGE_IN_HALF_LIVES = 300  # weights double each half-life; past this many they are rebased to one
-NEGLIGIBLE_COUNT = 1e-9  # of a request: bands below that are dropped when weights are rebased
-ALL_LENGTHS = -1  # the band that counts every request
+# The weights of observations double with each half-life; after this many, the current weight is reset to one.
+MAX_AGE_IN_HALF_LIVES = 300
+NEGLIGIBLE_COUNT = 1e-9  # When weights are reset, bands with fewer requests than this are dropped.
+ALL_LENGTHS = -1  # The band in which every request is counted.
 
 
 class DecayingSum:
-    """A sum that halves with each half-life."""
+    """A sum that decays by half within each half-life."""
 
     __slots__ = ("_sum", "_updated_at", "half_life")
 
@@ -31,16 +32,16 @@
         self._updated_at = now
 
     def value(self, now: int) -> float:
-        """Return what remains of the sum at `now`."""
+        """Return the decayed sum at `now`."""
         return self._sum * float(0.5 ** ((now - self._updated_at) / self.half_life))
 
     def rate(self, now: int) -> float:
-        """Return the amount per second, exact for a steady rate that has lasted many half-lives."""
+        """Return the amount per second; it is exact once a steady rate has lasted for many half-lives."""
         return self.value(now) * math.log(2) * SECOND / self.half_life
 
 
 class RecentKeys:
-    """The keys of the latest requests and how often each of them occurs."""
+    """The keys of the latest requests, and how often each of them occurs."""
 
     __slots__ = ("_counts", "_latest")
 
@@ -53,7 +54,7 @@
         return len(self._latest)
 
     def add(self, key: int) -> None:
-        """Count one more request; at capacity the oldest is dropped."""
+        """Add the key of a request; at capacity the oldest key is dropped."""
         if len(self._latest) == self._latest.maxlen:
             oldest = self._latest[0]
             self._counts[oldest] -= 1
@@ -63,27 +64,27 @@
         self._counts[key] += 1
 
     def share(self, key: int, at_least: int) -> float:
-        """Return the key's share of the latest requests, of `at_least` requests where fewer are known."""
+        """Return the key's share of the latest requests, taken of at least `at_least` requests."""
         return self._counts[key] / max(at_least, len(self._latest))
 
 
 class PromptBands:
     """The share of requests that were sent to a replica, by band of prompt length.
 
-    Each band is twice as wide as the one below it. Instead of decaying old counts, new ones get a weight
-    that doubles with each half-life: a share then takes one division.
+    Each band is twice as wide as the one below it. Old counts are not decayed; instead, the weight of new
+    ones doubles with each half-life, so that computing a share takes a single division.
     """
 
-    __slots__ = ("_ended", "_epoch", "_sent", "half_life")
+    __slots__ = ("_epoch", "_sent", "_total", "half_life")
 
     def __init__(self, half_life: int) -> None:
         self.half_life = half_life
-        self._epoch: int | None = None  # when the weight is one
+        self._epoch: int | None = None  # The time at which the weight is one.
         self._sent = defaultdict[int, float](float)
-        self._ended = defaultdict[int, float](float)
+        self._total = defaultdict[int, float](float)
 
     def record(self, now: int, prompt_tokens: float, *, sent: bool) -> None:
-        """Count a request that was first sent to a replica, or was answered without that."""
+        """Count a request when its first attempt is sent, or when it is answered without any attempt."""
         if self._epoch is None:
             self._epoch = now
         age = (now - self._epoch) / self.half_life
@@ -93,18 +94,18 @@
         weight = 2.0**age
         for band in (_band(prompt_tokens), ALL_LENGTHS):
             self._sent[band] += weight * sent
-            self._ended[band] += weight
+            self._total[band] += weight
 
     def _rebase(self, factor: float) -> None:
-        """Scale all counts so that the present weight is one; drop bands with negligible counts."""
-        remaining = [band for band, count in self._ended.items() if count * factor > NEGLIGIBLE_COUNT]
+        """Scale all counts so that the current weight is one; drop bands with negligible counts."""
+        remaining = [band for band, count in self._total.items() if count * factor > NEGLIGIBLE_COUNT]
         self._sent = defaultdict(float, {band: self._sent[band] * factor for band in remaining})
-        self._ended = defaultdict(float, {band: self._ended[band] * factor for band in remaining})
+        self._total = defaultdict(float, {band: self._total[band] * factor for band in remaining})
 
     def share_sent(self, prompt_tokens: float | None = None) -> float:
-        """Return the share sent in the band of this length, by default of all; 1 where none is known."""
+        """Return the share sent in the band of this length, or of all requests; 1 if none were counted."""
         band = ALL_LENGTHS if prompt_tokens is None else _band(prompt_tokens)
-        return self._sent[band] / self._ended[band] if band in self._ended else 1.0
+        return self._sent[band] / self._total[band] if band in self._total else 1.0
 
 
 def _band(prompt_tokens: float) -> int:
--- a/lockspoke/balancing/prefix_affinity.py
+++ b/lockspoke/balancing/prefix_affinity.py
@@ -1,6 +1,6 @@
-"""Which replicas a request should go to because they hold its prefix or session in their cache.
+"""Selects the replicas that should have a request's prefix or session in their cache.
 
-Rendezvous hashing gives all gateways the same preferred replicas without any exchange between them.
+Rendezvous hashing gives all gateways the same preferred replicas without any communication between them.
 """
 
 from __future__ import annotations
@@ -15,10 +15,13 @@
 from .tracked import TrackedReplica
 from .weighted_sampling import SAMPLE_SIZE, WeightedSampler, local_zone_weight
 
-MAX_PREFIX_SHARE = 0.5  # of a mean replica's requests: the most that one prefix may contribute to one replica
+# The requests with one prefix are spread over so many replicas that they make up at most this share of the
+# requests of an average replica.
+MAX_PREFIX_SHARE = 0.5
 MAX_CACHED_RANKINGS = 512
-RECENT_REQUESTS = 256  # over which a prefix's share is taken: there may be hundreds of prefixes
-MIN_REQUESTS_FOR_SHARE = 16  # with fewer, a single request would count as a large share
+# The share of a prefix is taken of this many requests, since there may be hundreds of prefixes.
+RECENT_REQUESTS = 256
+MIN_REQUESTS_FOR_SHARE = 16  # With fewer, a single request would count as a large share.
 
 _HASH_FACTOR = 0xD6E8FEB86659FD93
 _NUMBER_FACTOR = 0x9E3779B97F4A7C15
@@ -26,9 +29,10 @@
 
 
 def rendezvous_score(replica: TrackedReplica, key: int) -> float:
-    """Return the replica's score for a key; the replica with the least score holds the key.
+    """Return the replica's score for a key; the replica with the lowest score should hold the key.
 
-    Scores are exponentially distributed: each replica is first in proportion to its listed capacity.
+    Scores are exponentially distributed, so that the probability of being first is proportional to the
+    replica's listed capacity.
     """
     mixed = ((key ^ (replica.number * _NUMBER_FACTOR)) * _HASH_FACTOR) & _MASK
     mixed = ((mixed ^ (mixed >> 32)) * _HASH_FACTOR) & _MASK
@@ -36,17 +40,17 @@
 
 
 class PrefixAffinity:
-    """Finds the preferred replicas of a request: more of them the more requests share its prefix."""
+    """Finds the preferred replicas of a request. The more requests share its prefix, the more there are."""
 
     def __init__(self, settings: BalancerSettings, endpoints: EndpointList, sampler: WeightedSampler) -> None:
         self.settings = settings
         self._endpoints = endpoints
         self._sampler = sampler
         self._recent = RecentKeys(RECENT_REQUESTS)
-        self._rankings: dict[int, list[TrackedReplica]] = {}  # by prefix or session
+        self._rankings: dict[int, list[TrackedReplica]] = {}  # Keyed by prefix or session.
 
     def record_request(self, arrived: RequestArrived) -> int:
-        """Count a request's key; return how many recent requests are counted."""
+        """Add a request's key to the recent ones; return how many recent requests are known."""
         self._recent.add(arrived.prefix or arrived.session)
         return len(self._recent)
 
@@ -57,9 +61,10 @@
     def preferred_replicas(
         self, arrived: RequestArrived, candidates: list[TrackedReplica]
     ) -> list[TrackedReplica]:
-        """Return up to `SAMPLE_SIZE` of the candidates that hold the request's prefix.
+        """Return up to `SAMPLE_SIZE` of the candidates that should hold the request's prefix.
 
-        For a session they are the same at all gateways of a zone: its next request may come to any of them.
+        For a session, all gateways of a zone choose the same ones, since the session's next request may
+        arrive at any of these gateways.
         """
         key = arrived.prefix or arrived.session
         share = self._recent.share(key, MIN_REQUESTS_FOR_SHARE)
@@ -76,7 +81,7 @@
         return holders[:SAMPLE_SIZE]
 
     def ranking(self, key: int) -> list[TrackedReplica]:
-        """Return the ready replicas in the order in which they should hold a key."""
+        """Return the ready replicas for a key, the most preferred first."""
         ranking = self._rankings.get(key)
         if ranking is None:
             if len(self._rankings) >= MAX_CACHED_RANKINGS:
--- a/lockspoke/balancing/replica_selection.py
+++ b/lockspoke/balancing/replica_selection.py
@@ -1,7 +1,7 @@
-"""The choice of the replica for a request's next attempt.
+"""Selects the replica for a request's next attempt.
 
-Work and cost are counted in tokens. A half-open replica that lacks a trial comes first; otherwise the
-request goes to the candidate of least cost in a small sample.
+Work and cost are counted in tokens. A replica whose half-open breaker accepts a trial comes first, then the
+least loaded replica in slow start. Otherwise a small sample is drawn, and its cheapest replica is selected.
 """
 
 from __future__ import annotations
@@ -21,26 +21,28 @@
 from .tracked import ANSWER_TOKENS, TrackedAttempt, TrackedReplica, TrackedRequest
 from .weighted_sampling import WeightedSampler
 
-UNCACHED_TOKEN_COST = 4.0  # an uncached token read here also displaces cached ones of later requests
-CROSS_ZONE_TOKENS = 200_000.0  # times the cost of crossing zones: the load that is accepted to avoid it
-REPORT_HALF_LIFE = 10 * SECOND  # of a replica's own report, which gives way to the mean of its machine kind
+UNCACHED_TOKEN_COST = 4.0  # Reading an uncached token also evicts cached ones that later requests would use.
+# This, times the cost of crossing zones, is the load in tokens that is accepted to stay in the local zone.
+CROSS_ZONE_TOKENS = 200_000.0
+# The weight of a replica's own report halves in this time, in favour of the mean of its machine kind.
+REPORT_HALF_LIFE = 10 * SECOND
 
 
 class Selection(NamedTuple):
-    """The replica for the next attempt, or none; then, whether one may have capacity later."""
+    """The replica for the next attempt, or None and whether it is worth waiting for one."""
 
     replica: TrackedReplica | None
     may_wait: bool = False
 
 
 class _Candidates(NamedTuple):
-    trial: TrackedReplica | None  # a half-open replica that accepts a trial
-    closed: list[TrackedReplica]  # replicas with a closed breaker and capacity
-    any_busy: bool  # further replicas could take the request but have no capacity
+    trial: TrackedReplica | None  # A replica whose half-open breaker accepts a trial.
+    closed: list[TrackedReplica]  # Replicas with a closed breaker and free capacity.
+    any_busy: bool  # Other replicas could take the request, but have no capacity now.
 
 
 class ReplicaSelector:
-    """Selects replicas; remembers the last winner as a candidate for the next request."""
+    """Selects replicas; the one selected last is also a candidate for the next request."""
 
     def __init__(
         self,
@@ -60,7 +62,7 @@
         self._last_winner: TrackedReplica | None = None
 
     def select(self, now: int, request: TrackedRequest) -> Selection:
-        """Select the replica for the next attempt; breakers must have been refreshed at `now`."""
+        """Select the replica for the next attempt; callers must have refreshed all breakers at `now`."""
         if request.attempts and not self._may_repeat(now, request):
             return Selection(None)
         candidates = self._find_candidates(now, request)
@@ -73,7 +75,7 @@
         return Selection(self._last_winner)
 
     def _may_repeat(self, now: int, request: TrackedRequest) -> bool:
-        """Whether a further attempt is allowed at any replica at all."""
+        """Whether hedging and the request's idempotency allow a further attempt, at whatever replica."""
         if not self.settings.hedging_allowed and request.has_attempt_in_progress:
             return False
         request_class, may_have_run = request.request_class, request.attempts_that_may_have_run
@@ -99,7 +101,8 @@
             if now < replica.slow_start.ends_at and not self._budget.allows(now, replica, work):
                 continue
             if breaker.state is BreakerState.HALF_OPEN:
-                # An overloaded replica frees its slot at once: without backoff it would get all requests.
+                # If an overloaded replica rejects the trial, the next one could start at once. Without the
+                # backoff, every request would go there.
                 if breaker.trial is None and now >= backoff.until:
                     return _Candidates(replica, closed, any_busy)
             elif replica.has_capacity(now):
@@ -109,11 +112,11 @@
         return _Candidates(None, closed, any_busy)
 
     def _eligible_replicas(self, request: TrackedRequest) -> list[TrackedReplica]:
-        """Return the ready replicas that the request's earlier attempts do not rule out."""
+        """Return the ready replicas that the request's earlier attempts do not exclude."""
         ready = self._endpoints.ready
         if not request.attempts:
             return ready
-        # Even one that was not reached is not tried again: an unreachable replica looks idle and would win.
+        # A replica that could not be reached is excluded too: it looks idle, so it would be selected again.
         tried = [a.replica for a in request.attempts if a.outcome is not Outcome.OVERLOADED]
         runs: list[TrackedAttempt] = []
         if request.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
@@ -122,9 +125,10 @@
         return [replica for replica in ready if replica not in tried and _deduplicates(scope, replica, runs)]
 
     def _select_warming_up(self, now: int, closed: list[TrackedReplica]) -> TrackedReplica | None:
-        """Return the least loaded replica in slow start; none where all are warm.
+        """Return the least loaded replica in slow start, or None if all are warm.
 
-        A sample would find one too seldom to use its budget, while the others carry its load.
+        Random samples would contain such a replica too seldom to use up its slow-start budget, and the other
+        replicas would have to carry its load.
         """
         if now >= self._endpoints.slow_starts_end_at:
             return None
@@ -149,21 +153,20 @@
         return min(sample, key=lambda replica: self._cost(now, replica, arrived, mean_capacity))
 
     def _cache_holders(self, arrived: RequestArrived, closed: list[TrackedReplica]) -> list[TrackedReplica]:
-        """Return the replicas that should hold the prompt, and the one known to hold most of it."""
+        """Return the replicas that should have the prompt cached, and the one with the least work for it."""
         preferred = self._affinity.preferred_replicas(arrived, closed)
         for replica in preferred:
-            replica.cached.setdefault(
-                arrived.prefix, arrived.prefix_tokens
-            )  # other gateways have sent it there
+            # Other gateways have sent the prefix there.
+            replica.cached.setdefault(arrived.prefix, arrived.prefix_tokens)
         return [*preferred, min(closed, key=lambda replica: replica.work_for(arrived))]
 
     def _cost(
         self, now: int, replica: TrackedReplica, arrived: RequestArrived, mean_capacity: float
     ) -> float:
-        """Return the load that the request waits for and the work it takes, in tokens of a mean replica.
+        """Return the load ahead of the request plus the work for it, in tokens of a mean replica.
 
-        Own work in flight stands for that of all gateways; a fully utilized replica counts as having one
-        more own request.
+        The load of all gateways is extrapolated from the gateway's own work in flight. A fully utilized
+        replica counts as if it had one more own request.
         """
         settings = self.settings
         capacity = replica.capacity / mean_capacity * replica.slow_start.capacity_share(now, settings)
@@ -179,7 +182,7 @@
 
 
 def _deduplicates(scope: DeduplicationScope, replica: TrackedReplica, runs: list[TrackedAttempt]) -> bool:
-    """Whether the replica discards a repeat of each of these attempts."""
+    """Whether the replica would recognize and discard a repetition of each of these attempts."""
     if scope is DeduplicationScope.ZONE:
         return all(run.replica.zone == replica.zone for run in runs)
     if scope is DeduplicationScope.CELL:
--- a/lockspoke/balancing/settings.py
+++ b/lockspoke/balancing/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a balancer. Durations are integer nanoseconds; shares are from 0 to 1."""
+"""The settings of a balancer. Durations are integer nanoseconds; shares range from 0 to 1."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 
 
 class Idempotency(Enum):
-    """Whether it is harmless if a request runs more than once."""
+    """Whether a request may run more than once without harm."""
 
-    IDEMPOTENT = "safe"  # it may run any number of times
-    IDEMPOTENT_WITH_KEY = "keyed"  # replicas of one deduplication scope discard repeats, for a limited time
-    NOT_IDEMPOTENT = "unsafe"  # it must not run more than once
+    IDEMPOTENT = "safe"  # It may run any number of times.
+    # For a limited time, the replicas of one deduplication scope discard requests whose key they have seen.
+    IDEMPOTENT_WITH_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"  # It must not run more than once.
 
 
 class DeduplicationScope(Enum):
-    """The replicas among which repeats of a request with an idempotency key are recognized."""
+    """Which replicas recognize the idempotency key of an earlier attempt, and discard a repetition."""
 
-    ALL = "all"  # all replicas
-    ZONE = "zone"  # those in the zone of the first attempt's replica
-    CELL = "cell"  # those in its cell
+    ALL = "all"  # All replicas.
+    ZONE = "zone"  # The replicas in the same zone as the earlier attempt's replica.
+    CELL = "cell"  # The replicas in the same cell, a group of replicas numbered by the endpoint list.
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,16 +29,16 @@
 
     idempotency: Idempotency = Idempotency.IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
-    deduplication_window: int = 0  # how long keys are remembered after the first attempt was sent
-    latency_objective: int = 1_000_000_000  # from arrival to the first token
-    latency_objective_per_token: float = 0.0  # additional time for each prompt token
+    deduplication_window: int = 0  # How long replicas remember a key after the first attempt.
+    latency_objective: int = 1_000_000_000  # From the arrival to the first token.
+    latency_objective_per_token: float = 0.0  # Added to it for each prompt token.
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
     """One tenant of the service."""
 
-    quota: float = 0.0  # the share of the work, at all gateways together, that it is entitled to
+    quota: float = 0.0  # The share of all gateways' work that the tenant is entitled to.
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,21 +46,21 @@
     """All settings of a balancer. The defaults suit a small fleet."""
 
     classes: tuple[RequestClass, ...]
-    max_attempts: int  # per request
-    hedging_allowed: bool  # two attempts of one request may be in progress at the same time
-    # A replica that has just started has at least this share of its capacity, which grows to all of it
+    max_attempts: int  # For each request.
+    hedging_allowed: bool  # Whether several attempts of one request may be in progress at the same time.
+    # A replica that has just started has at least this share of its full capacity. The share grows to 1
     # within the duration of the slow start.
     slow_start_initial_share: float
     slow_start_duration: int
-    # A replica in slow start fails when it gets more than this multiple of its current capacity for as long
-    # as the overload duration.
+    # A replica in slow start fails if it gets more than this multiple of its current capacity throughout the
+    # overload duration.
     overload_multiple: float
     overload_duration: int
-    tenants: tuple[Tenant, ...] = ()  # empty: no quotas
-    zone: int = 0  # in which this gateway runs
+    tenants: tuple[Tenant, ...] = ()  # If empty, there are no quotas.
+    zone: int = 0  # The zone in which this gateway runs.
     gateway_count: int = 1
-    gateway_index: int = 0  # this gateway's position among them, from 0
-    polls_endpoint_list: bool = False  # false: discovery sends the list unasked
+    gateway_index: int = 0  # This gateway's position among all gateways, from 0.
+    polls_endpoint_list: bool = False  # If false, discovery sends the list by itself.
     poll_interval: int = 10_000_000_000
-    cross_zone_cost: float = 0.0  # price of sending a request to another zone; 0: free
-    utilization_field: int | None = None  # index of the utilization in load reports; None: not reported
+    cross_zone_cost: float = 0.0  # The price of sending a request to another zone; 0 means free.
+    utilization_field: int | None = None  # Index of the utilization in load reports; None if not reported.
--- a/lockspoke/balancing/settings_reader.py
+++ b/lockspoke/balancing/settings_reader.py
@@ -24,14 +24,14 @@
 DEFAULT_LATENCY_OBJECTIVE = 1_000_000_000
 DEFAULT_POLL_INTERVAL = 10_000_000_000
 MAX_NUMBER = 2**63
-UTILIZATION_NAME = "busy"  # of the load report's fields
+UTILIZATION_NAME = "busy"  # The name of the load report's field that holds the utilization.
 
 MemberT = TypeVar("MemberT", bound=Enum)
 Document = Mapping[str, Any]
 
 
 class SettingsError(ValueError):
-    """Settings that lack a required key or hold an impossible value; the text names the key."""
+    """The settings lack a required key or have an invalid value; the message names the key."""
 
 
 def read_settings(document: object) -> BalancerSettings:
@@ -45,7 +45,7 @@
     profiles = _list(document, "profiles")
     if not profiles:
         raise SettingsError("settings: profiles is missing or empty")
-    polls = _member(document, "discovery") == "subscribe"
+    polls = _value_at(document, "discovery") == "subscribe"
     tenants = tuple(_tenant(tenant, index) for index, tenant in enumerate(_list(document, "tenants")))
     return BalancerSettings(
         classes=tuple(_request_class(profile, index, document) for index, profile in enumerate(profiles)),
@@ -74,7 +74,8 @@
         raise SettingsError(f"settings: {path} is {profile!r}, want an object")
     idempotency = _choice(profile, "effect", path, IDEMPOTENCY_BY_KEY)
     has_key = idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-    per_1000_tokens = _list(document, "familyInfo.aimUsPer1000PromptTokens")  # us per 1000 are ns per token
+    # Microseconds per 1000 tokens equal nanoseconds per token.
+    per_1000_tokens = _list(document, "familyInfo.aimUsPer1000PromptTokens")
     default_scope = None if has_key else DeduplicationScope.ALL
     return RequestClass(
         idempotency=idempotency,
@@ -92,15 +93,15 @@
 
 
 def _utilization_field(document: Document) -> int | None:
-    """Return the index of the utilization in load reports, if outcomes carry reports that have it."""
-    if _member(document, "loadInfo.via", "piggyback") != "piggyback":
-        return None  # reported to health checks only, and this balancer makes none
-    names = _member(document, "loadInfo.fields")
+    """Return the index of the utilization in load reports, if answers carry load reports that contain it."""
+    if _value_at(document, "loadInfo.via", "piggyback") != "piggyback":
+        return None  # Load is reported to health checks only, and this balancer makes none.
+    names = _value_at(document, "loadInfo.fields")
     return names.index(UTILIZATION_NAME) if isinstance(names, list) and UTILIZATION_NAME in names else None
 
 
-def _member(document: Document, path: str, default: object = None) -> Any:
-    """Return the value at a path; the default where it is missing or null."""
+def _value_at(document: Document, path: str, default: object = None) -> Any:
+    """Return the value at a path, or the default if it is missing or null."""
     found: Any = document
     for key in path.split("."):
         found = found.get(key) if isinstance(found, dict) else None
@@ -112,8 +113,8 @@
 def _number(
     document: Document, path: str, default: float | None = None, low: float = 0, high: float = MAX_NUMBER
 ) -> float:
-    """Return the number at a path; without a default the key is required."""
-    value = _member(document, path, default)
+    """Return the number at a path. Without a default, the key is required."""
+    value = _value_at(document, path, default)
     if value is None:
         raise SettingsError(f"settings: {path} is missing")
     if isinstance(value, bool) or not isinstance(value, int | float) or not low <= value <= high:
@@ -122,7 +123,7 @@
 
 
 def _flag(document: Document, path: str) -> bool:
-    value = _member(document, path)
+    value = _value_at(document, path)
     if value is None:
         raise SettingsError(f"settings: {path} is missing")
     if not isinstance(value, bool):
@@ -131,8 +132,8 @@
 
 
 def _list(document: Document, path: str) -> list[Any]:
-    """Return the list at a path; an empty one where it is missing."""
-    value = _member(document, path, [])
+    """Return the list at a path, or an empty one if it is missing."""
+    value = _value_at(document, path, [])
     if not isinstance(value, list):
         raise SettingsError(f"settings: {path} is {value!r}, want a list")
     return value
@@ -145,7 +146,7 @@
     choices: Mapping[str, MemberT],
     default: MemberT | None = None,
 ) -> MemberT:
-    """Return the member that the word at a key stands for; without a default the key is required."""
+    """Return the enum member for the string at a key. Without a default, the key is required."""
     value = document.get(key)
     if value is None and default is not None:
         return default
--- a/lockspoke/balancing/tracked.py
+++ b/lockspoke/balancing/tracked.py
@@ -1,4 +1,4 @@
-"""The balancer's records of replicas, requests and attempts: state without decisions.
+"""The balancer's records of replicas, requests and attempts. They hold state and decide nothing.
 
 Times are integer nanoseconds; work is counted in tokens.
 """
@@ -15,14 +15,15 @@
 from .settings import BalancerSettings, RequestClass
 from .slow_start import SlowStart
 
-ANSWER_TOKENS = 200.0  # an answer costs a replica about as much as reading a prompt of this length
-MAX_CACHED_KEYS = 2048  # sessions and prefixes remembered per replica; more than its memory can hold
+ANSWER_TOKENS = 200.0  # An answer takes about as much work as reading a prompt of this length.
+# Sessions and prefixes remembered for each replica: more than fit into a replica's memory.
+MAX_CACHED_KEYS = 2048
 MIN_CAPACITY = 1e-9
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
 
 
 class TrackedReplica:
-    """One replica as this gateway knows it."""
+    """What this gateway knows about one replica."""
 
     __slots__ = (
         "backoff",
@@ -37,7 +38,7 @@
         "reported_load",
         "slow_start",
         "state",
-        "state_changed_at",
+        "state_updated_at",
         "work_in_flight",
         "zone",
     )
@@ -45,32 +46,32 @@
     def __init__(self, number: int) -> None:
         self.number = number
         self.state = ReplicaState.REMOVED
-        self.state_changed_at = 0  # when the endpoint list last named it, or ceased to
+        self.state_updated_at = 0  # When an update last listed or removed it.
         self.zone = 0
         self.cell = 0
         self.kind = MachineKind()
         self.listed_capacity = 1.0
-        self.max_listed_capacity = MIN_CAPACITY  # the greatest so far, as live weights fall with the load
+        self.max_listed_capacity = MIN_CAPACITY  # The highest so far, since live weights fall under load.
         self.breaker = Breaker()
         self.concurrency = ConcurrencyLimit()
         self.backoff = OverloadBackoff()
         self.slow_start = SlowStart()
         self.reported_load = ReportedLoad()
-        self.work_in_flight = 0.0  # of own requests, in tokens: prompts not yet read, and answers
-        self.cached: OrderedDict[int, float] = OrderedDict()  # prompt tokens by session or prefix
+        self.work_in_flight = 0.0  # In tokens, of own requests: unread prompts, and answers.
+        self.cached: OrderedDict[int, float] = OrderedDict()  # Prompt tokens, by session or prefix.
 
     @property
     def capacity(self) -> float:
-        """Its capacity when it is warm, in the unit of the endpoint list's weights."""
+        """The capacity that it has when warm, in the unit of the endpoint list's weights."""
         return self.listed_capacity * self.kind.capacity_factor
 
     def has_capacity(self, now: int) -> bool:
-        """Whether its backoff and its concurrency limit let one more request through."""
+        """Whether its backoff and its concurrency limit allow one more request."""
         concurrency = self.concurrency
         return concurrency.in_flight < concurrency.limit and now >= self.backoff.until
 
     def uncached_tokens(self, arrived: RequestArrived) -> float:
-        """Return the prompt tokens that the replica would have to read, judged by this gateway's sends."""
+        """Return the prompt tokens that the replica would have to read, as far as this gateway knows."""
         prefix = self.cached.get(arrived.prefix, 0.0)
         prefix = min(prefix, arrived.prefix_tokens)
         session = self.cached.get(arrived.session, 0.0)
@@ -82,7 +83,7 @@
         return self.uncached_tokens(arrived) + ANSWER_TOKENS
 
     def record_send(self, arrived: RequestArrived, work: float) -> None:
-        """Count a request sent, and remember what it leaves in the cache; the oldest keys are dropped."""
+        """Count a request that was sent, and record its keys as cached; the oldest keys are dropped."""
         self.concurrency.in_flight += 1
         self.work_in_flight += work
         added = ((arrived.prefix, arrived.prefix_tokens), (arrived.session, arrived.prompt_tokens))
@@ -94,7 +95,7 @@
             self.cached.popitem(last=False)
 
     def restart(self, now: int, started_at: int, settings: BalancerSettings) -> None:
-        """Reset what belonged to the replica's former process: failures, cache and concurrency limit."""
+        """Begin a slow start; reset what belonged to the old process: breaker, cache, concurrency limit."""
         self.slow_start.begin(started_at, settings.slow_start_duration)
         self.breaker = Breaker()
         self.cached.clear()
@@ -111,25 +112,25 @@
     ) -> None:
         self.replica = replica
         self.sent_at = sent_at
-        self.uncached_tokens = uncached_tokens  # prompt tokens that the replica was expected to read
-        self.work = uncached_tokens + ANSWER_TOKENS  # what remains of it, in tokens
+        self.uncached_tokens = uncached_tokens  # Prompt tokens that the replica was expected to read.
+        self.work = uncached_tokens + ANSWER_TOKENS  # The remaining work, in tokens.
         self.trial = trial
-        self.outcome: Outcome | None = None  # None while it is in progress
+        self.outcome: Outcome | None = None  # None while it is in progress.
         self.streaming = False
 
     @property
     def in_progress(self) -> bool:
-        """Whether its outcome has not arrived."""
+        """Whether it has no outcome yet."""
         return self.outcome is None
 
     @property
     def may_have_run(self) -> bool:
-        """Whether it may have had an effect; false where its outcome proves that it never ran."""
+        """Whether the replica may have run it; false only if its outcome proves that it did not."""
         return self.outcome not in NEVER_RAN
 
 
 class TrackedRequest:
-    """One request, until it has its final answer and the outcomes of all its attempts."""
+    """One request, kept until it has its final answer and the outcomes of all its attempts."""
 
     __slots__ = (
         "arrived",
@@ -150,19 +151,19 @@
             request_class.latency_objective_per_token * arrived.prompt_tokens
         )
         self.attempts: list[TrackedAttempt] = []
-        self.is_open = True  # it has no final answer yet
+        self.is_open = True  # It has no final answer yet.
 
     @property
     def attempts_that_may_have_run(self) -> list[TrackedAttempt]:
-        """Its attempts that may have had an effect, including those in progress."""
+        """The attempts that may have run on a replica, including those in progress."""
         return [attempt for attempt in self.attempts if attempt.may_have_run]
 
     @property
     def has_attempt_in_progress(self) -> bool:
-        """Whether the outcome of any attempt is outstanding."""
+        """Whether any attempt has no outcome yet."""
         return any(attempt.outcome is None for attempt in self.attempts)
 
     @property
     def is_streaming(self) -> bool:
-        """Whether an attempt in progress has begun its answer."""
+        """Whether the answer of an attempt in progress has begun."""
         return any(attempt.streaming and attempt.outcome is None for attempt in self.attempts)
--- a/lockspoke/balancing/weighted_sampling.py
+++ b/lockspoke/balancing/weighted_sampling.py
@@ -1,4 +1,4 @@
-"""Random samples of replicas, weighted by capacity and, where crossing zones has a price, by zone."""
+"""Random samples of replicas, weighted by capacity and, if crossing zones has a cost, by zone."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 from .tracked import TrackedReplica
 
 SAMPLE_SIZE = 2
-LOCAL_ZONE_PREFERENCE = 20.0  # times the cost of crossing zones: additional weight of a local replica
+# The weight of a local replica is multiplied by 1 plus this times the cost of crossing zones.
+LOCAL_ZONE_PREFERENCE = 20.0
 
 
 def local_zone_weight(settings: BalancerSettings) -> float:
-    """Return the factor by which the weight of a replica in the gateway's own zone is raised."""
+    """Return the factor for the weights of replicas in the gateway's own zone."""
     return 1.0 + LOCAL_ZONE_PREFERENCE * settings.cross_zone_cost
 
 
 class WeightedSampler:
-    """Draws replicas in proportion to their weights: a low weight reduces traffic without stopping it."""
+    """Draws replicas in proportion to their weights; one with a low weight gets little traffic, not none."""
 
-    def __init__(self, settings: BalancerSettings, source: random.Random) -> None:
+    def __init__(self, settings: BalancerSettings, rng: random.Random) -> None:
         self.settings = settings
-        self._random = source
+        self._rng = rng
 
     def sample(self, replicas: list[TrackedReplica]) -> list[TrackedReplica]:
         """Draw `SAMPLE_SIZE` replicas with replacement; `replicas` must not be empty."""
         zone, local_weight = self.settings.zone, local_zone_weight(self.settings)
         weights = [r.capacity * local_weight if r.zone == zone else r.capacity for r in replicas]
-        return self._random.choices(replicas, weights, k=SAMPLE_SIZE)
+        return self._rng.choices(replicas, weights, k=SAMPLE_SIZE)
