--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -1,4 +1,4 @@
-"""A simulated environment for one balancer, which asserts the invariants of requests on every action."""
+"""A simulated environment for one balancer, which checks the invariants of requests on every action."""
 
 from __future__ import annotations
 
@@ -62,15 +62,15 @@
     attempts: list[SentAttempt] = field(default_factory=list)
     outcomes: dict[int, Outcome] = field(default_factory=dict)
     is_streaming: bool = False
-    final_answer: str = ""  # name of the action that answered it; "" while it has no final answer
+    final_answer: str = ""  # The name of the action that answered it; empty while it has no final answer.
 
 
 class World:
-    """Passes events to one balancer, keeps the time and asserts the invariants on every action.
+    """Passes events to one balancer, keeps the time and checks the invariants on every action.
 
-    A request gets one final answer, in time; its attempts go to ready replicas only, and there are no more
-    than allowed; it runs no more often than its idempotency permits; and one that may have run is rejected
-    only if a retry is harmless.
+    Each request gets exactly one final answer, in time. Its attempts go to ready replicas only, and there are
+    no more than allowed. It runs no more often than its idempotency permits. If it may have run, it is
+    rejected only if a retry is harmless.
     """
 
     def __init__(
@@ -196,7 +196,7 @@
         )
 
     def attempts_in_progress(self) -> list[tuple[int, int]]:
-        """Return the attempts without an outcome, as pairs of a request and the attempt's index."""
+        """Return the attempts without an outcome, as pairs of request number and attempt index."""
         return [
             (number, attempt)
             for number, request in self.requests.items()
@@ -205,7 +205,7 @@
         ]
 
     def advance_time(self, duration: int) -> None:
-        """Advance the clock; timers fire and attempts time out at their deadlines on the way."""
+        """Advance the clock; in the meantime, timers fire and attempts time out at their deadlines."""
         end_time = self.now + duration
         while True:
             due = [when for when, _ in self.timers]
@@ -226,7 +226,7 @@
         self.step()
 
     def assert_none_overdue(self) -> None:
-        """Assert that each request past its deadline has its final answer, unless it is streaming."""
+        """Assert that no request is past its deadline without a final answer, unless it is streaming."""
         for number, tracked in self.requests.items():
             late = self.now > tracked.deadline + ANSWER_TOLERANCE
             assert tracked.final_answer or tracked.is_streaming or not late, (
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -25,8 +25,11 @@
             world.first_token(number)
 
 
-def test_late_first_tokens_set_limits_and_further_requests_wait_newest_first() -> None:
-    """Overload outlasts its cause if every request is forwarded; queued requests are served in time."""
+def test_late_first_tokens_set_limits_and_the_newest_waiting_request_goes_first() -> None:
+    """If every request were forwarded, an overload would outlast its cause.
+
+    Requests beyond the limits are queued instead, so that some of them are served in time.
+    """
     world = World(replicas=(1, 2))
     overload(world)
     assert all(r.concurrency.in_flight >= r.concurrency.limit for r in world.balancer.replicas.values())
@@ -49,10 +52,10 @@
     assert world.requests[101].final_answer == "Reject"
 
 
-def test_the_tenant_least_served_relative_to_its_quota_goes_first() -> None:
+def test_tenant_with_least_usage_of_its_quota_goes_first() -> None:
     tenants = (Tenant(0.5), Tenant(0.5))
     world = World(settings(tenants=tenants), replicas=(1, 2))
-    overload(world)  # with requests of tenant 0 only
+    overload(world)  # All requests are of tenant 0.
     world.arrive(101, tenant=1)
     world.advance_time(10 * MS)
     world.arrive(102, tenant=0)
@@ -64,7 +67,7 @@
     raise AssertionError("no request left the queue")
 
 
-def test_fewer_tenants_after_a_reload_leave_no_queued_request_unanswered() -> None:
+def test_requests_of_tenants_removed_by_a_reload_are_answered() -> None:
     world = World(settings(tenants=(Tenant(0.5), Tenant(0.5))), replicas=(1, 2))
     overload(world)
     world.arrive(101, tenant=1)
@@ -76,7 +79,7 @@
 
 
 def test_client_retries_wait_behind_first_attempts() -> None:
-    """Newest first would favour retries, which have missed their latency objective already."""
+    """A retry is newer than first attempts, but has already missed its latency objective."""
     world = World(replicas=(1, 2))
     overload(world)
     world.arrive(101)
@@ -92,7 +95,10 @@
 
 
 def test_timely_first_tokens_raise_a_limit_again() -> None:
-    """After a burst replicas stayed half idle: limits rose by one per duration of an answer."""
+    """Guards against replicas that stay half idle after a burst.
+
+    This happened when a limit rose by only one within the duration of an answer.
+    """
     world = World(replicas=(1,))
     overload(world)
     replica = world.balancer.replicas[1]
@@ -116,8 +122,8 @@
     assert replica.concurrency.limit >= limit_before + 5
 
 
-def test_an_overloaded_replica_backs_off_and_its_queue_continues_by_timer() -> None:
-    """Rejected attempts were repeated at once; and without requests in flight no event ends a backoff."""
+def test_backoff_of_an_overloaded_replica_ends_by_a_timer() -> None:
+    """A rejected request must wait, and without requests in flight only a timer can end the backoff."""
     world = World(replicas=(1,))
     world.arrive(1)
     assert not world.sent_to(world.end_attempt(1, Outcome.OVERLOADED))
@@ -125,8 +131,8 @@
     assert len(world.requests[1].attempts) == 2
 
 
-def test_freed_capacity_goes_to_a_queued_request_whose_prompt_is_cached_there() -> None:
-    """Otherwise an overloaded fleet reads every prompt again at another replica and never catches up."""
+def test_freed_capacity_goes_to_the_request_whose_prompt_is_cached_there() -> None:
+    """Otherwise, each prompt would be read again at another replica, and an overload would never end."""
     for first, second in ((1, 2), (2, 1)):
         world = World(replicas=(1, 2))
         overload(world)
@@ -144,7 +150,7 @@
 
 
 def test_limits_increase_less_with_more_gateways() -> None:
-    """A decrease is a share of each limit; fixed increases of many gateways would exceed what it saves."""
+    """A decrease is proportional to the limit; fixed increases at many gateways would outweigh it."""
     increases = {}
     for gateways in (1, 4):
         world = World(settings(gateway_count=gateways), replicas=(1,))
@@ -157,7 +163,7 @@
 
 
 def overloaded_gateway(late_replicas: Iterable[int]) -> World:
-    """Return one gateway of a hundred with requests at twenty replicas; at some the first token is late."""
+    """Return one gateway of 100 with a request at each of 20 replicas, some with a late first token."""
     world = World(settings(gateway_count=100), replicas=range(1, 21))
     for number in range(1, 21):
         world.arrive(number, time_remaining=60 * SECOND)
@@ -170,8 +176,11 @@
     return world
 
 
-def test_one_gateway_of_many_queues_requests_when_most_first_tokens_are_late() -> None:
-    """It never reaches a limit of one per replica: without its own limit, a shared overload did not end."""
+def test_gateway_limit_applies_when_most_first_tokens_are_late() -> None:
+    """With many gateways, each has too few requests to reach the limits of single replicas.
+
+    An overload of the whole fleet lasted until gateways had limits of their own.
+    """
     world = overloaded_gateway(late_replicas=range(1, 21))
     sent = [len(world.sent_to(world.arrive(number))) for number in range(101, 121)]
     limit = math.ceil(world.balancer.limits.gateway.limit)
@@ -180,11 +189,14 @@
     )
 
 
-def test_streams_that_outlast_an_overload_do_not_delay_requests() -> None:
-    """Streams take seconds: a limit lowered to a few of them queued requests long after the overload."""
+def test_streaming_answers_do_not_count_against_the_gateway_limit() -> None:
+    """Answers take seconds to stream.
+
+    A lowered limit that counted them kept requests queued long after the overload.
+    """
     world = overloaded_gateway(late_replicas=range(1, 21))
     assert sum(request.is_streaming for request in world.requests.values()) == 20
-    for number in range(101, 131):  # first tokens are timely again, but no answer ends
+    for number in range(101, 131):  # First tokens are timely again, but no answer ends.
         world.arrive(number, time_remaining=60 * SECOND)
         world.advance_time(50 * MS)
         for request, attempt in world.attempts_in_progress():
@@ -193,13 +205,16 @@
     assert [number for number, request in world.requests.items() if len(request.attempts) != 1] == []
 
 
-def test_one_slow_replica_of_many_does_not_lower_the_gateways_limit() -> None:
+def test_one_slow_replica_does_not_lower_the_gateway_limit() -> None:
     world = overloaded_gateway(late_replicas=(3,))
     assert world.sent_to(world.arrive(101))
 
 
-def test_one_overloaded_replica_does_not_lower_the_gateways_limit() -> None:
-    """Its quick rejections outnumber all other signals: counted as late ones, they limited all requests."""
+def test_one_overloaded_replica_does_not_lower_the_gateway_limit() -> None:
+    """Quick rejections outnumber other results.
+
+    When they counted as late results, they limited the requests to all replicas.
+    """
     world = World(settings(max_attempts=6), replicas=(1, 2, 3))
     for number in range(1, 31):
         world.arrive(number)
@@ -209,8 +224,8 @@
     assert world.balancer.limits.gateway.limit == math.inf
 
 
-def test_an_uncached_prompt_may_take_twice_as_long_before_it_counts_as_late() -> None:
-    """Long prompts looked like an overload, and concurrency limits were lowered on an idle fleet."""
+def test_uncached_prompt_counts_as_late_after_twice_the_latency() -> None:
+    """Otherwise, long prompts look like an overload and lower the limits of an idle fleet."""
     limits = []
     for cached_tokens in (0.0, 1000.0):
         world = World(replicas=(1,))
--- a/tests/balancing/test_breaker.py
+++ b/tests/balancing/test_breaker.py
@@ -1,4 +1,4 @@
-"""The transitions of the circuit breaker: of the class alone, and within the balancer."""
+"""The transitions of the circuit breaker, on its own and within the balancer."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 def test_open_breaker_half_opens_after_recovery_since_the_last_failure() -> None:
     breaker = open_breaker(now=0)
-    breaker.record_failure(INITIAL_RECOVERY - 1, may_open=True)  # a late outcome restarts the timer
+    breaker.record_failure(INITIAL_RECOVERY - 1, may_open=True)  # A late outcome restarts the recovery time.
     assert breaker.refresh(INITIAL_RECOVERY) is BreakerState.OPEN
     assert breaker.refresh(2 * INITIAL_RECOVERY - 2) is BreakerState.OPEN
     assert breaker.refresh(2 * INITIAL_RECOVERY - 1) is BreakerState.HALF_OPEN
@@ -63,8 +63,8 @@
 def test_half_open_breaker_closes_after_consecutive_successful_trials() -> None:
     breaker = open_breaker()
     breaker.refresh(INITIAL_RECOVERY)
-    breaker.record_success()  # of an attempt sent before it opened: does not count
-    breaker.record_success(Trial(0))  # of a trial that is not the current one
+    breaker.record_success()  # Of an attempt sent before it opened; does not count.
+    breaker.record_success(Trial(0))  # Of a trial that is not the current one; does not count.
     assert breaker.refresh(INITIAL_RECOVERY) is BreakerState.HALF_OPEN
     for count in range(SUCCESS_THRESHOLD):
         assert breaker.refresh(INITIAL_RECOVERY) is BreakerState.HALF_OPEN, count
@@ -85,7 +85,7 @@
     assert recoveries[-1] == MAX_RECOVERY
 
 
-def test_a_stale_trial_frees_its_slot() -> None:
+def test_trial_without_a_result_expires() -> None:
     breaker = open_breaker()
     breaker.refresh(INITIAL_RECOVERY)
     breaker.begin_trial(INITIAL_RECOVERY)
@@ -95,7 +95,7 @@
     assert breaker.trial is None
 
 
-def test_a_trial_without_a_verdict_frees_its_slot() -> None:
+def test_only_the_current_trial_can_be_released() -> None:
     breaker = open_breaker()
     breaker.refresh(INITIAL_RECOVERY)
     trial = breaker.begin_trial(INITIAL_RECOVERY)
@@ -141,7 +141,7 @@
     assert world.balancer.replicas[1].breaker.state is BreakerState.CLOSED
 
 
-def test_one_trial_at_a_time_and_it_succeeds_at_its_first_token() -> None:
+def test_one_trial_at_a_time_succeeds_with_its_first_token() -> None:
     world = World(replicas=(1, 2, 3, 4))
     fail_until_open(world, 2, Outcome.RESET, 0)
     world.advance_time(INITIAL_RECOVERY)
@@ -153,8 +153,8 @@
     assert world.balancer.replicas[2].breaker.state is BreakerState.CLOSED
 
 
-def test_a_replica_whose_breaker_opened_returns_with_a_low_concurrency_limit() -> None:
-    """All gateways find a recovered replica idle at the same time and would overload it together."""
+def test_opened_breaker_lowers_the_concurrency_limit() -> None:
+    """Otherwise all gateways, which find a recovered replica idle at the same time, would overload it."""
     world = World(replicas=(1, 2, 3, 4))
     fail_until_open(world, 2, Outcome.RESET, 0)
     assert world.balancer.replicas[2].concurrency.limit == INITIAL_LIMIT
@@ -171,7 +171,7 @@
 
 
 def test_connection_failures_open_breakers_of_more_than_half_the_fleet() -> None:
-    """With a zone cut off, half of the breakers are open; those of other unreachable replicas open too."""
+    """The limit on open breakers does not apply to replicas that cannot be reached, such as a whole zone."""
     world = World(replicas=range(1, 5))
     for number in range(100):
         world.arrive(number)
@@ -189,7 +189,7 @@
 
 
 def test_two_failed_connections_open_a_breaker() -> None:
-    """One gateway of many seldom sends to a dead replica: five failures each would take many seconds."""
+    """With many gateways, each would need many seconds to see five failures of a dead replica."""
     world = World(replicas=(1,))
     for number in (1, 2):
         world.arrive(number)
@@ -198,8 +198,8 @@
     assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
 
 
-def test_retry_after_of_a_rejection_is_when_a_replica_may_have_capacity() -> None:
-    """An earlier retry would meet the same overload. The rejection itself is sent at once."""
+def test_retry_after_is_the_time_until_a_breaker_half_opens() -> None:
+    """The rejection is sent at once, but a retry before that time would be rejected again."""
     world = World(replicas=())
     assert world.arrive(1)[0] == Reject(1, INITIAL_RECOVERY)
     world = World(replicas=(1,))
@@ -213,16 +213,16 @@
     assert world.arrive(9)[0] == Reject(9, MIN_RETRY_AFTER)
 
 
-def test_a_fleet_that_was_unreachable_recovers_within_the_maximum_recovery() -> None:
+def test_breakers_of_an_unreachable_fleet_close_after_it_recovers() -> None:
     world = World(replicas=(1, 2, 3))
     number = 0
-    for _ in range(600):  # a minute in which all connections fail
+    for _ in range(600):  # All connections fail for a minute.
         number += 1
         world.arrive(number)
         while not world.requests[number].final_answer:
             world.end_attempt(number, Outcome.CONNECT_FAILED)
         world.advance_time(100 * MS)
-    for _ in range(180):  # all replicas answer again
+    for _ in range(180):  # All replicas answer again.
         number += 1
         world.arrive(number)
         if not world.requests[number].final_answer:
@@ -232,7 +232,7 @@
     assert {replica.breaker.state for replica in world.balancer.replicas.values()} == {BreakerState.CLOSED}
 
 
-def test_with_all_breakers_open_simultaneous_requests_are_rejected_at_once() -> None:
+def test_simultaneous_requests_are_rejected_while_all_breakers_are_open() -> None:
     world = World(replicas=(1,))
     for number in range(1, 7):
         world.arrive(number)
@@ -247,8 +247,11 @@
     assert [world.requests[number].final_answer for number in (11, 12, 13)] == ["Reject"] * 3
 
 
-def test_an_overloaded_half_open_replica_does_not_get_every_request() -> None:
-    """A rejected trial frees its slot at once: 99% of all attempts went to that one replica."""
+def test_half_open_replica_backs_off_after_an_overload_reply() -> None:
+    """A rejected trial allows the next one at once.
+
+    Without a backoff, 99% of all attempts went to the half-open replica.
+    """
     world = World(replicas=(1, 2))
     for number in range(1, 9):
         world.arrive(number, time_remaining=60 * SECOND)
--- a/tests/balancing/test_discovery_polling.py
+++ b/tests/balancing/test_discovery_polling.py
@@ -1,4 +1,7 @@
-"""When gateways poll discovery for the endpoint list."""
+"""The times at which gateways poll discovery for the endpoint list.
+
+A gateway has to know of a change within 6 s of its publication; the tests call this the propagation limit.
+"""
 
 from __future__ import annotations
 
@@ -10,8 +13,8 @@
 )
 from tests.balancing.helpers import MS, SECOND, World, ready_entries, settings
 
-MAX_REQUEST_TIME = 1_500 * MS  # the longest that the first poll, which is sent at once, can take
-MAX_CONNECT_AND_REQUEST_TIME = 2_500 * MS  # the longest that a poll on a new connection can take
+MAX_REQUEST_TIME = 1_500 * MS  # The longest time that a poll takes on an open connection.
+MAX_CONNECT_AND_REQUEST_TIME = 2_500 * MS  # The longest time that a poll takes on a new connection.
 
 
 def time_until_poll(world: World, step: int = 20 * MS) -> int:
@@ -22,7 +25,7 @@
     return world.now - start
 
 
-def test_the_endpoint_list_is_polled_at_the_start_and_not_again_after_its_arrival() -> None:
+def test_endpoint_list_is_polled_until_it_arrives() -> None:
     world = World(settings(polls_endpoint_list=True))
     assert WatchEndpointList(True) in world.actions_taken
     world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2))
@@ -32,10 +35,13 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 6])
-def test_few_gateways_retry_polls_within_a_second_after_any_number_of_failures(
+def test_few_gateways_retry_failed_polls_within_a_second(
     gateways: int,
 ) -> None:
-    """Backoff grew to 3.5 s: with one more failure after discovery recovered, changes arrived after 6 s."""
+    """Guards against a backoff that grows to 3.5 s.
+
+    With that, one more failure after discovery had recovered delayed changes by more than 6 s.
+    """
     world = World(settings(polls_endpoint_list=True, gateway_count=gateways))
     for _ in range(8):
         world.actions_taken.clear()
@@ -43,15 +49,18 @@
         assert 500 * MS <= time_until_poll(world) <= SECOND
 
 
-def test_two_hundred_gateways_that_start_together_all_poll_in_time_for_changes() -> None:
-    """The last of them polled after 5 s and had its answer after 6 s, when it has to know changes."""
+def test_simultaneous_start_of_200_gateways_meets_the_propagation_limit() -> None:
+    """Guards against too large a spacing: the last gateway polled after 5 s and had its answer after 6 s."""
     for index in range(0, 200, 9):
         world = World(settings(polls_endpoint_list=True, gateway_count=200, gateway_index=index), seed=index)
         assert time_until_poll(world) <= 6 * SECOND - MAX_REQUEST_TIME
 
 
-def test_forty_gateways_that_start_together_stagger_their_polls() -> None:
-    """Discovery serves polls one by one: of 28 together 19 failed and had no list for 15 s."""
+def test_simultaneous_start_of_40_gateways_staggers_polls() -> None:
+    """Discovery serves polls one at a time.
+
+    Of 28 simultaneous polls 19 failed, and their gateways had no list for 15 s.
+    """
     poll_delays = []
     for index in range(40):
         world = World(settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index)
@@ -78,10 +87,8 @@
 
 @pytest.mark.parametrize("gateways", [1, 5, 25, 200, 1024])
 @pytest.mark.parametrize("poll_interval", [2 * SECOND, 10 * SECOND, 60 * SECOND])
-def test_after_any_number_of_failures_the_next_poll_is_in_time_for_changes(
-    gateways: int, poll_interval: int
-) -> None:
-    """Backoff grew to 7.5 s with many gateways; they have to know changes 6 s after discovery recovers."""
+def test_poll_after_repeated_failures_meets_the_propagation_limit(gateways: int, poll_interval: int) -> None:
+    """Gateways have to know of changes 6 s after discovery recovers, but their backoff grew to 7.5 s."""
     for index in range(0, gateways, max(1, gateways // 12)):
         given = settings(
             polls_endpoint_list=True, gateway_count=gateways, gateway_index=index, poll_interval=poll_interval
--- a/tests/balancing/test_invariants.py
+++ b/tests/balancing/test_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants of requests under arbitrary orders of events; `World` asserts them on every action."""
+"""The invariants of requests under arbitrary orders of events; `World` checks them on every action."""
 
 from __future__ import annotations
 
@@ -164,7 +164,7 @@
     first = world.sent_to(world.arrive(1, request_class=2))[0]
     second = world.sent_to(world.end_attempt(1, Outcome.RESET))[0]
     assert second != first and second % 2 == first % 2
-    world.advance_time(2 * SECOND)  # past the window: no replica discards a repeat any more
+    world.advance_time(2 * SECOND)  # After the window, replicas no longer discard a repetition.
     assert not world.sent_to(world.end_attempt(1, Outcome.RESET))
 
 
@@ -207,8 +207,8 @@
     assert sent == {1, 2}
 
 
-def test_half_of_the_fleet_hangs_and_the_rest_serves() -> None:
-    """Half of the replicas accept connections and never answer: timeouts open their breakers."""
+def test_healthy_replicas_serve_while_half_of_the_fleet_hangs() -> None:
+    """Half of the replicas accept connections but never answer; time-outs open their breakers."""
     world = World(replicas=range(1, 9))
     not_sent_to_healthy = 0
     for number in range(1, 601):
@@ -221,10 +221,10 @@
             not_sent_to_healthy += 1
         world.advance_time(50 * MS)
         world.assert_none_overdue()
-    assert not_sent_to_healthy <= 40  # of 200: trials, and replicas whose breakers may not open
+    assert not_sent_to_healthy <= 40  # Of 200: trials, and requests to replicas whose breakers may not open.
 
 
-def test_flapping_replicas_break_no_invariant_and_leave_no_requests() -> None:
+def test_flapping_replicas_leave_no_open_requests() -> None:
     world = World(replicas=range(1, 6))
     rng = random.Random(5)
     for number in range(1, 801):
@@ -274,13 +274,13 @@
     world.requests[1].final_answer = "disconnected"
     assert not world.sent_to(world.end_attempt(1, Outcome.RESET, request_answered=True))
     replica, _ = world.requests[1].attempts[0]
-    for outcome in Outcome:  # a second time, for a request that was forgotten
+    for outcome in Outcome:  # These are for a request that the balancer has removed.
         world.step(AttemptEnded(1, 0, replica, outcome, 5, False))
         world.step(FirstToken(1, 0, replica, 5))
     assert world.balancer.replicas[replica].concurrency.in_flight == 0
 
 
-def test_an_endpoint_list_that_fails_is_empty_and_returns() -> None:
+def test_failed_empty_and_refilled_endpoint_lists() -> None:
     world = World(replicas=(1, 2))
     world.update_endpoint_list(EndpointListKind.FAILED, ())
     assert world.sent_to(world.arrive(1))
@@ -293,7 +293,7 @@
 @pytest.mark.parametrize("outcome", list(Outcome))
 @pytest.mark.parametrize("is_streaming", [False, True])
 @pytest.mark.parametrize("request_class", range(5))
-def test_every_outcome_at_every_point_of_a_request(
+def test_every_outcome_before_and_after_the_first_token(
     outcome: Outcome, is_streaming: bool, request_class: int
 ) -> None:
     world = World(settings(classes=CLASSES), replicas=range(1, 7))
@@ -328,7 +328,7 @@
 def test_extreme_settings_and_clock_skew_leave_no_request_unanswered(
     overrides: dict[str, Any], clock_skew: int
 ) -> None:
-    """A replica whose clock is ahead starts in the future; without slow start that divided by zero."""
+    """If a replica's clock is ahead, its start is in the future; without slow start, this divided by zero."""
     world = World(settings(**overrides), replicas=())
     starting = ready_entries(1, 2, started_at=world.now + clock_skew)
     warm = ready_entries(3, zone=9, weight=0.0)
@@ -352,7 +352,7 @@
 
 
 def test_state_does_not_grow_in_a_long_run() -> None:
-    """New sessions, replicas that come and go, and rejections leave no records behind."""
+    """New sessions, short-lived replicas and rejections must not leave records behind."""
     world = World(replicas=(1, 2, 3))
     for number in range(1, 6001):
         if number % 20 == 0:
--- a/tests/balancing/test_load_reports.py
+++ b/tests/balancing/test_load_reports.py
@@ -1,4 +1,4 @@
-"""What the balancer learns from load reports, slow rejections and faults of requests."""
+"""The effects of load reports, rejections and invalid requests on the records of replicas."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 def world_with_report(utilization: float) -> World:
-    """Return a world whose only replica has three requests in flight and just reported its utilization."""
+    """Return a world whose only replica has three requests in flight and has reported this utilization."""
     world = World(settings(utilization_field=0), replicas=(1,))
     for number in range(1, 6):
         world.arrive(number)
         world.first_token(number)
     world.end_attempt(1, Outcome.OK, load_report=(utilization,))
-    # The first report may describe a time with fewer requests in flight: a second one makes it certain.
+    # The first report may describe a time with fewer requests in flight, so it is followed by a second one.
     world.end_attempt(2, Outcome.OK, load_report=(utilization,))
     return world
 
@@ -39,8 +39,11 @@
     return world.balancer.replicas[1].concurrency.limit
 
 
-def test_a_late_first_token_lowers_no_limit_while_a_report_shows_capacity() -> None:
-    """Replicas that read uncached prompts were limited to one request with most of their slots free."""
+def test_late_first_token_keeps_the_limit_while_a_report_shows_capacity() -> None:
+    """Guards against limits of one request at replicas that are only reading uncached prompts.
+
+    Most slots of such replicas were free.
+    """
     assert limit_after_first_token(world_with_report(0.2), 9, 450 * MS) == math.inf
     assert limit_after_first_token(world_with_report(0.9), 9, 450 * MS) < 4
     assert limit_after_first_token(world_with_report(0.2), 9, 700 * MS) < 4, (
@@ -51,8 +54,8 @@
     assert limit_after_first_token(world, 9, 450 * MS) < 4, "the report has expired"
 
 
-def test_a_report_raises_a_limit_that_is_lower_than_the_reported_capacity() -> None:
-    """Limits of one stayed low: only timely first tokens at the limit raised them, a little each."""
+def test_report_raises_a_limit_below_the_reported_capacity() -> None:
+    """Guards against limits that stay at one, because timely first tokens raise them too slowly."""
     world = world_with_report(0.9)
     replica = world.balancer.replicas[1]
     assert limit_after_first_token(world, 9, 700 * MS) < 4
@@ -61,8 +64,8 @@
     assert replica.concurrency.limit > 10
 
 
-def test_a_replica_that_rejects_one_class_slowly_gets_requests_of_other_classes_only() -> None:
-    """A replica took 0.9 s to reject each request of one class, and got the next one nevertheless."""
+def test_slow_rejections_back_off_only_their_request_class() -> None:
+    """A replica that took 0.9 s to reject each request of a class kept getting requests of that class."""
     classes = (RequestClass(), RequestClass())
     world = World(settings(classes=classes, max_attempts=9), replicas=(1, 2))
     sent_to_first = 0
@@ -82,7 +85,7 @@
 
 
 def test_an_invalid_request_fails_without_counting_against_replicas() -> None:
-    """Invalid requests went to three replicas each and opened the breakers of healthy ones."""
+    """Each invalid request was sent to three replicas, and opened the breakers of healthy ones."""
     world = World(settings(max_attempts=3), replicas=(1, 2, 3))
     for number in range(1, 30):
         world.arrive(number)
@@ -92,7 +95,7 @@
     assert all(replica.breaker.failures == 0 for replica in world.balancer.replicas.values())
 
 
-def test_a_replica_that_finds_requests_invalid_which_others_serve_is_faulty() -> None:
+def test_replica_that_rejects_valid_requests_opens_its_breaker() -> None:
     world = World(settings(max_attempts=3), replicas=(1, 2, 3))
     for number in range(1, 60):
         world.arrive(number)
@@ -103,8 +106,8 @@
     assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
 
 
-def test_a_reset_of_a_reused_connection_counts_less_than_one_of_a_new_connection() -> None:
-    """Two such resets opened the breakers of replicas that close idle connections early."""
+def test_reset_of_a_reused_connection_counts_less_than_of_a_new_one() -> None:
+    """Replicas may close idle connections early; two resets from this opened their breakers."""
     open_breakers = []
     for reused in (True, False):
         world = World(settings(max_attempts=1), replicas=(1, 2, 3, 4))
@@ -122,7 +125,7 @@
     assert open_breakers[0] < open_breakers[1]
 
 
-def test_a_replica_that_rejects_at_once_backs_off_for_all_classes() -> None:
+def test_immediate_rejection_backs_off_all_classes() -> None:
     world = World(settings(max_attempts=9), replicas=(1,))
     world.arrive(1)
     world.end_attempt(1, Outcome.OVERLOADED)
@@ -143,7 +146,7 @@
 
 
 def world_with_two_machine_kinds(**overrides: Any) -> World:
-    """Return one gateway of many; replicas 1 to 20 are of one kind and listed as larger than the rest."""
+    """Return one gateway of 100, with 40 replicas: 1 to 20 are of one kind, and listed with more capacity."""
     world = World(settings(gateway_count=100, **overrides), replicas=())
     large = tuple(EndpointListEntry(number, weight=6.0, machine_kind=1) for number in range(1, 21))
     small = tuple(EndpointListEntry(number, weight=4.0, machine_kind=2) for number in range(21, 41))
@@ -154,7 +157,7 @@
 def share_sent_to_large(
     world: World, numbers: range, utilization: float, first_token_after: int = 0
 ) -> float:
-    """Return the share of requests sent to the larger replicas, which report this utilization."""
+    """Return the share of requests sent to the replicas listed as larger, which report this utilization."""
     sent = 0
     for number in numbers:
         world.arrive(number, time_remaining=60 * SECOND)
@@ -169,7 +172,10 @@
 
 
 def test_reports_of_a_machine_kind_override_its_listed_capacity() -> None:
-    """Machines listed by their cores had few slots: 22% of first tokens were late beside idle machines."""
+    """Machines may be listed by their cores although they have few slots.
+
+    With such a list, 22% of first tokens were late while other machines were idle.
+    """
     assert share_sent_to_large(world_with_two_machine_kinds(utilization_field=0), range(1, 201), 0.3) > 0.5
     world = world_with_two_machine_kinds(utilization_field=0)
     share_sent_to_large(world, range(1, 31), 1.0)
@@ -177,7 +183,7 @@
     assert all(world.balancer.replicas[number].kind.capacity_factor >= 0.25 for number in range(1, 41))
 
 
-def test_without_reports_late_first_tokens_lower_the_capacity_of_a_machine_kind() -> None:
+def test_without_reports_late_first_tokens_lower_a_kinds_capacity() -> None:
     world = world_with_two_machine_kinds()
     share_sent_to_large(world, range(1, 31), 0.0, first_token_after=10 * MS)
     assert share_sent_to_large(world, range(31, 131), 0.0, first_token_after=10 * MS) > 0.5
@@ -185,8 +191,8 @@
     assert share_sent_to_large(world, range(161, 261), 0.0, first_token_after=500 * MS) < 0.4
 
 
-def test_a_fully_utilized_replica_does_not_win_by_its_cache_until_its_report_is_old() -> None:
-    """Replicas that held a prefix got more requests while their first tokens took four seconds."""
+def test_fully_utilized_cache_holder_is_avoided_until_its_report_is_old() -> None:
+    """Guards against overloaded cache holders, which got more requests with first tokens after 4 s."""
     world = World(settings(gateway_count=100, utilization_field=0), replicas=range(1, 21))
     for number in range(101, 111):
         world.arrive(number)
@@ -204,7 +210,7 @@
     assert world.requests[3].attempts[0].replica == cache_holder
 
 
-def test_machine_kinds_that_left_the_list_are_forgotten() -> None:
+def test_machine_kinds_missing_from_the_list_are_removed() -> None:
     world = world_with_two_machine_kinds(utilization_field=0)
     world.update_endpoint_list(EndpointListKind.FULL, (EndpointListEntry(50, machine_kind=3),))
     assert list(world.balancer.endpoints.machine_kinds.by_number) == [3]
--- a/tests/balancing/test_moving_statistics.py
+++ b/tests/balancing/test_moving_statistics.py
@@ -1,4 +1,4 @@
-"""The statistics that weigh recent observations most."""
+"""The statistics that favour recent observations."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert total.rate(200 * SECOND) == pytest.approx(3.0, rel=0.05)
 
 
-def test_bands_return_the_share_sent_by_length_and_of_all() -> None:
+def test_share_sent_by_prompt_length_and_in_total() -> None:
     bands = PromptBands(30 * SECOND)
     assert bands.share_sent() == bands.share_sent(900.0) == 1.0, "no request is known"
     for number in range(10):
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("gap", [60 * SECOND, (MAX_AGE_IN_HALF_LIVES + 1) * 30 * SECOND, 10**7 * SECOND])
-def test_bands_forget_old_requests_after_any_gap(gap: int) -> None:
+def test_share_sent_after_a_gap_between_requests(gap: int) -> None:
     bands = PromptBands(30 * SECOND)
     for _ in range(8):
         bands.record(SECOND, 900.0, sent=False)
@@ -45,14 +45,14 @@
     assert bands.share_sent(900.0) == pytest.approx(8 / (8 + 8 * 0.5 ** (gap / (30 * SECOND))))
 
 
-def test_bands_keep_their_shares_when_weights_are_rebased() -> None:
+def test_shares_survive_rebased_weights() -> None:
     bands = PromptBands(30 * SECOND)
     for second in range(0, 3 * MAX_AGE_IN_HALF_LIVES * 30, 10):
         bands.record(second * SECOND, 900.0, sent=second % 20 == 0)
     assert bands.share_sent(900.0) == pytest.approx(0.5, abs=0.1)
 
 
-def test_share_of_a_key_among_recent_requests_and_at_least_so_many() -> None:
+def test_share_of_a_key_among_recent_requests() -> None:
     recent = RecentKeys(4)
     recent.add(7)
     assert recent.share(7, at_least=16) == pytest.approx(1 / 16)
--- a/tests/balancing/test_overload.py
+++ b/tests/balancing/test_overload.py
@@ -1,4 +1,4 @@
-"""Which requests are answered with and without enough capacity, on a few simulated replicas."""
+"""The shares of requests answered with and without enough capacity, in a simulation of a few replicas."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 REPLICAS = 6
 SLOTS_PER_REPLICA = 8
-PROMPT_TOKENS_PER_SECOND = 10_000.0  # that a replica reads, one prompt after the other
+PROMPT_TOKENS_PER_SECOND = 10_000.0  # A replica reads one prompt after the other at this speed.
 MEAN_PROMPT_TOKENS = 1_665
-MEAN_SLOT_SECONDS = 2.3  # that a request occupies a slot
+MEAN_SLOT_SECONDS = 2.3  # The time for which a request occupies a slot.
 CLIENT_TIMEOUT = 4 * SECOND
-ALL_SESSIONS_DISTINCT = 1 << 40  # a number of sessions so large that none occurs twice
+ALL_SESSIONS_DISTINCT = 1 << 40  # With this many sessions, none occurs twice.
 
 
 class OverloadSimulation:
@@ -43,7 +43,7 @@
         self.slots_in_use, self.reading_until = [0] * REPLICAS, [0] * REPLICAS
         self.prompts, self.sessions = dict[int, float](), dict[int, int]()
         self.session_count = sessions
-        self.cached = dict[tuple[int, int], float]()  # prompt tokens by replica and session
+        self.cached = dict[tuple[int, int], float]()  # Prompt tokens by replica and session.
         self.deadlines = dict[int, int]()
         self.not_served, self.answered = set[int](), set[int]()
         self.attempts = dict[int, int]()
@@ -112,14 +112,14 @@
         return self._schedule(self.reading_until[replica] + 5 * MS, begin_answer)
 
     def share_answered(self, begin: float, end: float) -> float:
-        """Return the share answered of the requests between two quantiles of the prompt lengths."""
+        """Return the share of answered requests, among those between two quantiles of the prompt length."""
         by_length = sorted(self.prompts, key=self.prompts.__getitem__)
         selected = by_length[int(begin * len(by_length)) : int(end * len(by_length))]
         return sum(number in self.answered for number in selected) / len(selected)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_with_enough_capacity_every_session_and_long_prompts_are_answered(seed: int) -> None:
+def test_half_load_answers_all_sessions_and_long_prompts(seed: int) -> None:
     simulation = OverloadSimulation(load=0.5, seed=seed, sessions=40)
     assert simulation.share_answered(0.0, 1.0) > 0.99
     assert simulation.share_answered(0.9, 1.0) > 2 / 3 * simulation.share_answered(0.0, 1.0)
@@ -129,13 +129,13 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_at_full_load_the_longest_prompts_are_answered_at_half_the_mean_share(seed: int) -> None:
+def test_full_load_answers_long_prompts_at_half_the_mean_share(seed: int) -> None:
     simulation = OverloadSimulation(load=1.0, seed=seed)
     for begin, end in ((0.9, 1.0), (0.7, 0.9)):
         assert simulation.share_answered(begin, end) > simulation.share_answered(0.0, 1.0) / 2
 
 
-def test_in_lasting_overload_the_longest_prompts_are_answered_at_half_the_mean_share() -> None:
+def test_lasting_overload_answers_long_prompts_at_half_the_mean_share() -> None:
     simulations = [OverloadSimulation(load=1.5, seed=seed) for seed in (1, 2, 3)]
     for begin, end in ((0.9, 1.0), (0.7, 0.9)):
         assert all(
--- a/tests/balancing/test_package_rules.py
+++ b/tests/balancing/test_package_rules.py
@@ -1,4 +1,4 @@
-"""Rules for the modules of the balancing package: small, without I/O, clocks or a shared random source."""
+"""Rules for the modules of the balancing package: small, no I/O, no clock, no global random generator."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_a_module_is_at_most_490_lines_of_110_characters(path: Path) -> None:
+def test_module_size_and_docstring(path: Path) -> None:
     lines = path.read_text().splitlines()
     assert sum(bool(line.strip()) for line in lines) <= 490
     assert max(map(len, lines)) <= 110
@@ -34,7 +34,7 @@
 
 
 def uses_of_random(tree: ast.AST) -> set[str]:
-    """The names that a module takes from the module random."""
+    """Return the names that a module uses from the module `random`."""
     return {
         node.attr
         for node in ast.walk(tree)
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_a_module_reads_no_clock_and_shares_no_random_source(path: Path) -> None:
+def test_module_reads_no_clock_and_shares_no_random_source(path: Path) -> None:
     tree = ast.parse(path.read_text())
     nodes = list(ast.walk(tree))
     imported = {alias.name for node in nodes if isinstance(node, ast.Import) for alias in node.names}
--- a/tests/balancing/test_replica_selection.py
+++ b/tests/balancing/test_replica_selection.py
@@ -38,7 +38,7 @@
     assert sent[long] >= 3
 
 
-def test_a_session_goes_to_the_replica_that_has_its_prompt_cached() -> None:
+def test_session_goes_to_the_replica_with_its_prompt_cached() -> None:
     world = World(replicas=range(1, 11))
     holders = {}
     for session in range(1, 21):
@@ -53,7 +53,7 @@
 
 
 def replicas_chosen_for(prefix: int, seeds: range, earlier_prefixes: Iterable[int]) -> Counter[int]:
-    """Return where gateways, each with the same earlier requests, send one more request."""
+    """Return the replicas to which gateways with the same earlier requests send one more request."""
     holders: Counter[int] = Counter()
     for seed in seeds:
         world = World(replicas=range(1, 11), seed=seed)
@@ -67,26 +67,29 @@
     return holders
 
 
-def test_gateways_choose_the_same_replica_for_a_prefix_without_any_exchange() -> None:
-    """The preferred replica must also win at a gateway that has never sent this prefix."""
+def test_gateways_choose_the_same_replica_for_a_prefix() -> None:
+    """A gateway must prefer the replica even if it has never sent this prefix before."""
     for prefix in range(70, 80):
         assert len(replicas_chosen_for(prefix, range(6), range(100, 130))) == 1
 
 
-def test_a_prefix_of_many_requests_is_held_by_many_replicas() -> None:
-    """With a single holder for all gateways, that replica had seven times the mean load of a fleet."""
+def test_frequent_prefix_is_spread_over_several_replicas() -> None:
+    """When all gateways preferred a single replica, it got seven times the mean load of the fleet."""
     holders = replicas_chosen_for(70, range(40), [70, 71, 70, 72] * 8)
     assert len(holders) >= 6 and max(holders.values()) <= 16
 
 
-def test_requests_of_a_session_reach_the_same_replica_through_any_gateway() -> None:
-    """Each request came through another gateway, went to another holder of the prefix, and was read again."""
+def test_all_gateways_choose_the_same_replica_for_a_session() -> None:
+    """The requests of a session arrive at different gateways.
+
+    If each gateway chose another holder of the prefix, the conversation would be read again every time.
+    """
     replicas, same_replica = range(1, 92), 0
     for session in range(1, 11):
         replicas_chosen = Counter[int]()
         for gateway in range(12):
             world = World(settings(gateway_count=200, gateway_index=gateway), replicas=replicas, seed=gateway)
-            for number in range(30):  # each gateway has seen different traffic
+            for number in range(30):  # Each gateway has seen different traffic.
                 world.arrive(number, prefix=100 + (gateway + number) % 25, prefix_tokens=3000.0)
                 world.first_token(number)
                 world.end_attempt(number, Outcome.OK)
@@ -107,8 +110,8 @@
     assert len(sent) >= 8 and max(sent.values()) <= 60
 
 
-def test_a_session_stays_in_the_gateways_zone_if_crossing_zones_has_a_cost() -> None:
-    """With its first holder in another zone, its requests alternated between that and local replicas."""
+def test_session_stays_in_the_local_zone_if_crossing_has_a_cost() -> None:
+    """If a session's preferred replica was in another zone, its requests alternated between zones."""
     stayed_local = 0
     for session in range(1, 201):
         world = World(settings(gateway_count=200, cross_zone_cost=0.08, zone=0), replicas=(), seed=session)
@@ -123,8 +126,11 @@
     assert stayed_local >= 145
 
 
-def test_one_of_few_requests_does_not_make_its_prefix_a_frequent_one() -> None:
-    """One request is a large share of a new gateway's few: each prefix was read by the whole fleet."""
+def test_prefix_of_a_gateways_first_request_is_not_spread() -> None:
+    """One request is a large share of the few that a new gateway has seen.
+
+    When it counted as a frequent prefix, the whole fleet read each prefix.
+    """
     holders = Counter[int]()
     for seed in range(200):
         world = World(settings(gateway_count=200), replicas=range(1, 92), seed=seed)
@@ -133,7 +139,7 @@
 
 
 def test_idle_replicas_are_sampled_by_listed_capacity() -> None:
-    """With many gateways own load is mostly zero: only listed weights show what others have sent."""
+    """With many gateways a replica's own load is mostly zero, and only listed weights reflect other load."""
     sent: Counter[int] = Counter()
     for seed in range(80):
         world = World(replicas=(), seed=seed)
@@ -144,8 +150,8 @@
     assert sent[5] >= 45 and sent.total() - sent[5] >= 5
 
 
-def test_own_load_stands_for_that_of_all_gateways() -> None:
-    """Two own requests at one of many gateways stand for many: crossing zones costs less than that load."""
+def test_load_of_all_gateways_is_extrapolated_from_own_load() -> None:
+    """With many gateways, two own requests at a replica imply a load that makes crossing zones worthwhile."""
     crossed = Counter[int]()
     for gateways in (1, 16):
         for seed in range(20):
@@ -159,8 +165,8 @@
     assert 2 * crossed[1] < crossed[16]
 
 
-def test_a_small_replica_is_not_left_idle_beside_a_loaded_large_one() -> None:
-    """Costs that were divided by capacity kept small replicas idle while large ones were overloaded."""
+def test_small_replicas_get_requests_beside_a_large_one() -> None:
+    """When the whole cost was divided by capacity, small replicas stayed idle beside overloaded ones."""
     world = World(settings(gateway_count=4), replicas=())
     world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, weight=4.0) + ready_entries(2, 3, 4))
     sent = Counter(replica for n in range(28) for replica in world.sent_to(world.arrive(n)))
@@ -176,7 +182,7 @@
 
 
 def local_share(local_weight: float) -> float:
-    """Return the share of light traffic that stays in the gateway's zone, by the weight listed there."""
+    """Return the share of light traffic that stays in the local zone, given the weight of its replicas."""
     stayed_local = 0
     for seed in range(100):
         world = World(settings(cross_zone_cost=0.08, zone=0), replicas=(), seed=seed)
@@ -188,13 +194,16 @@
     return stayed_local / 100
 
 
-def test_cost_of_crossing_zones_keeps_most_traffic_local_unless_local_capacity_is_low() -> None:
-    """A sample of local replicas alone kept all of it in a zone that had lost a third of its replicas."""
+def test_most_traffic_stays_local_unless_local_capacity_is_low() -> None:
+    """Guards against samples of local replicas only.
+
+    They kept all traffic in a zone that had lost a third of its replicas.
+    """
     assert local_share(local_weight=1.0) > 0.8
     assert 0.25 < local_share(local_weight=0.15) < 0.75
 
 
-def test_a_request_never_returns_to_a_replica_that_could_not_be_reached() -> None:
+def test_unreachable_replica_is_not_tried_twice_for_a_request() -> None:
     world = World(settings(max_attempts=6), replicas=(1, 2, 3))
     world.arrive(1)
     while not world.requests[1].final_answer:
--- a/tests/balancing/test_settings_reader.py
+++ b/tests/balancing/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""Reading balancer settings: all keys, defaults, and errors that name the key."""
+"""Reading the balancer's settings: all keys, the defaults, and errors that name the key."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
         (with_value("tenants", ["a"]), "tenants"),
     ],
 )
-def test_errors_of_impossible_settings_name_the_key(text: bytes, key: str) -> None:
+def test_errors_of_invalid_settings_name_the_key(text: bytes, key: str) -> None:
     with pytest.raises(SettingsError, match=key):
         decode_settings(text)
 
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The work that replicas in slow start get from one gateway and from all together."""
+"""The work that replicas in slow start get from one gateway and from all gateways together."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 8, 40])
-def test_all_gateways_together_do_not_overload_a_replica_in_slow_start(gateways: int) -> None:
-    """Each gateway uses its own part of the budget; the sum stays below the bound without any exchange."""
+def test_sum_of_all_gateways_does_not_overload_a_starting_replica(gateways: int) -> None:
+    """The gateways do not communicate; each uses only its own part of the budget."""
     given_settings = settings(gateway_count=gateways)
     worlds = [
         World(settings(gateway_count=gateways, gateway_index=n), replicas=range(1, 6), seed=n)
@@ -41,7 +41,7 @@
             for request, _ in world.attempts_in_progress():
                 if world.now - world.requests[request].attempts[0].sent_at >= SECOND:
                     world.end_attempt(request, Outcome.OK)
-    warm_rate = request_rate / 5  # requests per second of a warm replica, from all gateways together
+    warm_rate = request_rate / 5  # Requests per second of a warm replica, from all gateways together.
     assert sent_times, "a replica in slow start must get some work"
     for when in sent_times:
         window = [time for time in sent_times if when <= time < when + given_settings.overload_duration]
@@ -57,10 +57,10 @@
 
 
 @pytest.mark.parametrize(("gateways", "requests_per_tick"), [(40, 9), (200, 30)])
-def test_replaced_replicas_carry_their_part_of_the_load_during_slow_start(
+def test_replaced_replicas_use_their_capacity_during_slow_start(
     gateways: int, requests_per_tick: int
 ) -> None:
-    """No gateway's part of a budget was as large as one request, and each alone sees few requests."""
+    """Guards against unused budgets: with many gateways, each one's part may be less than one request."""
     fleet = settings(
         slow_start_initial_share=0.13,
         slow_start_duration=24 * SECOND,
@@ -71,7 +71,7 @@
     started = worlds[0].now + 10 * SECOND
     rng, number = random.Random(4), 0
     sends: dict[int, list[int]] = {replica: [] for replica in range(101, 125)}
-    for tick in range(160):  # ten seconds before the replicas are replaced, and six after
+    for tick in range(160):  # 10 s before the replicas are replaced, and 6 s after.
         for world in worlds:
             world.advance_time(100 * MS)
             if tick == 100:
@@ -84,7 +84,7 @@
                     sends[replica].append(world.now)
             world.first_token(number)
             world.end_attempt(number, Outcome.OK)
-    warm_rate = requests_per_tick * 10 / 16  # requests per second of a warm replica
+    warm_rate = requests_per_tick * 10 / 16  # Requests per second of a warm replica.
     expected = sum(warm_rate * (0.13 + 0.87 * second / 24) for second in range(6))
     assert sum(map(len, sends.values())) >= 0.4 * expected * len(sends), (
         "the capacity that they have by now is used"
@@ -97,7 +97,7 @@
 
 
 def test_restarted_gateways_send_little_to_a_zone_in_slow_start() -> None:
-    """They know the throughput of no warm replica: they still serve requests and overload no replica."""
+    """They do not know the throughput of warm replicas, but must serve requests without an overload."""
     fleet = settings(
         slow_start_initial_share=0.13,
         slow_start_duration=24 * SECOND,
@@ -130,7 +130,7 @@
 
 
 def test_an_overload_does_not_raise_the_slow_start_budget() -> None:
-    """Requests are retried in an overload; only completed work may determine the budget."""
+    """In an overload, requests are retried, so only completed work may determine the budget."""
     world = World(settings(max_attempts=6), replicas=(1, 2, 3, 4))
     for number in range(1, 2000):
         world.arrive(number, time_remaining=SECOND)
@@ -139,7 +139,7 @@
     assert not [r for n in range(3000, 3100) for r in world.sent_to(world.arrive(n)) if r == 9]
 
 
-def test_a_restart_and_a_flapping_list_do_not_reset_the_slow_start_budget() -> None:
+def test_flapping_endpoint_list_does_not_reset_the_slow_start_budget() -> None:
     world = World(replicas=(1, 2, 3, 4))
     for number in range(200):
         world.arrive(number)
@@ -154,12 +154,12 @@
         )
         sent += world.sent_to(world.arrive(number)) == [9]
     assert sent
-    per_replica = 200 / 4 / 4  # 50 requests per second over four replicas, for four seconds
+    per_replica = 200 / 4 / 4  # 50 requests per second over 4 replicas, for 4 s.
     assert sent <= 3.0 * 0.2 * per_replica * 2 + 1
 
 
 def sent_during_slow_start(cached_tokens: int, weight: float) -> int:
-    """Return how many requests a replica that has just started gets beside warm replicas."""
+    """Return how many requests a replica that has just started gets while the others are warm."""
     world = World(replicas=())
     world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2, 3, weight=4.0))
     number = 0
@@ -185,7 +185,10 @@
 
 
 def test_the_slow_start_budget_follows_completed_uncached_work() -> None:
-    """Warm replicas with cached prompts read little: budgets by complete prompts overloaded a new replica."""
+    """Warm replicas read only uncached tokens.
+
+    When budgets followed the throughput of whole prompts, they overloaded a replica without a cache.
+    """
     uncached = sent_during_slow_start(cached_tokens=0, weight=4.0)
     cached = sent_during_slow_start(cached_tokens=3800, weight=4.0)
     assert uncached > 2 * cached
--- a/tests/balancing/test_slow_start_fleet.py
+++ b/tests/balancing/test_slow_start_fleet.py
@@ -1,9 +1,9 @@
 """The work that all gateways together send to a replica in slow start, in a simulated fleet.
 
-A replica in slow start is overloaded when it gets more than N + 2 * sqrt(N) + 2 requests of mean work within
-the overload duration, where N is what the settings allow at its age. This counts against the gateways if more
-than two thirds of the work came from gateways that had been notified of the replica's start. The gateways
-exchange nothing, so only their sum can be judged. Where N is below 30 the operators allow a margin of
+A replica in slow start is overloaded if it gets more than N + 2 * sqrt(N) + 2 requests of mean work within
+the overload duration, where N is the number that the settings allow at its age. The gateways are at fault if
+more than two thirds of the work came from gateways that had been notified of the replica's start. Gateways
+do not communicate, so only the sum of their work can be checked. For N below 30, operators allow a margin of
 3 * sqrt(N) + 3; these tests apply the smaller margin to every N.
 """
 
@@ -32,8 +32,8 @@
 from tests.balancing.helpers import MS, SECOND, ready_entries, settings
 
 REPLICAS = range(1, 21)
-REQUEST_RATE = 60.0  # requests per second at all gateways together
-REPLICA_START = 20 * SECOND  # after the start of the simulation
+REQUEST_RATE = 60.0  # Requests per second at all gateways together.
+REPLICA_START = 20 * SECOND  # Relative to `START`.
 DURATION = 36 * SECOND
 START = 1_000 * SECOND
 MEAN_PROMPT_TOKENS = 3_000.0
@@ -44,20 +44,20 @@
     """One request sent to a replica in slow start."""
 
     sent_at: int
-    work: float  # in multiples of the mean request
-    gateway_notified: bool  # whether the gateway knew of the replica's start
+    work: float  # In multiples of the mean request.
+    gateway_notified: bool  # Whether the gateway knew of the replica's start.
 
 
 @dataclass(frozen=True)
 class FleetScenario:
-    """A fleet, its traffic and the events of its simulation."""
+    """A fleet, its traffic and its events."""
 
     gateway_count: int
     starting_replicas: tuple[int, ...] = (7,)
-    uneven_traffic: bool = False  # some gateways get far more requests than others
-    heavy_tailed_prompts: bool = False  # few prompts hold most of the tokens
-    notified_within: int = 0  # the endpoint list reaches all gateways within this time
-    restarted_share: float = 0.0  # share of the gateways that are restarted when they are notified
+    uneven_traffic: bool = False  # Some gateways get far more requests than others.
+    heavy_tailed_prompts: bool = False  # A few prompts hold most of the tokens.
+    notified_within: int = 0  # The endpoint list reaches all gateways within this time.
+    restarted_share: float = 0.0  # The share of gateways that restart when they are notified.
 
 
 class FleetSimulation:
@@ -126,7 +126,7 @@
             self.sent[replica].append(SlowStartSend(self.now, work, gateway in self.notified))
 
         def deliver_unless_restarted(event: Event) -> None:
-            if self.gateways[gateway] is balancer:  # otherwise it was restarted in the meantime
+            if self.gateways[gateway] is balancer:  # Otherwise the gateway was restarted in the meantime.
                 self._deliver(gateway, event)
 
         first_token = FirstToken(request, 0, replica, 100 * MS)
@@ -178,9 +178,7 @@
     ],
     ids=lambda changes: "-".join(changes) or "even",
 )
-def test_all_gateways_together_overload_no_replica_in_slow_start(
-    gateway_count: int, changes: dict[str, object]
-) -> None:
+def test_fleet_overloads_no_replica_in_slow_start(gateway_count: int, changes: dict[str, object]) -> None:
     simulation = FleetSimulation(FleetScenario(gateway_count=gateway_count, **changes), seed=gateway_count)  # type: ignore[arg-type]
     assert simulation.overloads() == []
     assert any(simulation.sent.values()), "replicas in slow start get some of the work"
