--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -65,7 +65,7 @@
     final_answer: str = ""  # The name of the action that answered it; empty while it has no final answer.
 
 
-class World:
+class BalancerHarness:
     """Passes events to one balancer, keeps the time and checks the invariants on every action.
 
     Each request gets exactly one final answer, in time. Its attempts go to ready replicas only, and there are
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -12,17 +12,17 @@
 )
 from lockspoke.balancing.overload_backoff import OVERLOAD_BACKOFF
 from lockspoke.balancing.settings import Tenant
-from tests.balancing.helpers import MS, SECOND, World, settings
+from tests.balancing.helpers import MS, SECOND, BalancerHarness, settings
 
 
-def overload(world: World) -> None:
+def overload(harness: BalancerHarness) -> None:
     """Cause late first tokens on every replica, so that each has a concurrency limit."""
     for number in range(1, 41):
-        world.arrive(number, time_remaining=60 * SECOND)
-    world.advance_time(2 * SECOND)
+        harness.arrive(number, time_remaining=60 * SECOND)
+    harness.advance_time(2 * SECOND)
     for number in range(1, 41):
-        if world.requests[number].attempts:
-            world.first_token(number)
+        if harness.requests[number].attempts:
+            harness.first_token(number)
 
 
 def test_late_first_tokens_set_limits_and_the_newest_waiting_request_goes_first() -> None:
@@ -30,14 +30,14 @@
 
     Requests beyond the limits are queued instead, so that some of them are served in time.
     """
-    world = World(replicas=(1, 2))
-    overload(world)
-    assert all(r.concurrency.in_flight >= r.concurrency.limit for r in world.balancer.replicas.values())
+    harness = BalancerHarness(replicas=(1, 2))
+    overload(harness)
+    assert all(r.concurrency.in_flight >= r.concurrency.limit for r in harness.balancer.replicas.values())
     for number in (101, 102, 103):
-        assert not world.sent_to(world.arrive(number))
-        world.advance_time(10 * MS)
+        assert not harness.sent_to(harness.arrive(number))
+        harness.advance_time(10 * MS)
     for number in range(1, 41):
-        for action in world.end_attempt(number, Outcome.OK):
+        for action in harness.end_attempt(number, Outcome.OK):
             if isinstance(action, SendAttempt):
                 assert action.request == 103
                 return
@@ -45,22 +45,22 @@
 
 
 def test_queued_requests_are_answered_by_their_deadline() -> None:
-    world = World(replicas=(1, 2))
-    overload(world)
-    world.arrive(101, time_remaining=SECOND)
-    world.advance_time(SECOND + 10 * MS)
-    assert world.requests[101].final_answer == "Reject"
+    harness = BalancerHarness(replicas=(1, 2))
+    overload(harness)
+    harness.arrive(101, time_remaining=SECOND)
+    harness.advance_time(SECOND + 10 * MS)
+    assert harness.requests[101].final_answer == "Reject"
 
 
 def test_tenant_with_least_usage_of_its_quota_goes_first() -> None:
     tenants = (Tenant(0.5), Tenant(0.5))
-    world = World(settings(tenants=tenants), replicas=(1, 2))
-    overload(world)  # All requests are of tenant 0.
-    world.arrive(101, tenant=1)
-    world.advance_time(10 * MS)
-    world.arrive(102, tenant=0)
+    harness = BalancerHarness(settings(tenants=tenants), replicas=(1, 2))
+    overload(harness)  # All requests are of tenant 0.
+    harness.arrive(101, tenant=1)
+    harness.advance_time(10 * MS)
+    harness.arrive(102, tenant=0)
     for number in range(1, 41):
-        for action in world.end_attempt(number, Outcome.OK):
+        for action in harness.end_attempt(number, Outcome.OK):
             if isinstance(action, SendAttempt):
                 assert action.request == 101
                 return
@@ -68,26 +68,26 @@
 
 
 def test_requests_of_tenants_removed_by_a_reload_are_answered() -> None:
-    world = World(settings(tenants=(Tenant(0.5), Tenant(0.5))), replicas=(1, 2))
-    overload(world)
-    world.arrive(101, tenant=1)
-    world.arrive(102, tenant=1)
-    world.balancer.reconfigure(settings(tenants=(Tenant(1.0),)))
+    harness = BalancerHarness(settings(tenants=(Tenant(0.5), Tenant(0.5))), replicas=(1, 2))
+    overload(harness)
+    harness.arrive(101, tenant=1)
+    harness.arrive(102, tenant=1)
+    harness.balancer.reconfigure(settings(tenants=(Tenant(1.0),)))
     for number in range(1, 41):
-        world.end_attempt(number, Outcome.OK)
-    assert world.requests[101].attempts and world.requests[102].attempts
+        harness.end_attempt(number, Outcome.OK)
+    assert harness.requests[101].attempts and harness.requests[102].attempts
 
 
 def test_client_retries_wait_behind_first_attempts() -> None:
     """A retry is newer than first attempts, but has already missed its latency objective."""
-    world = World(replicas=(1, 2))
-    overload(world)
-    world.arrive(101)
-    world.advance_time(10 * MS)
-    world.arrive(102, client_retry=True)
-    world.arrive(103, time_remaining=SECOND // 2)
+    harness = BalancerHarness(replicas=(1, 2))
+    overload(harness)
+    harness.arrive(101)
+    harness.advance_time(10 * MS)
+    harness.arrive(102, client_retry=True)
+    harness.arrive(103, time_remaining=SECOND // 2)
     for number in range(1, 41):
-        for action in world.end_attempt(number, Outcome.OK):
+        for action in harness.end_attempt(number, Outcome.OK):
             if isinstance(action, SendAttempt):
                 assert action.request == 101
                 return
@@ -99,52 +99,52 @@
 
     This happened when a limit rose by only one within the duration of an answer.
     """
-    world = World(replicas=(1,))
-    overload(world)
-    replica = world.balancer.replicas[1]
+    harness = BalancerHarness(replicas=(1,))
+    overload(harness)
+    replica = harness.balancer.replicas[1]
     for number in range(1, 41):
-        world.end_attempt(number, Outcome.OK)
+        harness.end_attempt(number, Outcome.OK)
     limit_before, timely_count = replica.concurrency.limit, 0
     for number in range(200, 300):
-        world.arrive(number)
-        world.advance_time(MS)
+        harness.arrive(number)
+        harness.advance_time(MS)
         waiting = [
             (request, attempt)
-            for request, attempt in world.attempts_in_progress()
-            if not world.requests[request].is_streaming
+            for request, attempt in harness.attempts_in_progress()
+            if not harness.requests[request].is_streaming
         ]
         for request, attempt in waiting:
-            world.first_token(request, attempt)
+            harness.first_token(request, attempt)
             timely_count += 1
-        if len(world.attempts_in_progress()) >= int(replica.concurrency.limit):
-            world.end_attempt(world.attempts_in_progress()[0][0], Outcome.OK)
+        if len(harness.attempts_in_progress()) >= int(replica.concurrency.limit):
+            harness.end_attempt(harness.attempts_in_progress()[0][0], Outcome.OK)
     assert timely_count > 40
     assert replica.concurrency.limit >= limit_before + 5
 
 
 def test_backoff_of_an_overloaded_replica_ends_by_a_timer() -> None:
     """A rejected request must wait, and without requests in flight only a timer can end the backoff."""
-    world = World(replicas=(1,))
-    world.arrive(1)
-    assert not world.sent_to(world.end_attempt(1, Outcome.OVERLOADED))
-    world.advance_time(OVERLOAD_BACKOFF + MS)
-    assert len(world.requests[1].attempts) == 2
+    harness = BalancerHarness(replicas=(1,))
+    harness.arrive(1)
+    assert not harness.sent_to(harness.end_attempt(1, Outcome.OVERLOADED))
+    harness.advance_time(OVERLOAD_BACKOFF + MS)
+    assert len(harness.requests[1].attempts) == 2
 
 
 def test_freed_capacity_goes_to_the_request_whose_prompt_is_cached_there() -> None:
     """Otherwise, each prompt would be read again at another replica, and an overload would never end."""
     for first, second in ((1, 2), (2, 1)):
-        world = World(replicas=(1, 2))
-        overload(world)
+        harness = BalancerHarness(replicas=(1, 2))
+        overload(harness)
         for replica, session in ((first, 8), (second, 9)):
-            world.balancer.replicas[replica].cached[session] = 4000.0
-        world.arrive(101, session=8, prompt_tokens=4200.0)
-        world.advance_time(10 * MS)
-        world.arrive(102, session=9, prompt_tokens=4200.0)
+            harness.balancer.replicas[replica].cached[session] = 4000.0
+        harness.arrive(101, session=8, prompt_tokens=4200.0)
+        harness.advance_time(10 * MS)
+        harness.arrive(102, session=9, prompt_tokens=4200.0)
         sent: list[tuple[int, int]] = []
         for number in range(1, 41):
-            if world.requests[number].attempts and world.requests[number].attempts[-1].replica == first:
-                actions = world.end_attempt(number, Outcome.OK)
+            if harness.requests[number].attempts and harness.requests[number].attempts[-1].replica == first:
+                actions = harness.end_attempt(number, Outcome.OK)
                 sent += [(a.request, a.replica) for a in actions if isinstance(a, SendAttempt)]
         assert sent[0] == (101, first)
 
@@ -153,27 +153,27 @@
     """A decrease is proportional to the limit; fixed increases at many gateways would outweigh it."""
     increases = {}
     for gateways in (1, 4):
-        world = World(settings(gateway_count=gateways), replicas=(1,))
-        replica = world.balancer.replicas[1]
+        harness = BalancerHarness(settings(gateway_count=gateways), replicas=(1,))
+        replica = harness.balancer.replicas[1]
         replica.concurrency.limit = 1.0
-        world.arrive(1)
-        world.first_token(1)
+        harness.arrive(1)
+        harness.first_token(1)
         increases[gateways] = replica.concurrency.limit - 1.0
     assert increases[1] > 3 * increases[4] > 0
 
 
-def overloaded_gateway(late_replicas: Iterable[int]) -> World:
+def overloaded_gateway(late_replicas: Iterable[int]) -> BalancerHarness:
     """Return one gateway of 100 with a request at each of 20 replicas, some with a late first token."""
-    world = World(settings(gateway_count=100), replicas=range(1, 21))
+    harness = BalancerHarness(settings(gateway_count=100), replicas=range(1, 21))
     for number in range(1, 21):
-        world.arrive(number, time_remaining=60 * SECOND)
-    world.advance_time(900 * MS)
-    replicas = {number: world.requests[number].attempts[0].replica for number in range(1, 21)}
+        harness.arrive(number, time_remaining=60 * SECOND)
+    harness.advance_time(900 * MS)
+    replicas = {number: harness.requests[number].attempts[0].replica for number in range(1, 21)}
     for number in sorted(replicas, key=lambda number: replicas[number] in set(late_replicas)):
         elapsed = 900 * MS if replicas[number] in set(late_replicas) else 10 * MS
-        world.step(FirstToken(number, 0, replicas[number], elapsed))
-        world.requests[number].is_streaming = True
-    return world
+        harness.step(FirstToken(number, 0, replicas[number], elapsed))
+        harness.requests[number].is_streaming = True
+    return harness
 
 
 def test_gateway_limit_applies_when_most_first_tokens_are_late() -> None:
@@ -181,9 +181,9 @@
 
     An overload of the whole fleet lasted until gateways had limits of their own.
     """
-    world = overloaded_gateway(late_replicas=range(1, 21))
-    sent = [len(world.sent_to(world.arrive(number))) for number in range(101, 121)]
-    limit = math.ceil(world.balancer.limits.gateway.limit)
+    harness = overloaded_gateway(late_replicas=range(1, 21))
+    sent = [len(harness.sent_to(harness.arrive(number))) for number in range(101, 121)]
+    limit = math.ceil(harness.balancer.limits.gateway.limit)
     assert limit < 20 and sent == [1] * limit + [0] * (20 - limit), (
         "at most that many requests wait for a first token"
     )
@@ -194,20 +194,20 @@
 
     A lowered limit that counted them kept requests queued long after the overload.
     """
-    world = overloaded_gateway(late_replicas=range(1, 21))
-    assert sum(request.is_streaming for request in world.requests.values()) == 20
+    harness = overloaded_gateway(late_replicas=range(1, 21))
+    assert sum(request.is_streaming for request in harness.requests.values()) == 20
     for number in range(101, 131):  # First tokens are timely again, but no answer ends.
-        world.arrive(number, time_remaining=60 * SECOND)
-        world.advance_time(50 * MS)
-        for request, attempt in world.attempts_in_progress():
-            if not world.requests[request].is_streaming:
-                world.first_token(request, attempt)
-    assert [number for number, request in world.requests.items() if len(request.attempts) != 1] == []
+        harness.arrive(number, time_remaining=60 * SECOND)
+        harness.advance_time(50 * MS)
+        for request, attempt in harness.attempts_in_progress():
+            if not harness.requests[request].is_streaming:
+                harness.first_token(request, attempt)
+    assert [number for number, request in harness.requests.items() if len(request.attempts) != 1] == []
 
 
 def test_one_slow_replica_does_not_lower_the_gateway_limit() -> None:
-    world = overloaded_gateway(late_replicas=(3,))
-    assert world.sent_to(world.arrive(101))
+    harness = overloaded_gateway(late_replicas=(3,))
+    assert harness.sent_to(harness.arrive(101))
 
 
 def test_one_overloaded_replica_does_not_lower_the_gateway_limit() -> None:
@@ -215,24 +215,24 @@
 
     When they counted as late results, they limited the requests to all replicas.
     """
-    world = World(settings(max_attempts=6), replicas=(1, 2, 3))
+    harness = BalancerHarness(settings(max_attempts=6), replicas=(1, 2, 3))
     for number in range(1, 31):
-        world.arrive(number)
-        if world.requests[number].attempts[-1].replica == 1:
-            world.end_attempt(number, Outcome.OVERLOADED)
-        world.advance_time(MS)
-    assert world.balancer.limits.gateway.limit == math.inf
+        harness.arrive(number)
+        if harness.requests[number].attempts[-1].replica == 1:
+            harness.end_attempt(number, Outcome.OVERLOADED)
+        harness.advance_time(MS)
+    assert harness.balancer.limits.gateway.limit == math.inf
 
 
 def test_uncached_prompt_counts_as_late_after_twice_the_latency() -> None:
     """Otherwise, long prompts look like an overload and lower the limits of an idle fleet."""
     limits = []
     for cached_tokens in (0.0, 1000.0):
-        world = World(replicas=(1,))
+        harness = BalancerHarness(replicas=(1,))
         if cached_tokens:
-            world.balancer.replicas[1].cached[5] = cached_tokens
-        world.arrive(1, session=5)
-        world.advance_time(300 * MS)
-        world.first_token(1)
-        limits.append(world.balancer.replicas[1].concurrency.limit)
+            harness.balancer.replicas[1].cached[5] = cached_tokens
+        harness.arrive(1, session=5)
+        harness.advance_time(300 * MS)
+        harness.first_token(1)
+        limits.append(harness.balancer.replicas[1].concurrency.limit)
     assert limits == [math.inf, 1.0]
--- a/tests/balancing/test_breaker.py
+++ b/tests/balancing/test_breaker.py
@@ -22,7 +22,7 @@
     Outcome,
     RequestArrived,
 )
-from tests.balancing.helpers import MS, SECOND, ClientRequest, World, ready_entries, settings
+from tests.balancing.helpers import MS, SECOND, BalancerHarness, ClientRequest, ready_entries, settings
 
 
 def open_breaker(now: int = 0) -> Breaker:
@@ -106,145 +106,145 @@
     assert breaker.trial is None and breaker.refresh(INITIAL_RECOVERY) is BreakerState.HALF_OPEN
 
 
-def fail_until_open(world: World, replica: int, outcome: Outcome, previous_number: int) -> None:
+def fail_until_open(harness: BalancerHarness, replica: int, outcome: Outcome, previous_number: int) -> None:
     """End every attempt at `replica` with this outcome until its breaker opens; other replicas answer."""
     number = previous_number
-    while world.balancer.replicas[replica].breaker.state is BreakerState.CLOSED:
+    while harness.balancer.replicas[replica].breaker.state is BreakerState.CLOSED:
         number += 1
         assert number < previous_number + 200, "its breaker never opened"
-        actions = world.arrive(number)
-        while world.sent_to(actions) == [replica]:
-            actions = world.end_attempt(number, outcome)
-        if world.sent_to(actions):
-            world.first_token(number)
-            world.end_attempt(number, Outcome.OK)
-        world.advance_time(10 * MS)
+        actions = harness.arrive(number)
+        while harness.sent_to(actions) == [replica]:
+            actions = harness.end_attempt(number, outcome)
+        if harness.sent_to(actions):
+            harness.first_token(number)
+            harness.end_attempt(number, Outcome.OK)
+        harness.advance_time(10 * MS)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT])
 def test_failures_open_the_breaker_and_the_replica_gets_no_requests(outcome: Outcome) -> None:
-    world = World(replicas=(1, 2, 3, 4))
-    fail_until_open(world, 2, outcome, 0)
+    harness = BalancerHarness(replicas=(1, 2, 3, 4))
+    fail_until_open(harness, 2, outcome, 0)
     for number in range(1000, 1050):
-        assert world.sent_to(world.arrive(number)) != [2]
-        world.first_token(number)
-        world.end_attempt(number, Outcome.OK)
+        assert harness.sent_to(harness.arrive(number)) != [2]
+        harness.first_token(number)
+        harness.end_attempt(number, Outcome.OK)
 
 
 def test_overloaded_outcomes_never_open_the_breaker() -> None:
-    world = World(replicas=(1,), given_settings=settings(max_attempts=50))
+    harness = BalancerHarness(replicas=(1,), given_settings=settings(max_attempts=50))
     for number in range(40):
-        world.arrive(number)
-        if world.requests[number].attempts:
-            world.end_attempt(number, Outcome.OVERLOADED)
-        world.advance_time(SECOND)
-    assert world.balancer.replicas[1].breaker.state is BreakerState.CLOSED
+        harness.arrive(number)
+        if harness.requests[number].attempts:
+            harness.end_attempt(number, Outcome.OVERLOADED)
+        harness.advance_time(SECOND)
+    assert harness.balancer.replicas[1].breaker.state is BreakerState.CLOSED
 
 
 def test_one_trial_at_a_time_succeeds_with_its_first_token() -> None:
-    world = World(replicas=(1, 2, 3, 4))
-    fail_until_open(world, 2, Outcome.RESET, 0)
-    world.advance_time(INITIAL_RECOVERY)
-    assert world.sent_to(world.arrive(500)) == [2]
-    assert world.sent_to(world.arrive(501)) != [2]
-    world.first_token(500)
-    assert world.sent_to(world.arrive(502)) == [2]
-    world.first_token(502)
-    assert world.balancer.replicas[2].breaker.state is BreakerState.CLOSED
+    harness = BalancerHarness(replicas=(1, 2, 3, 4))
+    fail_until_open(harness, 2, Outcome.RESET, 0)
+    harness.advance_time(INITIAL_RECOVERY)
+    assert harness.sent_to(harness.arrive(500)) == [2]
+    assert harness.sent_to(harness.arrive(501)) != [2]
+    harness.first_token(500)
+    assert harness.sent_to(harness.arrive(502)) == [2]
+    harness.first_token(502)
+    assert harness.balancer.replicas[2].breaker.state is BreakerState.CLOSED
 
 
 def test_opened_breaker_lowers_the_concurrency_limit() -> None:
     """Otherwise all gateways, which find a recovered replica idle at the same time, would overload it."""
-    world = World(replicas=(1, 2, 3, 4))
-    fail_until_open(world, 2, Outcome.RESET, 0)
-    assert world.balancer.replicas[2].concurrency.limit == INITIAL_LIMIT
+    harness = BalancerHarness(replicas=(1, 2, 3, 4))
+    fail_until_open(harness, 2, Outcome.RESET, 0)
+    assert harness.balancer.replicas[2].concurrency.limit == INITIAL_LIMIT
 
 
 def test_shared_timeouts_open_the_breakers_of_at_most_half_the_fleet() -> None:
-    world = World(replicas=range(1, 9))
+    harness = BalancerHarness(replicas=range(1, 9))
     for number in range(400):
-        world.arrive(number, time_remaining=SECOND)
-        world.advance_time(50 * MS)
-    world.advance_time(SECOND)
-    states = [replica.breaker.state for replica in world.balancer.replicas.values()]
+        harness.arrive(number, time_remaining=SECOND)
+        harness.advance_time(50 * MS)
+    harness.advance_time(SECOND)
+    states = [replica.breaker.state for replica in harness.balancer.replicas.values()]
     assert 1 <= sum(state is not BreakerState.CLOSED for state in states) <= 4
 
 
 def test_connection_failures_open_breakers_of_more_than_half_the_fleet() -> None:
     """The limit on open breakers does not apply to replicas that cannot be reached, such as a whole zone."""
-    world = World(replicas=range(1, 5))
+    harness = BalancerHarness(replicas=range(1, 5))
     for number in range(100):
-        world.arrive(number)
-        while not world.requests[number].final_answer and world.requests[number].attempts:
-            world.end_attempt(number, Outcome.CONNECT_FAILED)
-        world.advance_time(10 * MS)
-    assert all(replica.breaker.state is BreakerState.OPEN for replica in world.balancer.replicas.values())
+        harness.arrive(number)
+        while not harness.requests[number].final_answer and harness.requests[number].attempts:
+            harness.end_attempt(number, Outcome.CONNECT_FAILED)
+        harness.advance_time(10 * MS)
+    assert all(replica.breaker.state is BreakerState.OPEN for replica in harness.balancer.replicas.values())
 
 
 def test_a_restart_under_the_same_number_closes_the_breaker() -> None:
-    world = World(replicas=(1, 2, 3, 4))
-    fail_until_open(world, 2, Outcome.RESET, 0)
-    world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(2, started_at=world.now))
-    assert world.balancer.replicas[2].breaker.state is BreakerState.CLOSED
+    harness = BalancerHarness(replicas=(1, 2, 3, 4))
+    fail_until_open(harness, 2, Outcome.RESET, 0)
+    harness.update_endpoint_list(EndpointListKind.DELTA, ready_entries(2, started_at=harness.now))
+    assert harness.balancer.replicas[2].breaker.state is BreakerState.CLOSED
 
 
 def test_two_failed_connections_open_a_breaker() -> None:
     """With many gateways, each would need many seconds to see five failures of a dead replica."""
-    world = World(replicas=(1,))
+    harness = BalancerHarness(replicas=(1,))
     for number in (1, 2):
-        world.arrive(number)
-        assert world.balancer.replicas[1].breaker.state is BreakerState.CLOSED
-        world.end_attempt(number, Outcome.CONNECT_FAILED)
-    assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
+        harness.arrive(number)
+        assert harness.balancer.replicas[1].breaker.state is BreakerState.CLOSED
+        harness.end_attempt(number, Outcome.CONNECT_FAILED)
+    assert harness.balancer.replicas[1].breaker.state is BreakerState.OPEN
 
 
 def test_retry_after_is_the_time_until_a_breaker_half_opens() -> None:
     """The rejection is sent at once, but a retry before that time would be rejected again."""
-    world = World(replicas=())
-    assert world.arrive(1)[0] == Reject(1, INITIAL_RECOVERY)
-    world = World(replicas=(1,))
+    harness = BalancerHarness(replicas=())
+    assert harness.arrive(1)[0] == Reject(1, INITIAL_RECOVERY)
+    harness = BalancerHarness(replicas=(1,))
     for request in range(1, 6):
-        actions = world.arrive(request)
-        if world.sent_to(actions):
-            actions = world.end_attempt(request, Outcome.CONNECT_FAILED)
+        actions = harness.arrive(request)
+        if harness.sent_to(actions):
+            actions = harness.end_attempt(request, Outcome.CONNECT_FAILED)
     rejections = [action for action in actions if isinstance(action, Reject)]
     assert [action.retry_after for action in rejections] == [INITIAL_RECOVERY]
-    world.now += INITIAL_RECOVERY - MIN_RETRY_AFTER // 2
-    assert world.arrive(9)[0] == Reject(9, MIN_RETRY_AFTER)
+    harness.now += INITIAL_RECOVERY - MIN_RETRY_AFTER // 2
+    assert harness.arrive(9)[0] == Reject(9, MIN_RETRY_AFTER)
 
 
 def test_breakers_of_an_unreachable_fleet_close_after_it_recovers() -> None:
-    world = World(replicas=(1, 2, 3))
+    harness = BalancerHarness(replicas=(1, 2, 3))
     number = 0
     for _ in range(600):  # All connections fail for a minute.
         number += 1
-        world.arrive(number)
-        while not world.requests[number].final_answer:
-            world.end_attempt(number, Outcome.CONNECT_FAILED)
-        world.advance_time(100 * MS)
+        harness.arrive(number)
+        while not harness.requests[number].final_answer:
+            harness.end_attempt(number, Outcome.CONNECT_FAILED)
+        harness.advance_time(100 * MS)
     for _ in range(180):  # All replicas answer again.
         number += 1
-        world.arrive(number)
-        if not world.requests[number].final_answer:
-            world.first_token(number)
-            world.end_attempt(number, Outcome.OK)
-        world.advance_time(100 * MS)
-    assert {replica.breaker.state for replica in world.balancer.replicas.values()} == {BreakerState.CLOSED}
+        harness.arrive(number)
+        if not harness.requests[number].final_answer:
+            harness.first_token(number)
+            harness.end_attempt(number, Outcome.OK)
+        harness.advance_time(100 * MS)
+    assert {replica.breaker.state for replica in harness.balancer.replicas.values()} == {BreakerState.CLOSED}
 
 
 def test_simultaneous_requests_are_rejected_while_all_breakers_are_open() -> None:
-    world = World(replicas=(1,))
+    harness = BalancerHarness(replicas=(1,))
     for number in range(1, 7):
-        world.arrive(number)
-        if world.requests[number].attempts:
-            world.end_attempt(number, Outcome.CONNECT_FAILED)
-    assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
+        harness.arrive(number)
+        if harness.requests[number].attempts:
+            harness.end_attempt(number, Outcome.CONNECT_FAILED)
+    assert harness.balancer.replicas[1].breaker.state is BreakerState.OPEN
     for number in (11, 12, 13):
-        world.requests[number] = ClientRequest(
-            RequestArrived(number, 5 * SECOND), world.settings.classes[0], world.now
+        harness.requests[number] = ClientRequest(
+            RequestArrived(number, 5 * SECOND), harness.settings.classes[0], harness.now
         )
-    world.step(*(RequestArrived(number, 5 * SECOND) for number in (11, 12, 13)))
-    assert [world.requests[number].final_answer for number in (11, 12, 13)] == ["Reject"] * 3
+    harness.step(*(RequestArrived(number, 5 * SECOND) for number in (11, 12, 13)))
+    assert [harness.requests[number].final_answer for number in (11, 12, 13)] == ["Reject"] * 3
 
 
 def test_half_open_replica_backs_off_after_an_overload_reply() -> None:
@@ -252,16 +252,16 @@
 
     Without a backoff, 99% of all attempts went to the half-open replica.
     """
-    world = World(replicas=(1, 2))
+    harness = BalancerHarness(replicas=(1, 2))
     for number in range(1, 9):
-        world.arrive(number, time_remaining=60 * SECOND)
-        if world.requests[number].attempts[-1].replica == 1:
-            world.end_attempt(number, Outcome.CONNECT_FAILED)
-    assert world.balancer.replicas[1].breaker.state is BreakerState.OPEN
-    world.advance_time(3 * SECOND)
+        harness.arrive(number, time_remaining=60 * SECOND)
+        if harness.requests[number].attempts[-1].replica == 1:
+            harness.end_attempt(number, Outcome.CONNECT_FAILED)
+    assert harness.balancer.replicas[1].breaker.state is BreakerState.OPEN
+    harness.advance_time(3 * SECOND)
     trials = 0
     for number in range(101, 121):
-        if world.sent_to(world.arrive(number)) == [1]:
+        if harness.sent_to(harness.arrive(number)) == [1]:
             trials += 1
-            world.end_attempt(number, Outcome.OVERLOADED)
+            harness.end_attempt(number, Outcome.OVERLOADED)
     assert trials == 1
--- a/tests/balancing/test_discovery_polling.py
+++ b/tests/balancing/test_discovery_polling.py
@@ -11,27 +11,27 @@
 from lockspoke.balancing.events import (
     EndpointListKind,
 )
-from tests.balancing.helpers import MS, SECOND, World, ready_entries, settings
+from tests.balancing.helpers import MS, SECOND, BalancerHarness, ready_entries, settings
 
 MAX_REQUEST_TIME = 1_500 * MS  # The longest time that a poll takes on an open connection.
 MAX_CONNECT_AND_REQUEST_TIME = 2_500 * MS  # The longest time that a poll takes on a new connection.
 
 
-def time_until_poll(world: World, step: int = 20 * MS) -> int:
+def time_until_poll(harness: BalancerHarness, step: int = 20 * MS) -> int:
     """Return the time from now until the gateway polls the endpoint list."""
-    start = world.now
-    while WatchEndpointList(True) not in world.actions_taken:
-        world.advance_time(step)
-    return world.now - start
+    start = harness.now
+    while WatchEndpointList(True) not in harness.actions_taken:
+        harness.advance_time(step)
+    return harness.now - start
 
 
 def test_endpoint_list_is_polled_until_it_arrives() -> None:
-    world = World(settings(polls_endpoint_list=True))
-    assert WatchEndpointList(True) in world.actions_taken
-    world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2))
-    world.actions_taken.clear()
-    world.advance_time(60 * SECOND)
-    assert WatchEndpointList(True) not in world.actions_taken
+    harness = BalancerHarness(settings(polls_endpoint_list=True))
+    assert WatchEndpointList(True) in harness.actions_taken
+    harness.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2))
+    harness.actions_taken.clear()
+    harness.advance_time(60 * SECOND)
+    assert WatchEndpointList(True) not in harness.actions_taken
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 6])
@@ -42,18 +42,20 @@
 
     With that, one more failure after discovery had recovered delayed changes by more than 6 s.
     """
-    world = World(settings(polls_endpoint_list=True, gateway_count=gateways))
+    harness = BalancerHarness(settings(polls_endpoint_list=True, gateway_count=gateways))
     for _ in range(8):
-        world.actions_taken.clear()
-        world.update_endpoint_list(EndpointListKind.FAILED, ())
-        assert 500 * MS <= time_until_poll(world) <= SECOND
+        harness.actions_taken.clear()
+        harness.update_endpoint_list(EndpointListKind.FAILED, ())
+        assert 500 * MS <= time_until_poll(harness) <= SECOND
 
 
 def test_simultaneous_start_of_200_gateways_meets_the_propagation_limit() -> None:
     """Guards against too large a spacing: the last gateway polled after 5 s and had its answer after 6 s."""
     for index in range(0, 200, 9):
-        world = World(settings(polls_endpoint_list=True, gateway_count=200, gateway_index=index), seed=index)
-        assert time_until_poll(world) <= 6 * SECOND - MAX_REQUEST_TIME
+        harness = BalancerHarness(
+            settings(polls_endpoint_list=True, gateway_count=200, gateway_index=index), seed=index
+        )
+        assert time_until_poll(harness) <= 6 * SECOND - MAX_REQUEST_TIME
 
 
 def test_simultaneous_start_of_40_gateways_staggers_polls() -> None:
@@ -63,8 +65,10 @@
     """
     poll_delays = []
     for index in range(40):
-        world = World(settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index)
-        poll_delays.append(time_until_poll(world))
+        harness = BalancerHarness(
+            settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index
+        )
+        poll_delays.append(time_until_poll(harness))
     poll_delays.sort()
     assert poll_delays[0] == 0 and poll_delays[-1] <= 5 * SECOND, "every gateway has polled within 5 s"
     most_in_a_second = max(
@@ -76,11 +80,13 @@
 def test_gateways_whose_polls_failed_together_do_not_retry_together() -> None:
     retry_delays = []
     for index in range(40):
-        world = World(settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index)
-        world.advance_time(5 * SECOND)
-        world.actions_taken.clear()
-        world.update_endpoint_list(EndpointListKind.FAILED, ())
-        retry_delays.append(time_until_poll(world))
+        harness = BalancerHarness(
+            settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index
+        )
+        harness.advance_time(5 * SECOND)
+        harness.actions_taken.clear()
+        harness.update_endpoint_list(EndpointListKind.FAILED, ())
+        retry_delays.append(time_until_poll(harness))
     assert max(sum(when <= other < when + SECOND for other in retry_delays) for when in retry_delays) <= 24
     assert max(retry_delays) <= 5 * SECOND
 
@@ -93,16 +99,16 @@
         given = settings(
             polls_endpoint_list=True, gateway_count=gateways, gateway_index=index, poll_interval=poll_interval
         )
-        world = World(given, seed=index)
-        world.advance_time(5 * SECOND)
+        harness = BalancerHarness(given, seed=index)
+        harness.advance_time(5 * SECOND)
         for _ in range(8):
-            world.actions_taken.clear()
-            world.update_endpoint_list(EndpointListKind.FAILED, ())
-            assert time_until_poll(world) <= 6 * SECOND - MAX_CONNECT_AND_REQUEST_TIME
+            harness.actions_taken.clear()
+            harness.update_endpoint_list(EndpointListKind.FAILED, ())
+            assert time_until_poll(harness) <= 6 * SECOND - MAX_CONNECT_AND_REQUEST_TIME
 
 
 def test_an_unanswered_poll_is_repeated() -> None:
-    world = World(settings(polls_endpoint_list=True))
-    world.actions_taken.clear()
-    world.advance_time(6 * SECOND)
-    assert WatchEndpointList(True) in world.actions_taken
+    harness = BalancerHarness(settings(polls_endpoint_list=True))
+    harness.actions_taken.clear()
+    harness.advance_time(6 * SECOND)
+    assert WatchEndpointList(True) in harness.actions_taken
--- a/tests/balancing/test_replica_selection.py
+++ b/tests/balancing/test_replica_selection.py
@@ -11,58 +11,58 @@
     EndpointListKind,
     Outcome,
 )
-from tests.balancing.helpers import World, ready_entries, settings
+from tests.balancing.helpers import BalancerHarness, ready_entries, settings
 
 
 def test_work_is_distributed_by_listed_capacity() -> None:
-    world = World(replicas=())
-    world.update_endpoint_list(
+    harness = BalancerHarness(replicas=())
+    harness.update_endpoint_list(
         EndpointListKind.FULL, ready_entries(1, 2, weight=1.0) + ready_entries(3, 4, weight=3.0)
     )
-    sent = Counter(replica for n in range(200) for replica in world.sent_to(world.arrive(n)))
+    sent = Counter(replica for n in range(200) for replica in harness.sent_to(harness.arrive(n)))
     assert 2.2 < (sent[3] + sent[4]) / (sent[1] + sent[2]) < 3.8
 
 
 def test_a_long_prompt_counts_for_more_than_a_short_one() -> None:
-    world = World(replicas=(1, 2))
-    long = world.sent_to(world.arrive(1, prompt_tokens=20_000.0))[0]
-    sent = Counter(replica for n in range(2, 12) for replica in world.sent_to(world.arrive(n)))
+    harness = BalancerHarness(replicas=(1, 2))
+    long = harness.sent_to(harness.arrive(1, prompt_tokens=20_000.0))[0]
+    sent = Counter(replica for n in range(2, 12) for replica in harness.sent_to(harness.arrive(n)))
     assert sent[long] == 0
 
 
 def test_after_the_first_token_only_the_answer_counts_as_work() -> None:
-    world = World(replicas=(1, 2))
-    long = world.sent_to(world.arrive(1, prompt_tokens=20_000.0))[0]
-    world.first_token(1)
-    sent = Counter(replica for n in range(2, 12) for replica in world.sent_to(world.arrive(n)))
+    harness = BalancerHarness(replicas=(1, 2))
+    long = harness.sent_to(harness.arrive(1, prompt_tokens=20_000.0))[0]
+    harness.first_token(1)
+    sent = Counter(replica for n in range(2, 12) for replica in harness.sent_to(harness.arrive(n)))
     assert sent[long] >= 3
 
 
 def test_session_goes_to_the_replica_with_its_prompt_cached() -> None:
-    world = World(replicas=range(1, 11))
+    harness = BalancerHarness(replicas=range(1, 11))
     holders = {}
     for session in range(1, 21):
-        holders[session] = world.sent_to(world.arrive(session, session=session, prompt_tokens=4000.0))[0]
-        world.first_token(session)
-        world.end_attempt(session, Outcome.OK)
+        holders[session] = harness.sent_to(harness.arrive(session, session=session, prompt_tokens=4000.0))[0]
+        harness.first_token(session)
+        harness.end_attempt(session, Outcome.OK)
     for session, holder in holders.items():
         number = 100 + session
-        assert world.sent_to(world.arrive(number, session=session, prompt_tokens=4300.0)) == [holder]
-        world.first_token(number)
-        world.end_attempt(number, Outcome.OK)
+        assert harness.sent_to(harness.arrive(number, session=session, prompt_tokens=4300.0)) == [holder]
+        harness.first_token(number)
+        harness.end_attempt(number, Outcome.OK)
 
 
 def replicas_chosen_for(prefix: int, seeds: range, earlier_prefixes: Iterable[int]) -> Counter[int]:
     """Return the replicas to which gateways with the same earlier requests send one more request."""
     holders: Counter[int] = Counter()
     for seed in seeds:
-        world = World(replicas=range(1, 11), seed=seed)
+        harness = BalancerHarness(replicas=range(1, 11), seed=seed)
         for number, other in enumerate(earlier_prefixes):
-            world.arrive(number, prefix=other, prefix_tokens=3000.0, prompt_tokens=3500.0)
-            world.first_token(number)
-            world.end_attempt(number, Outcome.OK)
+            harness.arrive(number, prefix=other, prefix_tokens=3000.0, prompt_tokens=3500.0)
+            harness.first_token(number)
+            harness.end_attempt(number, Outcome.OK)
         holders.update(
-            world.sent_to(world.arrive(999, prefix=prefix, prefix_tokens=3000.0, prompt_tokens=3500.0))
+            harness.sent_to(harness.arrive(999, prefix=prefix, prefix_tokens=3000.0, prompt_tokens=3500.0))
         )
     return holders
 
@@ -88,14 +88,18 @@
     for session in range(1, 11):
         replicas_chosen = Counter[int]()
         for gateway in range(12):
-            world = World(settings(gateway_count=200, gateway_index=gateway), replicas=replicas, seed=gateway)
+            harness = BalancerHarness(
+                settings(gateway_count=200, gateway_index=gateway), replicas=replicas, seed=gateway
+            )
             for number in range(30):  # Each gateway has seen different traffic.
-                world.arrive(number, prefix=100 + (gateway + number) % 25, prefix_tokens=3000.0)
-                world.first_token(number)
-                world.end_attempt(number, Outcome.OK)
+                harness.arrive(number, prefix=100 + (gateway + number) % 25, prefix_tokens=3000.0)
+                harness.first_token(number)
+                harness.end_attempt(number, Outcome.OK)
             session_request: dict[str, Any] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
             replicas_chosen.update(
-                world.sent_to(world.arrive(999, prompt_tokens=9000.0 + 1000.0 * gateway, **session_request))
+                harness.sent_to(
+                    harness.arrive(999, prompt_tokens=9000.0 + 1000.0 * gateway, **session_request)
+                )
             )
         same_replica += replicas_chosen.most_common(1)[0][1]
     assert same_replica >= 0.7 * 10 * 12
@@ -104,9 +108,9 @@
 def test_sessions_of_a_prefix_are_spread_over_its_holders() -> None:
     sent: Counter[int] = Counter()
     for session in range(1, 201):
-        world = World(settings(gateway_count=200), replicas=range(1, 92), seed=session)
+        harness = BalancerHarness(settings(gateway_count=200), replicas=range(1, 92), seed=session)
         session_request: dict[str, Any] = {"session": session, "prefix": 100, "prefix_tokens": 3000.0}
-        sent.update(world.sent_to(world.arrive(1, prompt_tokens=9000.0, **session_request)))
+        sent.update(harness.sent_to(harness.arrive(1, prompt_tokens=9000.0, **session_request)))
     assert len(sent) >= 8 and max(sent.values()) <= 60
 
 
@@ -114,15 +118,19 @@
     """If a session's preferred replica was in another zone, its requests alternated between zones."""
     stayed_local = 0
     for session in range(1, 201):
-        world = World(settings(gateway_count=200, cross_zone_cost=0.08, zone=0), replicas=(), seed=session)
+        harness = BalancerHarness(
+            settings(gateway_count=200, cross_zone_cost=0.08, zone=0), replicas=(), seed=session
+        )
         entries = tuple(EndpointListEntry(number, zone=number % 3) for number in range(1, 91))
-        world.update_endpoint_list(EndpointListKind.FULL, entries)
+        harness.update_endpoint_list(EndpointListKind.FULL, entries)
         session_request: dict[str, Any] = {
             "session": session,
             "prefix": 1000 + session,
             "prefix_tokens": 9000.0,
         }
-        stayed_local += world.sent_to(world.arrive(1, prompt_tokens=15_000.0, **session_request))[0] % 3 == 0
+        stayed_local += (
+            harness.sent_to(harness.arrive(1, prompt_tokens=15_000.0, **session_request))[0] % 3 == 0
+        )
     assert stayed_local >= 145
 
 
@@ -133,8 +141,10 @@
     """
     holders = Counter[int]()
     for seed in range(200):
-        world = World(settings(gateway_count=200), replicas=range(1, 92), seed=seed)
-        holders.update(world.sent_to(world.arrive(1, prefix=100, prefix_tokens=3000.0, prompt_tokens=3500.0)))
+        harness = BalancerHarness(settings(gateway_count=200), replicas=range(1, 92), seed=seed)
+        holders.update(
+            harness.sent_to(harness.arrive(1, prefix=100, prefix_tokens=3000.0, prompt_tokens=3500.0))
+        )
     assert len(holders) <= 15
 
 
@@ -142,11 +152,11 @@
     """With many gateways a replica's own load is mostly zero, and only listed weights reflect other load."""
     sent: Counter[int] = Counter()
     for seed in range(80):
-        world = World(replicas=(), seed=seed)
-        world.update_endpoint_list(
+        harness = BalancerHarness(replicas=(), seed=seed)
+        harness.update_endpoint_list(
             EndpointListKind.FULL, ready_entries(1, 2, 3, 4, weight=0.25) + ready_entries(5, weight=3.0)
         )
-        sent.update(world.sent_to(world.arrive(1)))
+        sent.update(harness.sent_to(harness.arrive(1)))
     assert sent[5] >= 45 and sent.total() - sent[5] >= 5
 
 
@@ -156,41 +166,41 @@
     for gateways in (1, 16):
         for seed in range(20):
             gateway_settings = settings(cross_zone_cost=0.08, zone=0, gateway_count=gateways)
-            world = World(gateway_settings, replicas=(), seed=seed)
-            world.update_endpoint_list(
+            harness = BalancerHarness(gateway_settings, replicas=(), seed=seed)
+            harness.update_endpoint_list(
                 EndpointListKind.FULL, ready_entries(1, 2, 3, 4, zone=1) + ready_entries(5, 6, 7, 8, zone=0)
             )
-            sent = [replica for n in range(24) for replica in world.sent_to(world.arrive(n))]
+            sent = [replica for n in range(24) for replica in harness.sent_to(harness.arrive(n))]
             crossed[gateways] += sum(replica < 5 for replica in sent)
     assert 2 * crossed[1] < crossed[16]
 
 
 def test_small_replicas_get_requests_beside_a_large_one() -> None:
     """When the whole cost was divided by capacity, small replicas stayed idle beside overloaded ones."""
-    world = World(settings(gateway_count=4), replicas=())
-    world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, weight=4.0) + ready_entries(2, 3, 4))
-    sent = Counter(replica for n in range(28) for replica in world.sent_to(world.arrive(n)))
+    harness = BalancerHarness(settings(gateway_count=4), replicas=())
+    harness.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, weight=4.0) + ready_entries(2, 3, 4))
+    sent = Counter(replica for n in range(28) for replica in harness.sent_to(harness.arrive(n)))
     assert min(sent[2], sent[3], sent[4]) >= 2
 
 
 def test_a_restart_of_a_replica_clears_its_cache_records() -> None:
-    world = World(replicas=(1, 2))
-    holder = world.sent_to(world.arrive(1, session=5))[0]
-    assert world.balancer.replicas[holder].cached
-    world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(holder, started_at=world.now))
-    assert not world.balancer.replicas[holder].cached
+    harness = BalancerHarness(replicas=(1, 2))
+    holder = harness.sent_to(harness.arrive(1, session=5))[0]
+    assert harness.balancer.replicas[holder].cached
+    harness.update_endpoint_list(EndpointListKind.DELTA, ready_entries(holder, started_at=harness.now))
+    assert not harness.balancer.replicas[holder].cached
 
 
 def local_share(local_weight: float) -> float:
     """Return the share of light traffic that stays in the local zone, given the weight of its replicas."""
     stayed_local = 0
     for seed in range(100):
-        world = World(settings(cross_zone_cost=0.08, zone=0), replicas=(), seed=seed)
-        world.update_endpoint_list(
+        harness = BalancerHarness(settings(cross_zone_cost=0.08, zone=0), replicas=(), seed=seed)
+        harness.update_endpoint_list(
             EndpointListKind.FULL,
             ready_entries(1, 2, zone=1) + ready_entries(3, 4, zone=0, weight=local_weight),
         )
-        stayed_local += world.sent_to(world.arrive(1))[0] >= 3
+        stayed_local += harness.sent_to(harness.arrive(1))[0] >= 3
     return stayed_local / 100
 
 
@@ -204,9 +214,9 @@
 
 
 def test_unreachable_replica_is_not_tried_twice_for_a_request() -> None:
-    world = World(settings(max_attempts=6), replicas=(1, 2, 3))
-    world.arrive(1)
-    while not world.requests[1].final_answer:
-        world.end_attempt(1, Outcome.CONNECT_FAILED)
-    replicas = [attempt.replica for attempt in world.requests[1].attempts]
+    harness = BalancerHarness(settings(max_attempts=6), replicas=(1, 2, 3))
+    harness.arrive(1)
+    while not harness.requests[1].final_answer:
+        harness.end_attempt(1, Outcome.CONNECT_FAILED)
+    replicas = [attempt.replica for attempt in harness.requests[1].attempts]
     assert len(set(replicas)) == len(replicas) == 3
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -12,35 +12,35 @@
     EndpointListKind,
     Outcome,
 )
-from tests.balancing.helpers import MS, SECOND, World, ready_entries, settings
+from tests.balancing.helpers import MS, SECOND, BalancerHarness, ready_entries, settings
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 8, 40])
 def test_sum_of_all_gateways_does_not_overload_a_starting_replica(gateways: int) -> None:
     """The gateways do not communicate; each uses only its own part of the budget."""
     given_settings = settings(gateway_count=gateways)
-    worlds = [
-        World(settings(gateway_count=gateways, gateway_index=n), replicas=range(1, 6), seed=n)
+    harnesses = [
+        BalancerHarness(settings(gateway_count=gateways, gateway_index=n), replicas=range(1, 6), seed=n)
         for n in range(gateways)
     ]
     rng, number, request_rate = random.Random(3), 0, 20.0
     sent_times: list[int] = []
-    started = worlds[0].now + 20 * SECOND
+    started = harnesses[0].now + 20 * SECOND
     for tick in range(300):
-        for world in worlds:
-            world.advance_time(100 * MS)
+        for harness in harnesses:
+            harness.advance_time(100 * MS)
             if tick == 200:
-                world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(9, started_at=started))
+                harness.update_endpoint_list(EndpointListKind.DELTA, ready_entries(9, started_at=started))
         for _ in range(int(request_rate / 10)):
             number += 1
-            world = rng.choice(worlds)
-            if world.sent_to(world.arrive(number)) == [9]:
-                sent_times.append(world.now)
-            world.first_token(number)
-        for world in worlds:
-            for request, _ in world.attempts_in_progress():
-                if world.now - world.requests[request].attempts[0].sent_at >= SECOND:
-                    world.end_attempt(request, Outcome.OK)
+            harness = rng.choice(harnesses)
+            if harness.sent_to(harness.arrive(number)) == [9]:
+                sent_times.append(harness.now)
+            harness.first_token(number)
+        for harness in harnesses:
+            for request, _ in harness.attempts_in_progress():
+                if harness.now - harness.requests[request].attempts[0].sent_at >= SECOND:
+                    harness.end_attempt(request, Outcome.OK)
     warm_rate = request_rate / 5  # Requests per second of a warm replica, from all gateways together.
     assert sent_times, "a replica in slow start must get some work"
     for when in sent_times:
@@ -67,23 +67,27 @@
         overload_duration=1_500 * MS,
         gateway_count=gateways,
     )
-    worlds = [World(replace(fleet, gateway_index=n), range(1, 17), seed=n) for n in range(gateways)]
-    started = worlds[0].now + 10 * SECOND
+    harnesses = [
+        BalancerHarness(replace(fleet, gateway_index=n), range(1, 17), seed=n) for n in range(gateways)
+    ]
+    started = harnesses[0].now + 10 * SECOND
     rng, number = random.Random(4), 0
     sends: dict[int, list[int]] = {replica: [] for replica in range(101, 125)}
     for tick in range(160):  # 10 s before the replicas are replaced, and 6 s after.
-        for world in worlds:
-            world.advance_time(100 * MS)
+        for harness in harnesses:
+            harness.advance_time(100 * MS)
             if tick == 100:
-                world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(*sends, started_at=started))
+                harness.update_endpoint_list(
+                    EndpointListKind.DELTA, ready_entries(*sends, started_at=started)
+                )
         for _ in range(requests_per_tick):
             number += 1
-            world = rng.choice(worlds)
-            for replica in world.sent_to(world.arrive(number, prompt_tokens=3000.0)):
+            harness = rng.choice(harnesses)
+            for replica in harness.sent_to(harness.arrive(number, prompt_tokens=3000.0)):
                 if replica > 100:
-                    sends[replica].append(world.now)
-            world.first_token(number)
-            world.end_attempt(number, Outcome.OK)
+                    sends[replica].append(harness.now)
+            harness.first_token(number)
+            harness.end_attempt(number, Outcome.OK)
     warm_rate = requests_per_tick * 10 / 16  # Requests per second of a warm replica.
     expected = sum(warm_rate * (0.13 + 0.87 * second / 24) for second in range(6))
     assert sum(map(len, sends.values())) >= 0.4 * expected * len(sends), (
@@ -104,21 +108,23 @@
         overload_duration=1_500 * MS,
         gateway_count=40,
     )
-    worlds = [World(replace(fleet, gateway_index=n), (), seed=n) for n in range(40)]
-    started, rng, number = worlds[0].now, random.Random(6), 0
+    harnesses = [BalancerHarness(replace(fleet, gateway_index=n), (), seed=n) for n in range(40)]
+    started, rng, number = harnesses[0].now, random.Random(6), 0
     sends: dict[int, list[int]] = {}
-    for world in worlds:
-        world.update_endpoint_list(EndpointListKind.CACHED, ready_entries(*range(1, 14), started_at=started))
+    for harness in harnesses:
+        harness.update_endpoint_list(
+            EndpointListKind.CACHED, ready_entries(*range(1, 14), started_at=started)
+        )
     for _ in range(60):
-        for world in worlds:
-            world.advance_time(100 * MS)
+        for harness in harnesses:
+            harness.advance_time(100 * MS)
         for _ in range(9):
             number += 1
-            world = rng.choice(worlds)
-            for replica in world.sent_to(world.arrive(number, prompt_tokens=3000.0)):
-                sends.setdefault(replica, []).append(world.now)
-                world.first_token(number)
-                world.end_attempt(number, Outcome.OK)
+            harness = rng.choice(harnesses)
+            for replica in harness.sent_to(harness.arrive(number, prompt_tokens=3000.0)):
+                sends.setdefault(replica, []).append(harness.now)
+                harness.first_token(number)
+                harness.end_attempt(number, Outcome.OK)
     assert len(sends) >= 10, "nearly all of them get work, though no gateway knows a warm one"
     for times in sends.values():
         most_in_window = max(
@@ -131,28 +137,28 @@
 
 def test_an_overload_does_not_raise_the_slow_start_budget() -> None:
     """In an overload, requests are retried, so only completed work may determine the budget."""
-    world = World(settings(max_attempts=6), replicas=(1, 2, 3, 4))
+    harness = BalancerHarness(settings(max_attempts=6), replicas=(1, 2, 3, 4))
     for number in range(1, 2000):
-        world.arrive(number, time_remaining=SECOND)
-        world.advance_time(5 * MS)
-    world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(9, started_at=world.now))
-    assert not [r for n in range(3000, 3100) for r in world.sent_to(world.arrive(n)) if r == 9]
+        harness.arrive(number, time_remaining=SECOND)
+        harness.advance_time(5 * MS)
+    harness.update_endpoint_list(EndpointListKind.DELTA, ready_entries(9, started_at=harness.now))
+    assert not [r for n in range(3000, 3100) for r in harness.sent_to(harness.arrive(n)) if r == 9]
 
 
 def test_flapping_endpoint_list_does_not_reset_the_slow_start_budget() -> None:
-    world = World(replicas=(1, 2, 3, 4))
+    harness = BalancerHarness(replicas=(1, 2, 3, 4))
     for number in range(200):
-        world.arrive(number)
-        world.first_token(number)
-        world.end_attempt(number, Outcome.OK)
-        world.advance_time(20 * MS)
-    started, sent = world.now, 0
+        harness.arrive(number)
+        harness.first_token(number)
+        harness.end_attempt(number, Outcome.OK)
+        harness.advance_time(20 * MS)
+    started, sent = harness.now, 0
     for number in range(1000, 1100):
-        world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2, 3, 4))
-        world.update_endpoint_list(
+        harness.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2, 3, 4))
+        harness.update_endpoint_list(
             EndpointListKind.FULL, ready_entries(1, 2, 3, 4) + ready_entries(9, started_at=started)
         )
-        sent += world.sent_to(world.arrive(number)) == [9]
+        sent += harness.sent_to(harness.arrive(number)) == [9]
     assert sent
     per_replica = 200 / 4 / 4  # 50 requests per second over 4 replicas, for 4 s.
     assert sent <= 3.0 * 0.2 * per_replica * 2 + 1
@@ -160,27 +166,29 @@
 
 def sent_during_slow_start(cached_tokens: int, weight: float) -> int:
     """Return how many requests a replica that has just started gets while the others are warm."""
-    world = World(replicas=())
-    world.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2, 3, weight=4.0))
+    harness = BalancerHarness(replicas=())
+    harness.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2, 3, weight=4.0))
     number = 0
     for _ in range(300):
         number += 1
-        world.arrive(number, prompt_tokens=4000.0)
-        world.first_token(number)
-        replica, sent_at = world.requests[number].attempts[-1]
-        world.requests[number].outcomes[0] = Outcome.OK
-        world.requests[number].final_answer = "outcome"
-        world.step(AttemptEnded(number, 0, replica, Outcome.OK, world.now - sent_at, True, cached_tokens))
-        world.advance_time(10 * MS)
-    world.update_endpoint_list(EndpointListKind.DELTA, ready_entries(4, weight=weight, started_at=world.now))
+        harness.arrive(number, prompt_tokens=4000.0)
+        harness.first_token(number)
+        replica, sent_at = harness.requests[number].attempts[-1]
+        harness.requests[number].outcomes[0] = Outcome.OK
+        harness.requests[number].final_answer = "outcome"
+        harness.step(AttemptEnded(number, 0, replica, Outcome.OK, harness.now - sent_at, True, cached_tokens))
+        harness.advance_time(10 * MS)
+    harness.update_endpoint_list(
+        EndpointListKind.DELTA, ready_entries(4, weight=weight, started_at=harness.now)
+    )
     sent_to_new = 0
     for _ in range(200):
         number += 1
-        sent_to_new += world.sent_to(world.arrive(number, prompt_tokens=4000.0)).count(4)
-        if world.requests[number].attempts:
-            world.first_token(number)
-            world.end_attempt(number, Outcome.OK)
-        world.advance_time(10 * MS)
+        sent_to_new += harness.sent_to(harness.arrive(number, prompt_tokens=4000.0)).count(4)
+        if harness.requests[number].attempts:
+            harness.first_token(number)
+            harness.end_attempt(number, Outcome.OK)
+        harness.advance_time(10 * MS)
     return sent_to_new
 
 
