--- a/lockspoke/balancing/admission.py
+++ b/lockspoke/balancing/admission.py
@@ -17,8 +17,8 @@
 # A tenant is over its quota if its usage, relative to the quota, exceeds the tenants' mean by this factor.
 OVER_QUOTA_FACTOR = 1.5
 MIN_QUOTA = 1e-9
-# Prompt lengths of which a smaller share of requests was sent than this fraction of the overall share are
-# preferred.
+# Requests of a prompt length are preferred while the share of them that gets sent is below this fraction of
+# the share of all requests.
 FAIR_SHARE = 0.6
 FAIRNESS_HALF_LIFE = 30 * SECOND  # With this, a burst of a few seconds hardly changes the order.
 
--- a/lockspoke/balancing/replica_selection.py
+++ b/lockspoke/balancing/replica_selection.py
@@ -36,6 +36,8 @@
 
 
 class _Candidates(NamedTuple):
+    """The replicas that could get the next attempt."""
+
     trial: TrackedReplica | None  # A replica whose half-open breaker accepts a trial.
     closed: list[TrackedReplica]  # Replicas with a closed breaker and free capacity.
     any_busy: bool  # Other replicas could take the request, but have no capacity now.
@@ -75,7 +77,7 @@
         return Selection(self._last_winner)
 
     def _may_repeat(self, now: int, request: TrackedRequest) -> bool:
-        """Whether hedging and the request's idempotency allow a further attempt, at whatever replica."""
+        """Whether hedging and the request's idempotency allow a further attempt at any replica."""
         if not self.settings.hedging_allowed and request.has_attempt_in_progress:
             return False
         request_class, may_have_run = request.request_class, request.attempts_that_may_have_run
--- a/lockspoke/balancing/slow_start_budget.py
+++ b/lockspoke/balancing/slow_start_budget.py
@@ -45,7 +45,7 @@
         self._observed_since = self._observed_since or now
 
     def record_request(self, prompt_tokens: float, recent_requests: int) -> None:
-        """Include a request in the mean, which is taken of the recent requests while there are only few."""
+        """Update the mean request work; with few recent requests, it is the plain average of these."""
         weight = min(recent_requests, MEAN_REQUEST_SAMPLES)
         self.mean_request_work += (prompt_tokens + ANSWER_TOKENS - self.mean_request_work) / weight
 
--- a/tests/balancing/test_package_rules.py
+++ b/tests/balancing/test_package_rules.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_module_reads_no_clock_and_shares_no_random_source(path: Path) -> None:
+def test_module_reads_no_clock_and_uses_no_global_random_generator(path: Path) -> None:
     tree = ast.parse(path.read_text())
     nodes = list(ast.walk(tree))
     imported = {alias.name for node in nodes if isinstance(node, ast.Import) for alias in node.names}
@@ -54,6 +54,6 @@
     assert uses_of_random(tree) <= {"Random"}
 
 
-def test_the_package_draws_from_random_sources_of_its_own() -> None:
+def test_package_uses_no_global_random_generator() -> None:
     uses = [uses_of_random(ast.parse(path.read_text())) for path in MODULES]
     assert set().union(*uses) == {"Random"}
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -91,7 +91,7 @@
     warm_rate = requests_per_tick * 10 / 16  # Requests per second of a warm replica.
     expected = sum(warm_rate * (0.13 + 0.87 * second / 24) for second in range(6))
     assert sum(map(len, sends.values())) >= 0.4 * expected * len(sends), (
-        "the capacity that they have by now is used"
+        "replicas must use the capacity that they have during slow start"
     )
     for times in sends.values():
         for when in times:
@@ -125,13 +125,13 @@
                 sends.setdefault(replica, []).append(harness.now)
                 harness.first_token(number)
                 harness.end_attempt(number, Outcome.OK)
-    assert len(sends) >= 10, "nearly all of them get work, though no gateway knows a warm one"
+    assert len(sends) >= 10, "nearly all replicas must get work, though no gateway knows a warm one"
     for times in sends.values():
         most_in_window = max(
             sum(when <= other < when + fleet.overload_duration for other in times) for when in times
         )
         assert most_in_window <= 4, (
-            "in two adjacent windows: a request each, and what the capacity at that age allows"
+            "two adjacent windows may have one request each, and what the capacity at that age allows"
         )
 
 
