--- a/tests/clocked.py
+++ b/tests/clocked.py
@@ -1,7 +1,7 @@
-"""An event loop with a simulated clock, whose time advances only when nothing is ready, and a network for it.
+"""An event loop with simulated time, which advances only when nothing is ready, and a simulated network.
 
-Connections are socket pairs, so that what one side writes the other can read at once. A simulated minute
-takes a second, and the same seed gives the same run.
+Connections are socket pairs, so that one side can immediately read what the other has written. A simulated
+minute takes about a second, and runs with the same seed are identical.
 """
 
 from __future__ import annotations
@@ -20,41 +20,41 @@
 AcceptHandler = Callable[[socket.socket], None]
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Returns what is ready, and advances the clock instead of waiting."""
+class _TimeAdvancingSelector(selectors.DefaultSelector):
+    """Returns the events that are ready; advances the clock instead of waiting."""
 
-    loop: ClockedLoop
+    loop: SimulatedTimeLoop
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = super().select(0)
         if not ready and timeout is None:
             raise AssertionError("nothing is ready, and no timer is set")
         if not ready and timeout:
-            self.loop.pass_time(timeout)
+            self.loop.advance_time(timeout)
         return ready
 
 
-class ClockedLoop(asyncio.SelectorEventLoop):
-    """An event loop with its own clock, which starts at an arbitrary time."""
+class SimulatedTimeLoop(asyncio.SelectorEventLoop):
+    """An event loop with a simulated clock, which starts at an arbitrary time."""
 
     def __init__(self) -> None:
         self._now = 1_000.0
-        selector = _JumpingSelector()
+        selector = _TimeAdvancingSelector()
         selector.loop = self
         super().__init__(selector)
 
     def time(self) -> float:
         return self._now
 
-    def pass_time(self, seconds: float) -> None:
-        """Advance the clock; called from a task or callback, the loop is busy for that long."""
+    def advance_time(self, seconds: float) -> None:
+        """Advance the clock. A call from a task or callback simulates a loop that is busy for that long."""
         self._now += max(seconds, 1e-6)
 
 
-class ControlledClock:
-    """The clock of a core on such a loop."""
+class SimulatedClock:
+    """The clock of a core that runs on a SimulatedTimeLoop."""
 
-    def __init__(self, loop: ClockedLoop) -> None:
+    def __init__(self, loop: SimulatedTimeLoop) -> None:
         self.loop = loop
 
     def now(self) -> int:
@@ -71,7 +71,7 @@
 
 
 class Reachability(Enum):
-    """What happens to a connection to an address."""
+    """How an address responds to connection attempts."""
 
     REACHABLE = "reachable"
     REFUSES = "refuses"
@@ -79,7 +79,7 @@
 
 
 class ObservedStream(IOStream):
-    """A stream that reports what is written to it."""
+    """A stream that passes written data to a callback as well."""
 
     on_write: Callable[[bytes], None]
 
@@ -89,7 +89,7 @@
 
 
 class Network:
-    """Addresses, the services at them, and a hook for every write of the gateway."""
+    """Simulates the services at each address; `on_write` is called for every write of the gateway."""
 
     def __init__(self) -> None:
         self.services: dict[Address, AcceptHandler] = {}
@@ -97,23 +97,23 @@
         self.on_write: Callable[[Address, bytes], None] = lambda endpoint, data: None
 
     async def dial(self, endpoint: Address) -> IOStream:
-        """As `lockspoke.wire.tcp.dialing.dial` does."""
+        """Connect like `lockspoke.wire.tcp.dialing.dial`."""
         reach = self.reachability.get(endpoint, Reachability.REACHABLE)
         if reach is Reachability.HANGS:
             await asyncio.get_running_loop().create_future()
         if reach is Reachability.REFUSES or endpoint not in self.services:
             raise ConnectionRefusedError(endpoint)
-        ours, theirs = socket.socketpair()
-        theirs.setblocking(False)
-        stream = ObservedStream(ours)
+        gateway_socket, service_socket = socket.socketpair()
+        service_socket.setblocking(False)
+        stream = ObservedStream(gateway_socket)
         stream.on_write = lambda data: self.on_write(endpoint, data)
-        self.services[endpoint](theirs)
+        self.services[endpoint](service_socket)
         return stream
 
 
-def run(scenario: Callable[[ClockedLoop], Any]) -> None:
-    """Run a coroutine function on such a loop."""
-    with asyncio.Runner(loop_factory=ClockedLoop) as runner:
+def run(scenario: Callable[[SimulatedTimeLoop], Any]) -> None:
+    """Run a coroutine function on a SimulatedTimeLoop, which it gets as its argument."""
+    with asyncio.Runner(loop_factory=SimulatedTimeLoop) as runner:
         loop = runner.get_loop()
-        assert isinstance(loop, ClockedLoop)
+        assert isinstance(loop, SimulatedTimeLoop)
         runner.run(scenario(loop))
--- a/tests/wire/drain_checker.py
+++ b/tests/wire/drain_checker.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from tests.clocked import ClockedLoop
+from tests.clocked import SimulatedTimeLoop
 from tests.wire.drain_schedule import MAX_PROPAGATION_TIME, Schedule
 
 DRAIN_GRACE = 0.25  # seconds after the gateway is notified of a change
@@ -16,7 +16,7 @@
 class DrainChecker:
     """Records changes and requests, and collects violations of the drain rule."""
 
-    def __init__(self, loop: ClockedLoop, schedule: Schedule) -> None:
+    def __init__(self, loop: SimulatedTimeLoop, schedule: Schedule) -> None:
         self.loop = loop
         self.start = loop.time()
         self.schedule = schedule
--- a/tests/wire/drain_fakes.py
+++ b/tests/wire/drain_fakes.py
@@ -171,10 +171,10 @@
         loop, random_value = self.checker.loop, self.random.random()
         if fault is Fault.LATE:
             self.fault = Fault.LOST
-            loop.call_soon(loop.pass_time, 0.3)
+            loop.call_soon(loop.advance_time, 0.3)
         elif drains and random_value < 0.5:
             # The loop is busy while the drain is unread; requests that arrive in that time are read with it.
-            loop.call_soon(loop.pass_time, self.random.uniform(0.2, 0.5))
+            loop.call_soon(loop.advance_time, self.random.uniform(0.2, 0.5))
         elif drains and random_value < 0.8 and self.checker.far_from_faults():
             # Discovery moves to another address while the drain is unread, and does not respond at first.
             self.fault = Fault.LOST
--- a/tests/wire/drain_simulation.py
+++ b/tests/wire/drain_simulation.py
@@ -22,7 +22,7 @@
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from lockspoke.wire.tcp.dialing import Address
 from tests.balancing.helpers import settings
-from tests.clocked import ClockedLoop, ControlledClock, Network
+from tests.clocked import Network, SimulatedClock, SimulatedTimeLoop
 from tests.wire.drain_checker import DrainChecker
 from tests.wire.drain_fakes import DISCOVERY_ADDRESSES, FakeDiscovery, FakeReplicas
 from tests.wire.drain_schedule import DURATION, REPLICAS, draw_schedule
@@ -50,12 +50,12 @@
 class DrainSimulation:
     """One gateway that runs through the events of one schedule."""
 
-    def __init__(self, loop: ClockedLoop, seed: int, gateways: int, faults_in_a_row: int) -> None:
+    def __init__(self, loop: SimulatedTimeLoop, seed: int, gateways: int, faults_in_a_row: int) -> None:
         self.loop = loop
         self.random = random.Random(seed)
         self.schedule = draw_schedule(self.random, faults_in_a_row)
         self.checker = DrainChecker(loop, self.schedule)
-        network, clock = Network(), ControlledClock(loop)
+        network, clock = Network(), SimulatedClock(loop)
         network.on_write = self._written
         self.discovery = FakeDiscovery(self.random, self.checker, network)
         self.replicas = FakeReplicas(self.random, network)
@@ -104,7 +104,7 @@
         for at in schedule.endpoint_changes:
             events.append((at, partial(self.watch.change_endpoint, DISCOVERY_ADDRESSES[1])))
         for at, span in schedule.busy_periods:
-            events.append((at, partial(self.loop.pass_time, span)))
+            events.append((at, partial(self.loop.advance_time, span)))
         for begin, end, uid in schedule.bans:
             events += [(begin, partial(self._ban, uid, True)), (end, partial(self._ban, uid, False))]
         at = 0.0
--- a/tests/wire/test_drain_simulation.py
+++ b/tests/wire/test_drain_simulation.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.clocked import ClockedLoop, run
+from tests.clocked import SimulatedTimeLoop, run
 from tests.wire.drain_checker import DrainChecker
 from tests.wire.drain_simulation import DrainSimulation
 
@@ -14,7 +14,7 @@
 def simulate(seed: int, gateways: int, faults_in_a_row: int) -> DrainChecker:
     checkers: list[DrainChecker] = []
 
-    async def scenario(loop: ClockedLoop) -> None:
+    async def scenario(loop: SimulatedTimeLoop) -> None:
         checkers.append(await DrainSimulation(loop, seed, gateways, faults_in_a_row).run())
 
     run(scenario)
