--- a/.ci/start.py
+++ b/.ci/start.py
@@ -1,4 +1,4 @@
-"""Build as deploy/balancer.toml says, then start `run` and `sim` as the platform would."""
+"""Runs the build command of deploy/balancer.toml, then starts its `run` and `sim` like the platform."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 
 
 def shell(command: str, **more: object) -> subprocess.Popen[bytes]:
-    """Start a command of the deploy file."""
+    """Start a command of deploy/balancer.toml."""
     return subprocess.Popen(["/bin/sh", "-c", command], cwd=ROOT, **more)  # type: ignore[call-overload,no-any-return]
 
 
 def main() -> None:
-    """Fail loudly where a command does not do what the platform expects of it."""
+    """Check that each command does what the platform expects; raises AssertionError if one doesn't."""
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     assert shell(deploy["build"]).wait(600) == 0, "build failed"
-    # What the build leaves uncompiled is compiled at every start, 200 times over at the full fleet.
+    # A module that the build has not compiled is compiled at every start, on each of up to 200 gateways.
     sources = [path for folder in deploy["node"] for path in (ROOT / folder).rglob("*.py")]
-    slow = [str(path) for path in sources if not Path(cache_from_source(str(path))).exists()]
-    assert sources and not slow, f"the build has not compiled {slow}"
+    uncompiled = [str(path) for path in sources if not Path(cache_from_source(str(path))).exists()]
+    assert sources and not uncompiled, f"the build has not compiled {uncompiled}"
 
     sim = shell(deploy["sim"], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-    empty = struct.pack("<IIQI", 16, 0, 1, 7)
-    out, _ = sim.communicate(empty, timeout=60)
+    empty_message = struct.pack("<IIQI", 16, 0, 1, 7)
+    out, _ = sim.communicate(empty_message, timeout=60)
     assert out == struct.pack("<II", 4, 7) and sim.returncode == 0, f"sim answered {out!r}"
 
     with tempfile.TemporaryDirectory() as folder:
@@ -43,8 +43,8 @@
         target = {"uid": "s-1", "endpoint": "127.0.0.1:9", "state": "up"}
         known = {"rev": 1, "all": True, "targets": [target]}
         config.write_text(json.dumps({"name": "ci", "seed": "1", "known": known, "settings": SETTINGS}))
-        told = {"NODE_CONFIG": str(config), "NODE_LISTEN": "127.0.0.1:0", "NODE_DISCOVERY": "127.0.0.1:9"}
-        run = shell(deploy["run"], env=os.environ | told, stderr=subprocess.PIPE)
+        node_env = {"NODE_CONFIG": str(config), "NODE_LISTEN": "127.0.0.1:0", "NODE_DISCOVERY": "127.0.0.1:9"}
+        run = shell(deploy["run"], env=os.environ | node_env, stderr=subprocess.PIPE)
         assert run.stderr is not None
         ready = any(b'"now": "ready"' in line for line in run.stderr)
         run.send_signal(signal.SIGTERM)
--- a/lockspoke/__init__.py
+++ b/lockspoke/__init__.py
@@ -1,1 +1,1 @@
-"""A gateway for fleets of language-model replicas: fronts for clients, one core, a load balancer."""
+"""A gateway for fleets of language-model replicas, with client fronts, a core and a load balancer."""
--- a/lockspoke/__main__.py
+++ b/lockspoke/__main__.py
@@ -1,10 +1,10 @@
-"""The command `lockspoke`: runs the gateway, or one of the tools if the first argument names one."""
+"""The command `lockspoke`, which runs the gateway or, if the first argument names a tool, that tool."""
 
 import signal
 import sys
 
 TOOLS = ("address", "inventory", "config", "completion")
-EXIT_WRONG_USAGE = 2
+EXIT_USAGE_ERROR = 2
 
 
 def main() -> int:
@@ -16,15 +16,15 @@
 
 def _run_tool(arguments: list[str]) -> int:
     try:
-        from .cli.main import run  # noqa: PLC0415 - a gateway has to run without the tools' libraries
+        from .cli.main import run  # noqa: PLC0415 - the gateway runs without the libraries of the tools
     except ModuleNotFoundError as error:
         print(f"lockspoke: {error.name} is not installed; pip install 'lockspoke[cli]'", file=sys.stderr)
-        return EXIT_WRONG_USAGE
+        return EXIT_USAGE_ERROR
     return run(arguments)
 
 
 def _run_gateway() -> int:
-    # A reload may be requested while the program is still loading; it is unblocked once it can be handled.
+    # SIGHUP requests a reload and may arrive during the imports. It is unblocked when its handler is set.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     from .lifecycle.command_line import main as run_gateway  # noqa: PLC0415 - only after SIGHUP is blocked
 
--- a/lockspoke/lifecycle/__init__.py
+++ b/lockspoke/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The process around a gateway: command line, configuration, logging, signals, start, reload and shutdown."""
+"""Runs a gateway process: command line, configuration, logging, signals, startup, reload and shutdown."""
--- a/lockspoke/lifecycle/ban_storage.py
+++ b/lockspoke/lifecycle/ban_storage.py
@@ -1,4 +1,4 @@
-"""Stores operators' bans when they change, and again after a failure: an accepted ban outlives an upgrade."""
+"""Writes operators' bans to a file and retries after a failure, so that an upgrade loses no accepted ban."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 
 from .bans_file import write_bans
 
-RETRY_INTERVAL = 1.0  # seconds after a write that failed
+RETRY_INTERVAL = 1.0  # A failed write is retried after this many seconds.
 
 
 class BanStorage:
-    """The bans of one gateway and their file."""
+    """Writes the bans of one gateway to their file."""
 
     def __init__(self, path: Path, replica_set: ReplicaSet) -> None:
         self._path = path
         self._replica_set = replica_set
-        self._retry_at: float | None = None  # by the monotonic clock; None: the file holds the bans in force
+        self._retry_at: float | None = None  # monotonic time; None if the file has the current bans
 
     def save(self) -> None:
-        """Write the bans in force; after a failure `run_periodic_checks` tries again."""
+        """Write the current bans; after a failure `run_periodic_checks` retries."""
         stored = write_bans(self._path, self._replica_set.banned)
         self._retry_at = None if stored else time.monotonic() + RETRY_INTERVAL
 
     def run_periodic_checks(self) -> None:
-        """Write again what could not be written, once it is due."""
+        """Retry a failed write when it is due."""
         if self._retry_at is not None and time.monotonic() >= self._retry_at:
             self.save()
--- a/lockspoke/lifecycle/bans_file.py
+++ b/lockspoke/lifecycle/bans_file.py
@@ -1,7 +1,7 @@
-"""Keeps operators' bans of replicas in a file, so that they outlive an upgrade of the program.
+"""Reads and writes a file with operators' bans of replicas, which preserves them across an upgrade.
 
-The folder lasts only as long as an upgrade takes, so the file has just the bans in force now. It is replaced
-atomically and has a checksum: a reader finds it complete or not at all.
+The platform keeps the folder only for the duration of an upgrade, so the file has only the current bans. It
+is replaced atomically and has a checksum, so that a reader never uses an incomplete file.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 import structlog
 
 VERSION = 1
-DEFAULT_FOLDER = "/tmp"  # noqa: S108 - the platform's folder for what lasts over an upgrade
+DEFAULT_FOLDER = "/tmp"  # noqa: S108 - the platform keeps this folder during an upgrade
 
 log = structlog.get_logger()
 
 
 def bans_path(environment: Mapping[str, str], gateway: str) -> Path:
-    """The file of a gateway's bans."""
+    """Return the path of a gateway's bans file."""
     return Path(environment.get("TMPDIR") or DEFAULT_FOLDER, f"{gateway}.bans.json")
 
 
 def write_bans(path: Path, uids: Iterable[str]) -> bool:
-    """Replace the file by one with these replicas; a failure is logged. Returns whether they are stored."""
+    """Replace the file with one that lists these replicas; logs a failure. Returns whether it was written."""
     body = json.dumps({"version": VERSION, "uids": sorted(uids)})
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
@@ -39,7 +39,7 @@
 
 
 def read_bans(path: Path) -> list[str]:
-    """The replicas that are banned; none if there is no file or, which is logged, if it can't be used."""
+    """Return the banned replicas; none if there is no file or if it is invalid, which is logged."""
     try:
         text = path.read_text()
     except FileNotFoundError:
--- a/lockspoke/lifecycle/clock.py
+++ b/lockspoke/lifecycle/clock.py
@@ -1,4 +1,4 @@
-"""The core's clock: the system's time and the event loop's timers."""
+"""The clock of the core: the time of the system and the timers of the event loop."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class EventLoopClock:
-    """Monotonic time, in nanoseconds since the Unix epoch, and timers of the running event loop."""
+    """Provides monotonic time in nanoseconds since the Unix epoch and timers of the running event loop."""
 
     def __init__(self) -> None:
-        # A monotonic clock that can be compared with the Unix times at which replicas started.
+        # Makes the monotonic time comparable with the Unix times at which replicas started.
         self._offset = time.time_ns() - time.monotonic_ns()
 
     def now(self) -> int:
-        """Nanoseconds since the Unix epoch, never decreasing."""
+        """Return nanoseconds since the Unix epoch, which never decrease."""
         return self._offset + time.monotonic_ns()
 
     def wall_time(self) -> int:
-        """Nanoseconds since the Unix epoch by the system's wall clock, which may be set at any time."""
+        """Return nanoseconds since the Unix epoch by the wall clock, which may be set at any time."""
         return time.time_ns()
 
     def earliest_arrival(self) -> int:
-        """The earliest time at which input that tasks read now can have arrived, as `now` gives it."""
+        """Return the earliest possible arrival time, as `now` counts, of the input that tasks read."""
         loop = asyncio.get_running_loop()
         if isinstance(loop, ArrivalTrackingLoop):
             return self._offset + loop.arrivals.earliest_arrival
--- a/lockspoke/lifecycle/command_line.py
+++ b/lockspoke/lifecycle/command_line.py
@@ -1,7 +1,7 @@
 """The command that runs a gateway.
 
-It imports little, for a gateway has to run in little memory: argparse instead of click, and the reader of
-the edge file only where there is one.
+It imports few modules because a gateway has to run in little memory: it uses argparse instead of click and
+imports the reader of the edge file only if there is such a file.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 from .reload import ConfigReloader, SectionReader
 from .subsystems import SubsystemContext
 
-EXIT_FAILED = 1  # the system refused something, such as the address to listen at
-EXIT_WRONG_CONFIG = 2
+EXIT_FAILED = 1  # A system call failed, such as binding the listen address.
+EXIT_INVALID_CONFIG = 2
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
@@ -41,7 +41,7 @@
             runner.run(_run(config, os.environ, options.edge, options.batch))
     except ConfigError as error:
         print(f"lockspoke: {error}", file=sys.stderr)
-        return EXIT_WRONG_CONFIG
+        return EXIT_INVALID_CONFIG
     except OSError as error:
         print(f"lockspoke: {error}", file=sys.stderr)
         return EXIT_FAILED
@@ -77,7 +77,7 @@
 def _section_reader(edge: Path | None, batch: Path | None) -> SectionReader:
     if edge is None and batch is None:
         return tuple  # no sections
-    from .edge_file import (  # noqa: PLC0415 - it loads msgspec, which a gateway without such a file doesn't need
+    from .edge_file import (  # noqa: PLC0415 - imports msgspec, which is needed only with such a file
         read_batch_file,
         read_edge,
     )
--- a/lockspoke/lifecycle/composition.py
+++ b/lockspoke/lifecycle/composition.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True, eq=False)
 class Gateway:
-    """The parts of one gateway, and the configuration that is in force."""
+    """The parts of one gateway and its current configuration."""
 
     config: GatewayConfig
     state: ProgramState
@@ -33,22 +33,22 @@
     endpoint_list_source: EndpointListSource
     core: Core
     clients: ClientFront
-    operators: OperatorFront | None  # None where the configuration names no address for operators
+    operators: OperatorFront | None  # None if the configuration has no address for operators
     bans: BanStorage
     subsystems: Sequence[Subsystem]
-    reserved_descriptors: int  # file descriptors for connections of operators and subsystems
+    reserved_descriptors: int  # File descriptors set aside for connections of operators and subsystems.
 
     @property
     def list_is_current(self) -> bool:
-        """Whether the endpoint list is recent enough for the first request.
+        """Whether the endpoint list is recent enough to serve the first request.
 
-        Where changes are pushed, the gateway must know from its first moment what discovery has published,
-        so the first answer has to arrive before the program is ready.
+        If discovery pushes changes, the gateway must know every published change from its first request on,
+        so it becomes ready only after discovery's first response.
         """
         return self.config.settings.polls_endpoint_list or self.endpoint_list_source.first_poll_finished
 
     def apply(self, config: GatewayConfig) -> None:
-        """Put a new configuration in force. Requests, connections and the replica set stay."""
+        """Apply a new configuration, keeping requests, connections and the replica set."""
         self.config = config
         per_side = config.max_connections_per_side(self.reserved_descriptors)
         self.transport.reconfigure(
@@ -62,16 +62,16 @@
 
 
 def max_client_connections(per_side: int) -> int:
-    """The client connections to accept where each side may have `per_side` connections.
+    """Return how many client connections to accept if each side may have `per_side` connections.
 
-    The listener holds one connection more than its limit while it looks for one to close, and each request
-    needs a connection to a replica.
+    The limit is one less, because the listener briefly exceeds its limit by one connection while it chooses
+    an idle one to close, and each request needs a connection to a replica.
     """
     return per_side - 1
 
 
 def build_gateway(config: GatewayConfig, subsystems: Sequence[Subsystem], bans_file: Path) -> Gateway:
-    """Build a gateway that has not started yet. Raises ConfigError if a part can't work as configured."""
+    """Build a gateway without starting it. Raises ConfigError if a part doesn't accept the configuration."""
     state = ProgramState()
     clock = EventLoopClock()
     replica_set = ReplicaSet(Identifiers(), config.zones)
@@ -80,9 +80,9 @@
     transport = ReplicaTransport(
         config.load_report_fields, config.connect_timeout, config.keepalive, per_side, clock.now
     )
-    watch: EndpointListSource = find_endpoint_list_source(subsystems) or PlatformDiscovery(config)
-    core = Core(config.settings, config.seed, replica_set, clock, transport, watch)
-    watch.attach(core)
+    list_source: EndpointListSource = find_endpoint_list_source(subsystems) or PlatformDiscovery(config)
+    core = Core(config.settings, config.seed, replica_set, clock, transport, list_source)
+    list_source.attach(core)
     clients = _client_front(config, core, state, per_side)
     operators = None
     bans = BanStorage(bans_file, replica_set)
@@ -95,7 +95,7 @@
         state=state,
         replica_set=replica_set,
         transport=transport,
-        endpoint_list_source=watch,
+        endpoint_list_source=list_source,
         core=core,
         clients=clients,
         operators=operators,
@@ -106,7 +106,7 @@
 
 
 def _reserved_descriptors(config: GatewayConfig, subsystems: Sequence[Subsystem]) -> int:
-    """The file descriptors for connections other than those of clients and replicas."""
+    """Return the number of file descriptors for connections of operators and subsystems."""
     for_operators = MAX_CONNECTIONS if config.operator is not None else 0
     return for_operators + sum(subsystem.descriptors for subsystem in subsystems)
 
--- a/lockspoke/lifecycle/config_file.py
+++ b/lockspoke/lifecycle/config_file.py
@@ -1,4 +1,4 @@
-"""Reads a gateway's configuration: environment variables and the JSON file that NODE_CONFIG names."""
+"""Reads a gateway's configuration from environment variables and the JSON file that NODE_CONFIG names."""
 
 from __future__ import annotations
 
@@ -21,19 +21,20 @@
 DEFAULT_CONNECT_TIMEOUT = 100 * MILLISECOND
 DEFAULT_KEEPALIVE = 10_000 * MILLISECOND
 
-Json = Any  # a value of a JSON file, of whatever shape the file gives it
+Json = Any  # any JSON value
 
 
-def read_config(environment: Mapping[str, str], before: GatewayConfig | None = None) -> GatewayConfig:
-    """Read the file that NODE_CONFIG names; other variables take precedence over its keys.
+def read_config(environment: Mapping[str, str], current: GatewayConfig | None = None) -> GatewayConfig:
+    """Read the file that NODE_CONFIG names; other environment variables take precedence over its keys.
 
     Args:
-        environment: the process's environment variables.
-        before: at a reload, the configuration in force. A discovery address that is new in the file then
-            takes precedence over the variable, since a process's environment can't follow a change.
+        environment: The environment variables of the process.
+        current: On a reload, the current configuration. If the discovery address in the file has changed, it
+            then takes precedence over the variable, because the environment of a running process can't be
+            updated.
 
     Raises:
-        ConfigError: the file can't be read, or a key is wrong.
+        ConfigError: The file can't be read, or a value is invalid.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
@@ -45,26 +46,26 @@
     if not isinstance(raw, dict):
         raise ConfigError(f"{path}: want an object")
     try:
-        return _gateway_config(raw, environment, before)
+        return _gateway_config(raw, environment, current)
     except (ValueError, TypeError, AttributeError, OverflowError) as error:
-        # Values of a wrong shape can raise any of these; a reload must never end a running program.
+        # Values of an unexpected type can raise any of these, and a reload must never end the program.
         raise ConfigError(f"{path}: {error}") from None
 
 
 def _gateway_config(
-    raw: dict[str, Json], environment: Mapping[str, str], before: GatewayConfig | None
+    raw: dict[str, Json], environment: Mapping[str, str], current: GatewayConfig | None
 ) -> GatewayConfig:
     settings = _value_at(raw, "settings", {})
     class_names = _names_of(settings, "profiles")
     known = raw.get("known")
     discovery_in_file = str(raw.get("discovery") or "")
-    discovery = _discovery_address(discovery_in_file, environment, before)
+    discovery = _discovery_address(discovery_in_file, environment, current)
     operator = environment.get("NODE_OPERATOR") or str(raw.get("operator") or "")
     return GatewayConfig(
         name=environment.get("NODE_NAME") or str(raw.get("name", "")),
         listen=decode_address(environment.get("NODE_LISTEN") or str(raw.get("listen", "")), 0),
         discovery=discovery,
-        discovery_in_file=discovery_in_file or (before.discovery_in_file if before is not None else ""),
+        discovery_in_file=discovery_in_file or (current.discovery_in_file if current is not None else ""),
         seed=_seed(raw.get("seed", "0")),
         sockets=_max_sockets(raw),
         memory_mb=_integer_at(raw, "limits.memory_mb", DEFAULT_MEMORY_MB),
@@ -77,25 +78,25 @@
         load_report_fields=_strings_at(settings, "loadInfo.fields"),
         clients_resume_streams=_value_at(settings, "familyInfo.resume", False) is True,
         connect_timeout=_integer_at(settings, "limits.connectTimeout", DEFAULT_CONNECT_TIMEOUT),
-        keepalive=_integer_at(settings, "limits.keepalive", DEFAULT_KEEPALIVE, lowest=0),
+        keepalive=_integer_at(settings, "limits.keepalive", DEFAULT_KEEPALIVE, minimum=0),
         operator=decode_address(operator, 0) if operator else None,
     )
 
 
 def _discovery_address(
-    in_file: str, environment: Mapping[str, str], before: GatewayConfig | None
+    in_file: str, environment: Mapping[str, str], current: GatewayConfig | None
 ) -> tuple[str, int] | None:
-    if before is None:
+    if current is None:
         text = environment.get("NODE_DISCOVERY") or in_file
-    elif in_file in ("", before.discovery_in_file):
-        return before.discovery
+    elif in_file in ("", current.discovery_in_file):
+        return current.discovery
     else:
         text = in_file
     return decode_address(text) if text else None
 
 
 def _max_sockets(raw: Json) -> int:
-    # The system's own limit may be lower: beyond it, accepting would fail and be retried for ever.
+    # The system's own limit may be lower. Beyond it, accept() would fail and be retried forever.
     system_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return min(_integer_at(raw, "limits.sockets", DEFAULT_SOCKETS), system_limit)
 
@@ -113,7 +114,7 @@
 
 
 def _value_at(raw: Json, path: str, default: Json) -> Json:
-    """The value at a path of keys joined by dots; the default where a key is missing or null."""
+    """Return the value at a dotted path of keys; the default if a key is missing or null."""
     for key in path.split("."):
         raw = raw.get(key) if isinstance(raw, dict) else None
     return default if raw is None else raw
@@ -126,15 +127,15 @@
     return tuple(value)
 
 
-def _integer_at(raw: Json, path: str, default: int, lowest: int = 1) -> int:
+def _integer_at(raw: Json, path: str, default: int, minimum: int = 1) -> int:
     value = _value_at(raw, path, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not lowest <= value <= MAX_NUMBER:
-        raise InvalidValueError(path, value, f"a number from {lowest} to {MAX_NUMBER:g}")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= MAX_NUMBER:
+        raise InvalidValueError(path, value, f"a number from {minimum} to {MAX_NUMBER:g}")
     return int(value)
 
 
 def _names_of(settings: Json, path: str) -> list[str]:
-    """The names of the objects in a list, in its order."""
+    """Return the names of the objects in a list, in the order of the list."""
     items = _value_at(settings, path, [])
     return [str(item.get("name", "")) if isinstance(item, dict) else "" for item in items]
 
--- a/lockspoke/lifecycle/edge_file.py
+++ b/lockspoke/lifecycle/edge_file.py
@@ -1,6 +1,7 @@
-"""Reads the edge file: TOML with a section for each subsystem, each checked against a typed schema.
+"""Reads the edge file, a TOML file with a section for each subsystem, and validates it against typed schemas.
 
-All faults are reported at once, with the key, its line and, for an unknown key, the nearest known one.
+All faults are reported at once, each with its key and line. For an unknown key, the most similar known key is
+suggested.
 """
 
 from __future__ import annotations
@@ -16,24 +17,25 @@
 from .subsystems import SUBSYSTEM_MODULES, Section, subsystem_module
 from .toml_lines import KeyPath
 
-Toml = Any  # a value of a TOML file, of whatever shape the file gives it
+Toml = Any  # any TOML value
 Settings = TypeVar("Settings", bound=msgspec.Struct)
 
 
 def read_edge(path: Path) -> list[Section]:
-    """Read the edge file. Raises ConfigError with a line for each fault."""
+    """Read the edge file. Raises ConfigError with one line for each fault."""
     tables, text = _load(path)
     return _decode_sections(tables, FaultCollector(path, text))
 
 
 def read_batch_file(path: Path) -> list[Section]:
-    """Read a file for the batch front alone: the keys of `[batch]` at its top, perhaps `[inventory]` below.
+    """Read a file that configures only the batch front and optionally an inventory.
 
-    Raises ConfigError with a line for each fault.
+    The keys of `[batch]` are at the top level of the file, followed by the section `[inventory]`, if any.
+    Raises ConfigError with one line for each fault.
     """
     raw, text = _load(path)
     inventory = raw.pop("inventory", None)
-    if isinstance(inventory, dict) and "path" in inventory:  # this file's older key for a single path
+    if isinstance(inventory, dict) and "path" in inventory:  # the former key of this file for a single path
         inventory = {**inventory, "paths": [inventory["path"]]}
         del inventory["path"]
     tables = {"batch": raw} | ({"inventory": inventory} if inventory is not None else {})
@@ -65,7 +67,10 @@
 def decode_table(
     table: Toml, struct: type[Settings], keys: KeyPath, faults: FaultCollector
 ) -> Settings | None:
-    """A table as a struct; None after each wrong, unknown or missing key was added to the faults."""
+    """Convert a table to a struct.
+
+    If keys are invalid, unknown or missing, adds a fault for each of them and returns None.
+    """
     if not isinstance(table, dict):
         faults.add(keys, " is no table; write it as a [section]")
         return None
@@ -85,18 +90,18 @@
     try:
         return struct(**values)
     except ValueError as error:
-        # A check over several keys; its text begins with the key that it is about.
-        key, _, what = str(error).partition(" ")
-        faults.add((*keys, *key.split(".")), f" {what}")
+        # A check of the struct that spans several keys. Its message begins with the key.
+        key, _, message = str(error).partition(" ")
+        faults.add((*keys, *key.split(".")), f" {message}")
         return None
 
 
-def _decode_value(value: Toml, wanted: Any, keys: KeyPath, faults: FaultCollector) -> Any:
-    """A value as the type of its field, which may be any that msgspec knows."""
-    if isinstance(wanted, type) and issubclass(wanted, msgspec.Struct):
-        return decode_table(value, wanted, keys, faults)
+def _decode_value(value: Toml, field_type: Any, keys: KeyPath, faults: FaultCollector) -> Any:
+    """Convert a value to the type of its field, which may be any type that msgspec supports."""
+    if isinstance(field_type, type) and issubclass(field_type, msgspec.Struct):
+        return decode_table(value, field_type, keys, faults)
     try:
-        return msgspec.convert(value, wanted)
+        return msgspec.convert(value, field_type)
     except msgspec.ValidationError as error:
         faults.add(keys, f" is {value!r}: {_reason(error)}")
         return None
--- a/lockspoke/lifecycle/event_loop.py
+++ b/lockspoke/lifecycle/event_loop.py
@@ -1,4 +1,4 @@
-"""An event loop that knows since when the input that its tasks read now can have been waiting."""
+"""An event loop that knows the earliest possible arrival time of the input that its tasks read."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class ArrivalTrackingSelector(selectors.DefaultSelector):
-    """Notes when it polled.
+    """Records the times of its polls.
 
-    Input that is ready at once has arrived since the previous poll; input that it had to wait for has arrived
-    just now. The loop reads what is ready, and the tasks that wait for it run in its next iteration.
-    All times are of the monotonic clock, in nanoseconds.
+    Input that is ready without waiting has arrived since the previous poll. Input that the selector had to
+    wait for has just arrived. The loop reads the input that is ready, and the tasks that wait for it run in
+    the next iteration of the loop. All times are monotonic times in nanoseconds.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self._polled_at = self._ready_since = time.monotonic_ns()
-        self.earliest_arrival = self._polled_at  # of the input that tasks read now
+        self.earliest_arrival = self._polled_at  # The earliest arrival of the input that tasks read now.
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Wait for input as the standard library's selector does."""
+        """Wait for input like the selector of the standard library."""
         previous_poll, self._polled_at = self._polled_at, time.monotonic_ns()
         ready = super().select(0)
         if not ready and timeout != 0:
@@ -32,7 +32,7 @@
 
 
 class ArrivalTrackingLoop(asyncio.SelectorEventLoop):
-    """The standard library's event loop with a selector that notes when it polled."""
+    """The event loop of the standard library with a selector that records the times of its polls."""
 
     def __init__(self) -> None:
         self.arrivals = ArrivalTrackingSelector()
--- a/lockspoke/lifecycle/graceful_shutdown.py
+++ b/lockspoke/lifecycle/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: open requests finish; what would be open at the kill is handed off to other gateways."""
+"""Graceful shutdown: finishes open requests, and hands off to other gateways what SIGKILL would cut off."""
 
 from __future__ import annotations
 
@@ -9,41 +9,44 @@
 from .composition import Gateway
 from .phases import ProgramPhase
 
-# All times are in seconds.
+# All durations are in seconds. "The kill" is the earliest time at which the platform may send SIGKILL.
 
-# Before the platform may kill the process: what is still open is handed off to other gateways from then on.
+# Requests that are still open this long before the kill are handed off to other gateways.
 HANDOFF_BEFORE_KILL = 0.3
-# Before the kill: from then on streams with unread data are handed off, too.
+# From this long before the kill, streams with unread data are handed off as well.
 IMMEDIATE_HANDOFF_BEFORE_KILL = 0.15
-# After SIGTERM. Clients learn with a delay that this gateway stops, so it goes on accepting connections.
+# The gateway accepts connections for at least and at most this long after SIGTERM, because clients learn of
+# the shutdown with a delay.
 MIN_ACCEPT_TIME = 0.7
 MAX_ACCEPT_TIME = 2.0
-# Accepting ends after so long without a new connection; connections idle for as long are closed.
+# The gateway stops accepting once no connection has arrived for this long. Client connections that have been
+# idle for this long are closed.
 IDLE_TIME = 0.3
-# After SIGTERM, where clients don't resume streams, so that none may be cut off. New connections arrive for
-# 0.4 s at most, and a request that arrived later than 0.7 s is lost if the kill finds it unanswered.
+# The next two are counted from SIGTERM and apply where clients don't resume streams, so that no stream may be
+# cut off. New connections arrive for at most 0.4 s after SIGTERM. A request that arrives later than 0.7 s
+# after it is lost if it has no response by the kill.
 MAX_ACCEPT_TIME_WITHOUT_RESUME = 0.45
 REJECT_TIME_WITHOUT_RESUME = 0.65
-ACCEPT_POLL_INTERVAL = 0.05  # between two checks for new connections
-FINISH_POLL_INTERVAL = 0.02  # between two checks for open requests: the time of the hand-off must be met
+ACCEPT_POLL_INTERVAL = 0.05  # The listener is checked for new connections at this interval.
+FINISH_POLL_INTERVAL = 0.02  # Short enough that requests are handed off on time before the kill.
 
 
 class GracefulShutdown:
-    """One shutdown, from SIGTERM to the last response."""
+    """Shuts one gateway down, from SIGTERM to the last response."""
 
     def __init__(self, gateway: Gateway) -> None:
         self._gateway = gateway
         self._started_at = asyncio.get_running_loop().time()
-        self._kill_at = self._started_at + gateway.config.shutdown_time  # at the earliest
+        self._kill_at = self._started_at + gateway.config.shutdown_time  # the earliest time of SIGKILL
         self._finished = False
 
     async def run(self) -> None:
-        """Serve what is open and what still arrives; returns when all connections are closed."""
+        """Serve open and newly arriving requests; returns when all connections are closed."""
         gateway = self._gateway
         gateway.state.enter(ProgramPhase.DRAINING)
         gateway.clients.admission_mode = AdmissionMode.ACCEPT_AND_CLOSE
         drains = [asyncio.ensure_future(subsystem.drain()) for subsystem in gateway.subsystems]
-        # At its exact time; a reload that changes it later is noticed by the polls below.
+        # Starts rejecting exactly on time. The polling loops below notice a reload that changes the setting.
         asyncio.get_running_loop().call_at(
             self._started_at + REJECT_TIME_WITHOUT_RESUME, self._update_admission
         )
@@ -56,12 +59,12 @@
 
     @property
     def _clients_resume_streams(self) -> bool:
-        # Read at each use: a reload may change it during the shutdown.
+        # Read on every use because a reload may change it during the shutdown.
         return self._gateway.config.clients_resume_streams
 
     async def _accept_late_connections(self) -> None:
         loop, listener = asyncio.get_running_loop(), self._gateway.clients.listener
-        while loop.time() < self._accept_end():
+        while loop.time() < self._accept_deadline():
             await asyncio.sleep(ACCEPT_POLL_INTERVAL)
             self._update_admission()
             listener.close_idle(IDLE_TIME)
@@ -70,15 +73,15 @@
                 return
 
     async def _stop_listening(self) -> None:
-        """Stop listening once the kernel's queue is empty, also if the system cannot accept for a while."""
+        """Stop listening once the kernel's accept queue is empty, even if accept() fails for a while."""
         loop, listener = asyncio.get_running_loop(), self._gateway.clients.listener
         while not listener.accept_waiting() and loop.time() < self._kill_at - HANDOFF_BEFORE_KILL:
             self._update_admission()
             await asyncio.sleep(ACCEPT_POLL_INTERVAL)
         listener.stop()
 
-    def _accept_end(self) -> float:
-        """When no new connections are accepted any more, by the configuration in force."""
+    def _accept_deadline(self) -> float:
+        """Return when to stop accepting connections, according to the current configuration."""
         end = min(self._started_at + MAX_ACCEPT_TIME, self._kill_at - HANDOFF_BEFORE_KILL)
         if not self._clients_resume_streams:
             end = min(end, self._started_at + MAX_ACCEPT_TIME_WITHOUT_RESUME)
@@ -92,8 +95,8 @@
             listener.close_idle(IDLE_TIME)
             now = loop.time()
             if now >= self._kill_at - HANDOFF_BEFORE_KILL:
-                # A request that is open at the kill is lost; handed off in time, clients get the rest from
-                # another gateway. Requests can still arrive on open connections, so this is repeated.
+                # A request that is open at the kill is lost. If it is handed off in time, its client gets the
+                # rest from another gateway. Repeated because requests still arrive on open connections.
                 gateway.core.hand_off(
                     include_streams=self._clients_resume_streams,
                     immediately=now >= self._kill_at - IMMEDIATE_HANDOFF_BEFORE_KILL,
@@ -101,9 +104,10 @@
             await asyncio.sleep(FINISH_POLL_INTERVAL)
 
     def _update_admission(self) -> None:
-        """Reject late requests where clients do not resume streams, so that they use other gateways.
+        """Reject late requests if clients don't resume streams, so that the clients use other gateways.
 
-        No stream may be cut off there, and none is sure to end in time: its replica may be slow or hang.
+        Without resumption no stream may be cut off, and a new stream may not end before the kill because its
+        replica may be slow or hang.
         """
         if self._finished:
             return
--- a/lockspoke/lifecycle/logging_setup.py
+++ b/lockspoke/lifecycle/logging_setup.py
@@ -1,4 +1,4 @@
-"""Logging: one JSON object per line on standard error, for events and never for single requests."""
+"""Logging to standard error, one JSON object per line. Individual requests are not logged."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class _LibraryLogHandler(logging.Handler):
-    """Writes what libraries log, such as exceptions in callbacks, in the program's own form."""
+    """Writes log records of libraries, such as exceptions in callbacks, in the format of the program."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record."""
+        """Write one log record."""
         structlog.get_logger().error(
             "library_error", source=record.name, text=record.getMessage(), exc_info=record.exc_info
         )
 
 
 def start_logging() -> None:
-    """Set up structlog and the standard library's logging for the whole process."""
-    # Below ERROR, Tornado logs each connection that a peer closes: that would be one line per request.
+    """Configure structlog and the logging of the standard library for the whole process."""
+    # Below ERROR, Tornado logs each connection that a peer closes, which would be one line per request.
     logging.basicConfig(level=logging.ERROR, handlers=[_LibraryLogHandler()])
     structlog.configure(
         processors=[
--- a/lockspoke/lifecycle/operator_commands.py
+++ b/lockspoke/lifecycle/operator_commands.py
@@ -1,4 +1,4 @@
-"""What the requests on the operators' port do."""
+"""Executes the requests that arrive on the operators' port."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class OperatorCommands:
-    """Carries out operators' requests on one gateway."""
+    """Executes operators' requests on one gateway."""
 
     def __init__(self, state: ProgramState, core: Core, clients: ClientFront, bans: BanStorage) -> None:
         self._state = state
@@ -26,7 +26,7 @@
         self._bans = bans
 
     def execute(self, request: OperatorRequest) -> str:
-        """Carry out a request; returns the response's text. Raises HttpError if it can't be done."""
+        """Execute a request; returns the text of the response. Raises HttpError if it is rejected."""
         match request.command:
             case OperatorCommand.READY:
                 return self._check_ready()
--- a/lockspoke/lifecycle/periodic_checks.py
+++ b/lockspoke/lifecycle/periodic_checks.py
@@ -1,4 +1,4 @@
-"""What the program does regularly: readiness, time limits of connections, totals and memory."""
+"""Periodic work of the program: checks readiness and connection timeouts, logs totals and frees memory."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from .memory import return_free_memory
 from .phases import ProgramPhase
 
-# Seconds between two checks. Misbehaving clients must get a response within 3 s.
+# The interval of the checks in seconds. Misbehaving clients must get a response within 3 s.
 CHECK_INTERVAL = 0.25
-STARTING_CHECK_INTERVAL = 0.02  # the same while the program starts
-TOTALS_INTERVAL = 10.0  # seconds between two log lines of totals
+STARTING_CHECK_INTERVAL = 0.02  # The interval in seconds until the program is ready.
+TOTALS_INTERVAL = 10.0  # Totals are logged at this interval in seconds.
 
 log = structlog.get_logger()
 
@@ -62,7 +62,7 @@
 
 
 def log_totals(gateway: Gateway, lateness: LoopLateness | None = None) -> None:
-    """Log what is open now, the counters since the start, and how late the event loop was."""
+    """Log the open requests and connections, the counters since startup, and how late the event loop was."""
     log.info(
         "totals",
         open_requests=len(gateway.core.requests),
@@ -75,7 +75,7 @@
 
 
 def log_client_counts(gateway: Gateway) -> None:
-    """Log how the connections of clients have ended since the start, and what the front itself responded."""
+    """Log, since startup, why client connections were closed and which responses the front itself sent."""
     closes = {f"closed_{reason.value}": count for reason, count in gateway.clients.listener.closes.items()}
     responses = {f"status_{status}": count for status, count in gateway.clients.gateway_responses.items()}
     log.info("client_counts", **closes, **responses)
--- a/lockspoke/lifecycle/phases.py
+++ b/lockspoke/lifecycle/phases.py
@@ -1,4 +1,4 @@
-"""The phases that the program goes through from start to exit."""
+"""The phases of the program from start to exit."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class ProgramPhase(Enum):
-    """Where the program is between start and exit; the values appear in logs and on the operators' port."""
+    """The phases of the program; the values appear in logs and in responses on the operators' port."""
 
-    STARTING = "starting"  # no replica is known yet: not ready for requests
+    STARTING = "starting"  # Not ready for requests because no replica is known yet.
     READY = "ready"
-    DRAINING = "draining"  # SIGTERM was received: open requests finish, new ones are still served
-    REJECTING = "turning_away"  # draining, but new requests are rejected: their streams could be cut off
+    DRAINING = "draining"  # SIGTERM was received. Open requests finish, and new ones are still served.
+    REJECTING = "turning_away"  # Draining, but new requests are rejected as their streams could be cut off.
     STOPPED = "stopped"
 
 
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         self.phase = ProgramPhase.STARTING
-        # Requests that arrive are still served, but the gateway reports that it wants no more.
+        # Requests are still served, but the gateway reports to clients that it isn't available.
         self.out_of_service = False
 
     @property
@@ -34,7 +34,7 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether a graceful shutdown is under way."""
+        """Whether a graceful shutdown is in progress."""
         return self.phase in (ProgramPhase.DRAINING, ProgramPhase.REJECTING)
 
     @property
@@ -43,6 +43,6 @@
         return self.is_ready and not self.out_of_service
 
     def enter(self, phase: ProgramPhase) -> None:
-        """Change to a phase and log it."""
+        """Enter a phase and log the change."""
         log.info("phase", now=phase.value, before=self.phase.value)
         self.phase = phase
--- a/lockspoke/lifecycle/platform_discovery.py
+++ b/lockspoke/lifecycle/platform_discovery.py
@@ -9,10 +9,10 @@
 
 
 class PlatformDiscovery(DiscoveryWatch):
-    """Watches the platform's discovery service and follows it when a reload changes its address."""
+    """Watches the platform's discovery service, also after a reload that changes its address."""
 
     def __init__(self, config: GatewayConfig) -> None:
-        """Raises ConfigError if the configuration names no discovery service."""
+        """Create a stopped watch. Raises ConfigError if the configuration has no discovery address."""
         if config.discovery is None:
             raise ConfigError("discovery is missing")
         super().__init__(
@@ -21,11 +21,11 @@
         self._config = config
 
     def initial_list(self) -> ReplicaListUpdate | None:
-        """The list in the configuration file, if it has one."""
+        """Return the list in the configuration file, if it has one."""
         return self._config.initial_list
 
     def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
-        """Follow a change of address; a watch that starts again also fetches the complete list."""
+        """Restart the watch, which fetches the complete list, if the address changed or the core needs it."""
         moved = config.discovery != self._config.discovery
         self._config = config
         self.hold_ms = hold_duration_ms(config.settings.gateway_index, config.settings.gateway_count)
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -31,14 +31,14 @@
     async def run(self) -> None:
         """Start the gateway, serve until SIGTERM or SIGINT, and shut down gracefully.
 
-        Raises ConfigError if there is no endpoint list to start with, and OSError if it can't listen.
+        Raises ConfigError if there is no valid endpoint list to start with, and OSError if listening fails.
         """
         self._handle_signals()
         self._load_endpoint_list()
         self._listen()
         for subsystem in self._gateway.subsystems:
             subsystem.start()
-        gc.freeze()  # what is loaded now lives as long as the process: later collections need not visit it
+        gc.freeze()  # Excludes the objects created so far from garbage collection, as they are never freed.
         checks = asyncio.ensure_future(PeriodicChecks(self._gateway).run())
         await self._stop.wait()
         await GracefulShutdown(self._gateway).run()
@@ -50,8 +50,8 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._reloader.reload)
-        # Blocked since the process began: a SIGHUP sent meanwhile may be about a newer file than the one
-        # that was read.
+        # SIGHUP was blocked since the start of the process, so one that was sent meanwhile is delivered now.
+        # It may concern a newer configuration file than the one that was read.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
 
     def _load_endpoint_list(self) -> None:
@@ -67,8 +67,8 @@
 
     def _listen(self) -> None:
         gateway = self._gateway
-        # During an upgrade the new version runs beside the old one at the same address; operators need their
-        # port to see when it is ready.
+        # During an upgrade the new version runs alongside the old one at the same address. That is possible
+        # only with an operators' port, which operators need to see when the new version is ready.
         shared = gateway.operators is not None
         host, port = gateway.clients.listener.listen(gateway.config.listen, shared=shared)
         log.info("listening", host=host, port=port, replicas=gateway.replica_set.ready_count)
--- a/lockspoke/lifecycle/reload.py
+++ b/lockspoke/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration files again on SIGHUP and puts them in force, all or none."""
+"""Rereads the configuration files on SIGHUP and applies either all of them or none."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from .config_file import read_config
 from .subsystems import Section
 
-SectionReader = Callable[[], Sequence[Section]]  # reads the edge file as it is now
+SectionReader = Callable[[], Sequence[Section]]  # reads the current edge file
 
 log = structlog.get_logger()
 
@@ -19,8 +19,8 @@
 class ConfigReloader:
     """Reloads the configuration of a running gateway.
 
-    Name, addresses to listen at and seed are used only at the start. So is the endpoint list in the file:
-    the one from discovery is newer.
+    The gateway's name, its listen addresses and the seed are used only at startup. So is the endpoint list in
+    the file, because the list from discovery is newer.
     """
 
     def __init__(
@@ -31,10 +31,10 @@
         self._read_sections = read_sections
 
     def reload(self) -> None:
-        """Put the files as they are now in force; if one can't be used, the old configuration stays."""
-        before = self._gateway.config
+        """Apply the current files; if any of them is invalid, keep the old configuration."""
+        previous = self._gateway.config
         try:
-            config = read_config(self._environment, before)
+            config = read_config(self._environment, previous)
             commits = self._prepare_subsystems(config)
         except ConfigError as error:
             log.error("reload_rejected", reason=str(error))
@@ -42,10 +42,10 @@
         self._gateway.apply(config)
         for commit in commits:
             commit()
-        log.info("reloaded", discovery_moved=config.discovery != before.discovery)
+        log.info("reloaded", discovery_moved=config.discovery != previous.discovery)
 
     def _prepare_subsystems(self, config: GatewayConfig) -> list[Callable[[], None]]:
-        """Have each subsystem check its new settings; returns what puts them in force."""
+        """Have each subsystem validate its new settings; returns the functions that apply them."""
         subsystems = self._gateway.subsystems
         sections = {section.name: section.settings for section in self._read_sections()}
         running = {subsystem.name for subsystem in subsystems}
--- a/lockspoke/lifecycle/subsystems.py
+++ b/lockspoke/lifecycle/subsystems.py
@@ -1,7 +1,7 @@
-"""Interfaces of what plugs into the program: subsystems and sources of the endpoint list.
+"""Interfaces of the optional parts of the program: subsystems and sources of the endpoint list.
 
-Each subsystem is configured by a section of the edge file. Its module is imported only where the file has
-that section, so that a gateway without it loads none of its libraries.
+Each subsystem is configured by a section of the edge file. Its module is imported only if the file has that
+section, so that a gateway without the subsystem loads none of its libraries.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from .config import GatewayConfig
 
 if TYPE_CHECKING:
-    import msgspec  # loaded only where there is an edge file
+    import msgspec  # loaded at run time only if there is an edge file
 
-# The module of each section; see SubsystemModule for what it holds.
+# The module that implements each section; it has the members of SubsystemModule.
 SUBSYSTEM_MODULES = {
     "address": "lockspoke.address.subsystem",
     "batch": "lockspoke.batch.subsystem",
@@ -31,102 +31,104 @@
 
 
 class EndpointListSource(Protocol):
-    """Where the endpoint list comes from. A gateway has one; it is the core's discovery as well."""
+    """Supplies the endpoint list. A gateway has one source, which the core uses as its discovery."""
 
-    first_poll_finished: bool  # whether the first request for changes has ended, with or without success
+    first_poll_finished: bool  # Whether the first request for changes has succeeded or failed.
 
     def attach(self, listener: EndpointListListener) -> None:
-        """Report changes to this listener; called once, before `initial_list` and `watch`."""
+        """Set the listener to notify of changes; called once, before `initial_list` and `watch`."""
 
     def initial_list(self) -> ReplicaListUpdate | None:
-        """The list to start with, if there is one yet. Raises ConfigError if there can't be one."""
+        """Return the list to start with, if it is known yet. Raises ConfigError if there is no valid one."""
 
     @property
     def has_unread_changes(self) -> bool:
-        """Whether changes have arrived that are not in force yet."""
+        """Whether changes have arrived that have not been applied yet."""
 
     def watch(self, enable: bool) -> None:
-        """Start or stop notifying the core of changes. Starting twice is the same as once."""
+        """Start or stop notifying the listener of changes. Starting again has no effect."""
 
     def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
-        """Take a changed configuration; the core may need the complete list again for it."""
+        """Apply a changed configuration, which may require the core to get the complete list again."""
 
     def close(self) -> None:
-        """Stop for good."""
+        """Stop permanently."""
 
 
 class Subsystem(Protocol):
-    """One section of the edge file at work. The program calls the methods in the order they have here.
+    """The running part of the program that a section of the edge file configures.
 
-    A reload is all or nothing: `prepare_reload` of each subsystem is called first, and only if none raises
-    ConfigError are the functions called that they returned. Those must not fail.
+    The program calls the methods in the order in which they stand here.
+
+    A reload is all or nothing. `prepare_reload` of every subsystem is called first. Only if none of them
+    raises ConfigError, the functions that they returned are called; these must not fail.
     """
 
     name: str
-    descriptors: int  # file descriptors that its connections may use
-    endpoint_list_source: EndpointListSource | None  # None unless it feeds the replica set
+    descriptors: int  # the maximum number of file descriptors for its connections
+    endpoint_list_source: EndpointListSource | None  # None unless it supplies the endpoint list
 
     def attach(self, core: Core, clients: ClientFront) -> None:
-        """Connect to the core and the clients' port. Raises ConfigError if it can't start."""
+        """Connect to the core and the client front. Raises ConfigError if the subsystem can't start."""
 
     def start(self) -> None:
-        """Start working in the running event loop."""
+        """Start in the running event loop."""
 
     def run_periodic_checks(self) -> None:
-        """Enforce time limits; called several times a second."""
+        """Enforce timeouts; called several times a second."""
 
-    # Each implementation takes its own settings type, which a common type of the parameter would not allow.
+    # Any, because each implementation accepts only its own settings type.
     def prepare_reload(self, settings: Any, gateway: GatewayConfig) -> Callable[[], None]:
-        """Check new settings; returns what puts them in force. Raises ConfigError if they can't be."""
+        """Validate new settings; returns a function that applies them. Raises ConfigError if invalid."""
 
     async def drain(self) -> None:
-        """Accept no new work and finish what is open; returns when that is done."""
+        """Accept no new work and finish the work in progress; returns when that is done."""
 
     def stop(self) -> None:
-        """Stop for good, after the drain."""
+        """Stop permanently, after the drain."""
 
     def status(self) -> dict[str, Any]:
-        """The current state, as values that JSON can hold."""
+        """Return the current state as JSON-serializable values."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubsystemContext:
-    """What a subsystem is created with, besides its own settings."""
+    """What a subsystem needs for its creation besides its own settings."""
 
     gateway: GatewayConfig
     environment: Mapping[str, str]
-    folder: Path  # that the edge file is in
+    folder: Path  # the folder of the edge file
 
 
 class SubsystemFactory(Protocol):
     """The function `create` of a subsystem's module."""
 
     def __call__(self, settings: Any, context: SubsystemContext, /) -> Subsystem:
-        """Create the subsystem. Raises ConfigError, which names the key that is wrong."""
+        """Create the subsystem. Raises ConfigError if a key of its settings is invalid."""
 
 
 class SubsystemModule(Protocol):
-    """What the module of a subsystem holds."""
+    """The members that the module of a subsystem must have."""
 
-    settings_type: type[msgspec.Struct]  # the schema of its section
+    settings_type: type[msgspec.Struct]  # the schema of the section
     create: SubsystemFactory
 
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A section of the edge file that has been read and checked."""
+    """A section of the edge file that has been read and validated."""
 
     name: str
-    settings: Any  # an instance of its module's settings_type
+    settings: Any  # an instance of the module's settings_type
     create: SubsystemFactory
 
 
 def subsystem_module(section: str) -> SubsystemModule:
-    """Import the module of a section."""
+    """Import the module that implements a section."""
     return cast(SubsystemModule, importlib.import_module(SUBSYSTEM_MODULES[section]))
 
 
 def find_endpoint_list_source(subsystems: Iterable[Subsystem]) -> EndpointListSource | None:
-    """The source of the endpoint list among the subsystems, if there is one."""
+    """Return the endpoint list source among the subsystems, or None if no subsystem has one."""
     sources = (subsystem.endpoint_list_source for subsystem in subsystems)
     return next((source for source in sources if source is not None), None)
--- a/lockspoke/lifecycle/toml_lines.py
+++ b/lockspoke/lifecycle/toml_lines.py
@@ -1,4 +1,4 @@
-"""Finds the lines of keys in a TOML text; the standard library's parser doesn't give them."""
+"""Finds the line numbers of keys in a TOML text, which the parser of the standard library doesn't report."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 def key_lines(text: str) -> dict[KeyPath, int]:
-    """The number of the line where each key and table begins; keys in inline tables are left out."""
+    """Return the line number at which each key and table begins, without keys in inline tables."""
     lines: dict[KeyPath, int] = {}
     table: KeyPath = ()
     for number, line in enumerate(text.split("\n"), 1):
         if match := _TABLE_HEADER.match(line):
-            table = _split(match[1])
+            table = _split_key(match[1])
             lines.setdefault(table, number)
         elif match := _ASSIGNMENT.match(line):
-            lines.setdefault((*table, *_split(match[1])), number)
+            lines.setdefault((*table, *_split_key(match[1])), number)
     return lines
 
 
-def _split(dotted: str) -> KeyPath:
+def _split_key(dotted: str) -> KeyPath:
     return tuple(key.strip("\"'") for key in re.findall(_KEY, dotted))
--- a/lockspoke/rate_limited_log.py
+++ b/lockspoke/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log lines about something that may happen very often: one per interval, the rest counted."""
+"""Rate-limited logging of frequent events: one line per interval, with a count of the omitted lines."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 import structlog
 
-LOG_INTERVAL = 1.0  # seconds between two lines of one event
+LOG_INTERVAL = 1.0  # The minimum time in seconds between two lines of an event.
 
 log = structlog.get_logger()
 
 
 class RateLimitedLog:
-    """Logs one event at most once per interval; the next line says how many were left out."""
+    """Logs an event at most once per interval; each line has the number of lines omitted before it."""
 
     def __init__(self, event: str) -> None:
         self._event = event
@@ -20,10 +20,10 @@
         self._left_out = 0
 
     def info(self, now: float, **fields: Any) -> None:
-        """Log the event, unless it was logged less than an interval ago.
+        """Log the event unless it was logged less than one interval ago.
 
         Args:
-            now: Seconds of any monotonic clock.
+            now: The current time in seconds of any monotonic clock.
             fields: The fields of the line.
         """
         if self._logged_at is not None and now - self._logged_at < LOG_INTERVAL:
--- a/lockspoke/steady_unix_time.py
+++ b/lockspoke/steady_unix_time.py
@@ -1,4 +1,4 @@
-"""Unix time that runs on steadily though the wall clock is set while the process runs."""
+"""Unix time that is not affected when the wall clock is set while the process runs."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 from lockspoke.units import SECOND
 
-_OFFSET = time.time_ns() - time.monotonic_ns()  # the Unix time of the monotonic clock's zero, in nanoseconds
+_OFFSET = time.time_ns() - time.monotonic_ns()  # the Unix time at monotonic time 0, in nanoseconds
 
 
 def steady_unix_time_ns() -> int:
-    """Return nanoseconds since the Unix epoch: the wall clock at the start, and the real time since then."""
+    """Return nanoseconds since the Unix epoch: the wall-clock time at import plus the time since then."""
     return _OFFSET + time.monotonic_ns()
 
 
 def steady_unix_time() -> float:
-    """Return the same in seconds."""
+    """Return seconds since the Unix epoch, from the same clock as `steady_unix_time_ns`."""
     return steady_unix_time_ns() / SECOND
