--- a/tests/lifecycle/support.py
+++ b/tests/lifecycle/support.py
@@ -1,4 +1,4 @@
-"""What the tests of the running program share."""
+"""Helpers shared by the tests that run the program."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def run(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
-    """A test that runs in an event loop of its own."""
+    """Decorate a coroutine function as a test that runs in its own event loop."""
 
     def wrapped() -> None:
         asyncio.run(test())
@@ -23,7 +23,7 @@
 
 
 def responds_with(text: bytes) -> Callable[[asyncio.StreamWriter], Awaitable[None]]:
-    """A replica's script that sends these bytes."""
+    """Return a script for a fake replica that sends these bytes."""
 
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(text)
--- a/tests/lifecycle/test_connections.py
+++ b/tests/lifecycle/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients and replicas: limits, idle time and backpressure."""
+"""Tests of connections of clients and replicas: limits, idle timeouts and backpressure."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 @run
-async def test_hundreds_of_silent_connections_do_not_crowd_out_active_ones() -> None:
+async def test_silent_connections_do_not_block_active_clients() -> None:
     async with FakeReplica() as replica, Program(replica, sockets=120) as program:
         silent = [socket.create_connection(("127.0.0.1", program.port)) for _ in range(300)]
         for number in range(1, 6):
             async with Client(program.port) as client:
                 assert (await client.request(request_bytes(number)))[0] == 200
         for one in silent:
-            one.settimeout(6.0)  # it is closed within 3 s of connecting; the rest is for a busy machine
+            one.settimeout(6.0)  # The gateway closes it within 3 s; the rest allows for a busy machine.
             with contextlib.suppress(ConnectionError):
                 assert one.recv(1) == b""
             one.close()
@@ -41,7 +41,7 @@
 
 
 class UnavailableDiscovery(FakeDiscovery):
-    """While it is down it closes each connection without a response."""
+    """A discovery service that can be made to close each connection without a response."""
 
     down = False
 
@@ -58,7 +58,7 @@
 
 
 @run
-async def test_idle_clients_that_use_all_descriptors_block_neither_the_watch_nor_requests() -> None:
+async def test_idle_clients_at_the_limit_block_neither_the_watch_nor_requests() -> None:
     async with FakeReplica() as old, FakeReplica() as new, UnavailableDiscovery() as discovery:
         discovery.change(old)
         async with Program(old, discovery=discovery, sockets=120) as program:
@@ -77,7 +77,8 @@
 
 
 @run
-async def test_a_client_that_reads_nothing_throttles_its_replica_and_fills_no_memory() -> None:
+async def test_a_client_that_does_not_read_throttles_its_replica() -> None:
+    """The memory that the gateway uses for the stream stays limited."""
     sent = 0
 
     async def script(writer: asyncio.StreamWriter) -> None:
@@ -106,12 +107,12 @@
 
 
 @run
-async def test_clients_beyond_the_limit_replace_an_idle_one_or_wait() -> None:
-    go = asyncio.Event()
+async def test_clients_beyond_the_limit_replace_an_idle_client_or_wait() -> None:
+    may_finish = asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD + chunk(EVENTS[0]))
-        await go.wait()
+        await may_finish.wait()
         writer.write(chunk(STREAM_TAIL) + chunk(b""))
 
     async with contextlib.AsyncExitStack() as stack:
@@ -119,17 +120,18 @@
         program = await stack.enter_async_context(Program(replica, sockets=70))  # enough for 8 clients
         idle = [await stack.enter_async_context(Client(program.port)) for _ in range(7)]
         assert [(await one.request(UP))[0] for one in idle] == [200] * 7
-        await asyncio.sleep(0.3)  # a connection that was just opened does not count as idle
+        await asyncio.sleep(0.3)  # A connection that was just opened does not count as idle.
         clients = [await stack.enter_async_context(Client(program.port)) for _ in range(10)]
         responses = [asyncio.ensure_future(one.request(request_bytes(n))) for n, one in enumerate(clients)]
         await until(lambda: len(replica.seen) == 8)
         assert program.log("clients_at_limit") is not None
-        go.set()  # the others have waited in the kernel's backlog
+        may_finish.set()  # The other connections have waited in the kernel's backlog.
         assert [(await response)[0] for response in responses] == [200] * 10
 
 
 @run
-async def test_idle_connections_to_replicas_are_closed_before_the_replica_closes_them() -> None:
+async def test_idle_connections_to_replicas_are_closed_after_keepalive() -> None:
+    """The gateway closes them before the replica does."""
     async with FakeReplica() as replica, Program(replica, keepalive=SECOND) as program:
         async with Client(program.port) as client:
             assert (await client.request(request_bytes(1)))[0] == 200
@@ -140,7 +142,7 @@
 
 @run
 async def test_without_keepalive_each_request_has_its_own_connection() -> None:
-    """0 is a valid setting: connections are not reused."""
+    """A keepalive of 0 is valid and means that connections are not reused."""
     async with FakeReplica() as replica, Program(replica, keepalive=0) as program:
         async with Client(program.port) as client:
             for number in range(1, 4):
@@ -150,11 +152,11 @@
 
 
 @run
-async def test_idle_time_is_shortened_where_a_replica_closes_connections_early() -> None:
+async def test_keepalive_is_shortened_if_a_replica_closes_connections_early() -> None:
     answered: set[asyncio.StreamWriter] = set()
 
     async def script(writer: asyncio.StreamWriter) -> None:
-        if writer in answered:  # it has timed out, and resets only at the next request
+        if writer in answered:  # The idle connection has timed out, but is reset only at the next request.
             return writer.transport.abort()
         answered.add(writer)
         writer.write(STREAM_HEAD + chunk(STREAM_TAIL) + chunk(b""))
@@ -165,7 +167,7 @@
         while len(replica.seen) == len(replica.writers):
             number += 1
             status = (await client.request(request_bytes(number)))[0]
-        assert status == 502  # it may have run, so it is not retried
+        assert status == 502  # The request may have run, so it is not retried.
         for number in range(100, 103):
             assert (await client.request(request_bytes(number)))[0] == 200
-            await until(lambda: replica.closed == len(replica.writers))  # idle for a quarter of a second
+            await until(lambda: replica.closed == len(replica.writers))  # after 0.25 s without a request
--- a/tests/lifecycle/test_endpoint_list.py
+++ b/tests/lifecycle/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list from discovery, as the program in a process of its own uses it."""
+"""Tests of how the program, run in its own process, uses the endpoint list from discovery."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 @run
-async def test_discovery_is_watched_without_a_pause_and_malformed_responses_change_nothing() -> None:
+async def test_discovery_is_watched_and_malformed_responses_change_nothing() -> None:
     async with FakeReplica() as old, FakeReplica() as new, FakeDiscovery() as discovery:
         discovery.targets = [{"uid": 5}]
         discovery.raw = b'{"rev": 2, "all": true, "targets": [{"uid": 5}]}'
         async with Program(old, discovery=discovery) as program, Client(program.port) as client:
             await until(lambda: program.log("discovery_failing") is not None)
-            assert (await client.request(request_bytes(1)))[0] == 200  # the old list holds
+            assert (await client.request(request_bytes(1)))[0] == 200  # the old list is still used
             assert len(old.seen) == 1
             discovery.change(new)
             await until(lambda: program.log("endpoint_list_changed") is not None)
@@ -28,8 +28,8 @@
 
 
 @run
-async def test_implausible_lists_leave_the_replicas_in_use() -> None:
-    """An empty list, or one that names a replica twice, would end all service at once."""
+async def test_an_implausible_list_is_not_applied() -> None:
+    """An empty list or one with a duplicate replica would leave the gateway without replicas."""
     for twice in (False, True):
         async with FakeReplica() as replica, FakeDiscovery() as discovery:
             discovery.change(replica)
@@ -43,8 +43,8 @@
 
 
 @run
-async def test_a_contradictory_drain_and_a_confirmed_empty_list_are_obeyed() -> None:
-    """The rule on drains applies to each published list, plausible or not."""
+async def test_a_contradictory_drain_and_a_confirmed_empty_list_are_applied() -> None:
+    """A published drain must be obeyed even if the list that contains it is implausible."""
     for twice in (False, True):
         async with FakeReplica() as replica, FakeDiscovery() as discovery:
             discovery.rev = 9
@@ -56,8 +56,8 @@
 
 
 @run
-async def test_with_pushed_lists_the_program_is_ready_once_discovery_has_responded() -> None:
-    """A change counts from the moment discovery publishes it, and the configured list may be older."""
+async def test_with_pushed_lists_the_program_is_ready_after_the_first_response() -> None:
+    """A change is binding as soon as discovery publishes it, and the configured list may be outdated."""
 
     class DelayedDiscovery(FakeDiscovery):
         def __init__(self) -> None:
--- a/tests/lifecycle/test_faulty_system.py
+++ b/tests/lifecycle/test_faulty_system.py
@@ -1,4 +1,4 @@
-"""The program serves on while system calls fail for a moment, as Linux documents, and clocks are set."""
+"""Tests that the program keeps serving while system calls fail temporarily, as Linux documents."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def error_lines(program: Program) -> list[str]:
-    """What nobody has caught."""
+    """Return the log lines of errors and uncaught exceptions."""
     return [line for line in program.raw_logs if '"level": "error"' in line or "Traceback" in line]
 
 
@@ -32,13 +32,13 @@
     ("faults", "answers"),
     [
         (FaultSettings(seed=1, accept_share=0.3), {200}),
-        # The only replica cannot be reached for a moment: the client may try again without harm.
+        # The only replica is temporarily unreachable: the client may retry safely.
         (FaultSettings(seed=2, connect_share=0.1, socket_share=0.05), {200, 503}),
         (FaultSettings(seed=3, short_share=0.5), {200}),
     ],
     ids=["accept", "connect", "short"],
 )
-def test_faults_of_a_moment_cost_no_answer_and_raise_nothing(
+def test_temporary_faults_lose_no_response_and_raise_nothing(
     faults: FaultSettings, answers: set[int]
 ) -> None:
     @run
@@ -55,7 +55,7 @@
 
 
 @run
-async def test_connections_that_break_otherwise_than_by_a_reset_raise_nothing() -> None:
+async def test_connections_that_break_without_a_reset_raise_nothing() -> None:
     faults = FaultSettings(seed=4, break_share=0.05)
     async with FakeReplica() as replica, faulty_program(replica, faults) as program:
         statuses = [await served(program, number) for number in range(1, REQUESTS)]
@@ -66,8 +66,8 @@
 
 
 @run
-async def test_connections_in_the_queue_are_answered_though_accept_fails_at_the_stop() -> None:
-    """Their requests were written before the gateway stopped to listen."""
+async def test_queued_connections_are_answered_if_accept_fails_at_shutdown() -> None:
+    """Their requests were written before the gateway stopped listening."""
     faults = FaultSettings(seed=5, accept_share=1.0, accept_until=2.5)
     async with FakeReplica() as replica, faulty_program(replica, faults) as program:
         clients = [Client(program.port) for _ in range(10)]
--- a/tests/lifecycle/test_graceful_shutdown.py
+++ b/tests/lifecycle/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown on SIGTERM."""
+"""Tests of the graceful shutdown on SIGTERM."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 @run
-async def test_sigterm_serves_open_requests_and_those_that_still_arrive() -> None:
-    go = asyncio.Event()
+async def test_sigterm_serves_open_and_newly_arriving_requests() -> None:
+    may_finish = asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD + chunk(EVENTS[0]))
-        await go.wait()
+        await may_finish.wait()
         writer.write(chunk(STREAM_TAIL) + chunk(b""))
 
     async with FakeReplica(script) as replica, Program(replica) as program, Client(program.port) as client:
@@ -35,10 +35,10 @@
         await until(lambda: len(replica.seen) == 1)
         program.process.terminate()
         await until(lambda: program.log("phase", now="draining") is not None)
-        async with Client(program.port) as late:  # a client that doesn't know of the shutdown yet
+        async with Client(program.port) as late:  # This client doesn't know of the shutdown yet.
             late_request = asyncio.ensure_future(late.request(request_bytes(2)))
             await until(lambda: len(replica.seen) == 2)
-            go.set()
+            may_finish.set()
             for response in (open_request, late_request):
                 status, fields, body, complete = await response
                 assert (status, body, complete) == (200, EVENTS[0] + STREAM_TAIL, True)
@@ -47,8 +47,8 @@
 
 
 @run
-async def test_sigterm_hands_off_streams_that_would_be_open_at_the_kill() -> None:
-    """Where clients resume streams; a stream without an end would be lost with the program."""
+async def test_sigterm_hands_off_streams_before_the_kill() -> None:
+    """Clients resume streams here. An endless stream would otherwise be cut off by the kill."""
     async with FakeReplica(stream_endlessly) as replica:
         program = Program(replica, familyInfo={"resume": True})
         async with program, Client(program.port) as client:
@@ -61,8 +61,8 @@
 
 
 @run
-async def test_sigterm_hands_off_a_request_that_arrives_after_all_others_finished() -> None:
-    """It must not be lost in the kill because nothing was open before it arrived."""
+async def test_sigterm_hands_off_a_request_that_arrives_when_none_is_open() -> None:
+    """The shutdown must not stop handing off when no request is open, or this request is lost."""
 
     async def refused(port: int) -> bool:
         try:
@@ -89,7 +89,7 @@
 
 @run
 async def test_sigterm_rejects_requests_that_arrive_too_late_to_finish() -> None:
-    """Where clients don't resume streams: one accepted 0.7 s after SIGTERM is lost if the kill cuts it."""
+    """Clients don't resume streams here, so one accepted 0.7 s after SIGTERM would be lost in the kill."""
     async with contextlib.AsyncExitStack() as stack:
         replica = await stack.enter_async_context(FakeReplica(stream_endlessly))
         program = await stack.enter_async_context(Program(replica))
@@ -107,11 +107,11 @@
 
 
 @run
-async def test_a_reload_during_the_shutdown_that_ends_the_resumption_of_streams_is_obeyed() -> None:
-    """From then on a request that comes too late to finish is rejected, as if it had been so at SIGTERM.
+async def test_a_reload_during_shutdown_can_disable_resumption() -> None:
+    """After the reload, requests that arrive too late to finish are rejected.
 
-    What happened: such a request was accepted, its stream was not handed off, as its client would not resume
-    it, and the kill cut it. Why: whether to reject late requests was decided once, at SIGTERM.
+    Guards against deciding only once, at SIGTERM, whether to reject late requests. Such a request was then
+    accepted, its stream was not handed off because its client would not resume it, and the kill cut it off.
     """
     async with contextlib.AsyncExitStack() as stack:
         replica = await stack.enter_async_context(FakeReplica(stream_endlessly))
@@ -132,8 +132,8 @@
 
 
 @run
-async def test_a_reload_during_the_shutdown_that_begins_the_resumption_of_streams_is_obeyed() -> None:
-    """From then on late requests are accepted: what is open before the kill is handed off."""
+async def test_a_reload_during_shutdown_can_enable_resumption() -> None:
+    """After the reload, late requests are accepted, as those open before the kill are handed off."""
     async with contextlib.AsyncExitStack() as stack:
         replica = await stack.enter_async_context(FakeReplica(stream_endlessly))
         program = await stack.enter_async_context(Program(replica, familyInfo={"resume": False}))
--- a/tests/lifecycle/test_periodic_checks.py
+++ b/tests/lifecycle/test_periodic_checks.py
@@ -1,4 +1,4 @@
-"""Periodic work never delays an event by 0.3 s, in a fleet of the largest size."""
+"""Tests that periodic work never delays an event by 0.3 s, even in a fleet of the maximum size."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tests.peers import Gateway, ScriptedServer
 
 REPLICA_COUNT = 1024
-MAX_CPU_TIME = 0.3  # seconds of CPU: a busy machine must not decide the test
+MAX_CPU_TIME = 0.3  # In seconds of CPU time, so that the result doesn't depend on other processes.
 
 
 def endpoint_list_body(boot_ms: int) -> bytes:
-    """A complete list as discovery may write it, indented."""
+    """Return a complete, indented list, as discovery may send it."""
     replicas = [
         {"uid": f"s-{n}", "endpoint": f"127.0.0.1:{n + 1}", "az": "z", "state": "up", "boot_ms": boot_ms}
         for n in range(REPLICA_COUNT)
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("work", [all_replicas_restart, all_replicas_are_removed, periodic_checks])
-def test_periodic_work_is_done_within_the_time_an_event_may_be_delayed(
+def test_periodic_work_takes_less_time_than_an_event_may_be_delayed(
     work: Callable[[Gateway], None],
 ) -> None:
     async def cpu_time() -> float:
--- a/tests/lifecycle/test_program.py
+++ b/tests/lifecycle/test_program.py
@@ -1,4 +1,4 @@
-"""Start of the program in a process of its own."""
+"""Tests of the start of the program in its own process."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 
 
 @run
-async def test_twenty_programs_that_start_at_once_on_two_cores_are_ready_in_time() -> None:
+async def test_twenty_programs_started_at_once_are_ready_in_time() -> None:
+    """They share two cores."""
     cores, loop = os.sched_getaffinity(0), asyncio.get_running_loop()
 
     async def ready(start: Awaitable[Program]) -> float:
@@ -33,7 +34,7 @@
     async with contextlib.AsyncExitStack() as stack:
         replica = await stack.enter_async_context(FakeReplica())
         started_at = loop.time()
-        os.sched_setaffinity(0, sorted(cores)[:2])  # inherited by the programs
+        os.sched_setaffinity(0, sorted(cores)[:2])  # inherited by the processes
         try:
             starts = [ready(stack.enter_async_context(Program(replica))) for _ in range(20)]
             took = sorted(when - started_at for when in await asyncio.gather(*starts))
@@ -44,7 +45,7 @@
 
 
 @pytest.mark.parametrize("raw", ["", "[]", '{"settings": {}}', '{"listen": "a"}'])
-def test_an_invalid_configuration_ends_the_program_with_one_line(tmp_path: Any, raw: str) -> None:
+def test_an_invalid_configuration_ends_the_program_with_one_error_line(tmp_path: Any, raw: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(raw)
     done = subprocess.run(
@@ -59,8 +60,8 @@
     assert done.returncode == 2 and done.stderr.startswith("lockspoke: ") and done.stderr.count("\n") == 1
 
 
-def test_the_platforms_command_ignores_sighup_from_its_first_instruction() -> None:
-    """Until the interpreter runs the program's first line, the default action would end it."""
+def test_the_run_command_ignores_sighup_from_the_start() -> None:
+    """Until the program runs its first line, the default action of SIGHUP would terminate the process."""
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
     shown = run.replace(".venv/bin/python -B -m lockspoke", "grep SigIgn /proc/self/status")
     assert shown != run
--- a/tests/lifecycle/test_reconnecting_crowd.py
+++ b/tests/lifecycle/test_reconnecting_crowd.py
@@ -1,4 +1,4 @@
-"""Clients that reconnect whenever an idle connection is closed must not hold the event loop."""
+"""Tests that clients that reconnect whenever an idle connection is closed don't block the event loop."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 from .support import run
 
-CROWD_SIZE = 900  # connections, of which the gateway can hold two thirds
+CROWD_SIZE = 900  # Connections, of which the gateway can keep two thirds open.
 SOCKETS = 1230
 CROWD_SECONDS = 6.0
-CROWD_FILL_SECONDS = 1.0  # until the gateway is at its limit
+CROWD_FILL_SECONDS = 1.0  # The gateway reaches its connection limit within this time.
 REQUESTS = 20
-MAX_RESPONSE_TIME = 1.0  # seconds: the end of a stream is to be passed on within this time
-# In a process of its own: connects anew for each connection that the gateway closes.
+MAX_RESPONSE_TIME = 1.0  # The end of a stream must be forwarded within this many seconds.
+# Runs in its own process and reconnects whenever the gateway closes a connection.
 CROWD = """
 import selectors, socket, sys, time
 port, size, seconds = int(sys.argv[1]), int(sys.argv[2]), float(sys.argv[3])
@@ -50,14 +50,14 @@
 
 
 class ReconnectingClient:
-    """Sends its request again on a new connection if the gateway has closed the one that rested."""
+    """Resends its request on a new connection if the gateway has closed the idle connection."""
 
     def __init__(self, port: int) -> None:
         self.port = port
         self.connection: Client | None = None
 
     async def request(self, number: int) -> float:
-        """Seconds until the complete response."""
+        """Send a request; returns the seconds until the complete response."""
         started_at = time.monotonic()
         status = 0
         while not status:
@@ -73,8 +73,8 @@
 
 
 @run
-async def test_a_crowd_that_reconnects_does_not_delay_responses() -> None:
-    """At the limit each new connection displaces an idle one."""
+async def test_reconnecting_clients_do_not_delay_responses() -> None:
+    """At the connection limit, each new connection replaces an idle one."""
     times: list[float] = []
     async with FakeReplica() as replica, Program(replica, sockets=SOCKETS) as program:
         client = ReconnectingClient(program.port)
--- a/tests/lifecycle/test_reload.py
+++ b/tests/lifecycle/test_reload.py
@@ -1,4 +1,4 @@
-"""Reloads of the configuration on SIGHUP."""
+"""Tests of reloads of the configuration on SIGHUP."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @run
-async def test_sighup_changes_to_another_discovery_and_an_invalid_file_changes_nothing() -> None:
+async def test_sighup_applies_a_new_discovery_address_and_rejects_invalid_files() -> None:
     """The address in the file takes precedence over the one in the environment, which is older."""
     async with (
         FakeReplica() as old,
@@ -28,21 +28,21 @@
         second.change(new)
         async with Program(old, discovery=first) as program, Client(program.port) as client:
             assert (await client.request(request_bytes(1)))[0] == 200
-            # The first answer of discovery is logged, too, and on a busy machine that may be later.
+            # The first response of discovery is logged as well, possibly later on a busy machine.
             await until(lambda: program.log("endpoint_list_changed") is not None)
             for bad in ("{", '{"settings": {"profiles": 5}}', '{"limits": {"sockets": "x"}}'):
                 program.raw_logs.clear()
                 program.reload(bad)
                 await until(lambda: "reload_rejected" in "".join(program.raw_logs))
                 lines = [line for line in program.raw_logs if '"event_loop_late"' not in line]
-                assert len(lines) == 1  # one line for any fault
+                assert len(lines) == 1  # one line for each rejected file
             address = f"127.0.0.1:{second.port}"
             moved: dict[str, Any] = {"discovery": address, "limits": {"memory_mb": 64, "sockets": 300}}
             program.reload(**moved)
-            program.reload(**moved)  # twice at once
+            program.reload(**moved)  # a second SIGHUP before the first is handled
             await until(lambda: program.log("reloaded", discovery_moved=True) is not None)
             await until(lambda: any("from=" in request.head.query for request in second.seen))
-            assert "from=" not in second.seen[0].head.query  # each service has its own versions
+            assert "from=" not in second.seen[0].head.query  # each service has its own list versions
             assert (await client.request(request_bytes(2)))[0] == 200  # the connection survived the reload
             assert (len(old.seen), len(new.seen)) == (1, 1)
             program.reload(discovery=f"127.0.0.1:{first.port}")
@@ -51,7 +51,7 @@
 
 BLOCKING_CTYPES = """
 import os, sys
-open(os.environ["GATE"]).close()  # blocks until the test has sent its signal
+open(os.environ["GATE"]).close()  # blocks until the test has sent the signal
 sys.path.remove(os.path.dirname(__file__))
 del sys.modules["ctypes"]
 import ctypes
@@ -59,7 +59,7 @@
 
 
 async def open_writer(fifo: Path) -> Any:
-    """Open the other end of a pipe; returns once the program reads from it."""
+    """Open a named pipe for writing; returns when the program has opened it for reading."""
     return await asyncio.wait_for(asyncio.to_thread(fifo.open, "w"), WAIT_TIMEOUT)
 
 
@@ -70,7 +70,7 @@
         os.mkfifo(gate)
         Path(folder, "ctypes.py").write_text(
             BLOCKING_CTYPES
-        )  # found before the library's, in the middle of the imports
+        )  # imported instead of the standard library's module, amid the other imports
         program = Program(env={"PYTHONPATH": folder, "GATE": str(gate)})
         starting = asyncio.ensure_future(program.__aenter__())
         try:
@@ -85,12 +85,12 @@
 
 @run
 async def test_sighup_between_reading_the_file_and_the_event_loop_is_not_lost() -> None:
-    """Else the program would use the old file: after a move of discovery it would miss each drain."""
+    """Otherwise the program would keep using the old file and, if discovery has moved, miss every drain."""
     async with FakeReplica() as replica, FakeDiscovery() as moved:
         moved.change(replica)
         program = Program(replica)
         program.fifo = True
-        before = signal.signal(signal.SIGHUP, signal.SIG_IGN)  # as in the platform's command
+        before = signal.signal(signal.SIGHUP, signal.SIG_IGN)  # like the platform's command
         starting = asyncio.ensure_future(program.__aenter__())
         await until(lambda: hasattr(program, "process"))
         signal.signal(signal.SIGHUP, before)
@@ -101,7 +101,7 @@
             newer.write_text(json.dumps(program.raw_config | {"discovery": f"127.0.0.1:{moved.port}"}))
             newer.replace(program.config)
             program.process.send_signal(signal.SIGHUP)
-            end.close()  # only now has the program read the older file
+            end.close()  # The program has read the older file only now.
             await starting
             await until(lambda: program.log("reloaded", discovery_moved=True) is not None)
         finally:
--- a/tests/lifecycle/test_requests.py
+++ b/tests/lifecycle/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests and responses through the program in a process of its own."""
+"""Tests of requests and responses that pass through the program in its own process."""
 
 from __future__ import annotations
 
@@ -38,12 +38,12 @@
 
 
 @run
-async def test_events_are_forwarded_as_they_arrive_and_a_broken_stream_ends_without_the_last_chunk() -> None:
-    go = asyncio.Event()
+async def test_events_are_forwarded_at_once_and_a_broken_stream_has_no_last_chunk() -> None:
+    may_continue = asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD + chunk(EVENTS[0]))
-        await go.wait()
+        await may_continue.wait()
         writer.write(chunk(EVENTS[1]))
         await writer.drain()
         writer.close()
@@ -52,27 +52,25 @@
         client.writer.write(request_bytes(1))
         async with asyncio.timeout(30):
             assert EVENTS[0] in await client.reader.readuntil(EVENTS[0])
-        go.set()
+        may_continue.set()
         rest = await asyncio.wait_for(client.reader.read(), 30)
         assert EVENTS[1] in rest and b"0\r\n\r\n" not in rest
 
 
 @run
-async def test_a_request_that_a_replica_rejects_is_retried_elsewhere_or_ends_with_an_overload_response() -> (
-    None
-):
+async def test_a_rejected_request_is_retried_or_gets_an_overload_reply() -> None:
     full = responds_with(b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
     async with FakeReplica(full) as one, FakeReplica(full) as two, Program(one, two) as program:
         async with Client(program.port) as client:
             status, fields, _, complete = await client.request(request_bytes(1, deadline=1000))
-        # The balancer's advice on when to retry, in seconds; the response itself is not delayed by it.
+        # The delay in seconds that the balancer advises before a retry. The response is not delayed.
         assert float(fields["retry-after"]) > 0
         assert (status, complete) == (503, True) and len(one.seen) + len(two.seen) == 3
 
 
 @run
 async def test_each_kind_of_response_counts_as_its_outcome() -> None:
-    """The totals count each shape of response under the outcome that it has for the balancer."""
+    """The totals count each kind of response under the outcome that it has for the balancer."""
     shapes = {
         "error": b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",  # no header says that it was declined
         "overloaded": b"HTTP/1.1 504 Over\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
@@ -108,7 +106,8 @@
 
 
 @run
-async def test_a_response_malformed_before_its_first_event_is_a_failed_attempt_and_is_retried() -> None:
+async def test_a_response_malformed_before_its_first_event_is_retried() -> None:
+    """It counts as a failed attempt."""
     for text in MALFORMED:
         async with (
             FakeReplica(responds_with(text)) as bad,
@@ -129,7 +128,7 @@
 
 
 @run
-async def test_a_response_malformed_later_ends_the_connection_without_the_last_chunk() -> None:
+async def test_a_response_malformed_after_its_first_event_ends_without_the_last_chunk() -> None:
     for later in (
         b"-1\r\n",
         b"4\r\n" + EVENTS[1],
@@ -152,7 +151,7 @@
 
 
 @run
-async def test_bytes_after_a_response_are_never_taken_for_the_next_response() -> None:
+async def test_bytes_after_a_response_are_not_read_as_the_next_response() -> None:
     behind = STREAM_HEAD + chunk(b"data: another's\n\n") + chunk(b"")
 
     async def script(writer: asyncio.StreamWriter) -> None:
@@ -171,7 +170,7 @@
 
 
 @run
-async def test_a_replica_that_cannot_be_reached_has_not_run_the_request() -> None:
+async def test_a_request_to_an_unreachable_replica_gets_an_overload_reply() -> None:
     async with FakeReplica() as replica, FakeDiscovery() as discovery:
         discovery.change(replica)
         program = Program(replica, discovery=discovery)
@@ -179,13 +178,13 @@
         async with program, Client(program.port) as client:
             assert (await client.request(request_bytes(1, deadline=500)))[
                 0
-            ] == 503  # an overload response: the request never ran
+            ] == 503  # an overload response, as the request never ran
             await program.terminate()
             assert program.log("totals")["outcome_connect_failed"] >= 1  # type: ignore[index]  # logged as the program ends
 
 
 @run
-async def test_a_disconnect_of_the_client_is_noticed_while_its_request_waits() -> None:
+async def test_a_client_disconnect_is_detected_while_its_request_waits() -> None:
     async with FakeReplica(responds_with(b"")) as replica, Program(replica) as program:
         async with Client(program.port) as client:
             client.writer.write(request_bytes(1, deadline=3000))
@@ -217,7 +216,7 @@
                 assert (await client.request(raw))[0] == status, raw[:60]
         assert not replica.seen
         async with Client(program.port) as client:
-            # A response to HEAD has no body: one would be read as the next response.
+            # A response to HEAD must have no body, which would be read as the next response.
             client.writer.write(b"HEAD /up HTTP/1.1\r\nHost: a\r\n\r\n")
             assert b"405" in await client.reader.readuntil(b"\r\n\r\n")
             assert (await client.request(request_bytes(1)))[0] == 200
--- a/tests/lifecycle/test_requests_on_idle_connections.py
+++ b/tests/lifecycle/test_requests_on_idle_connections.py
@@ -1,4 +1,4 @@
-"""Requests that wait behind a limit of connections: none is dropped, and their time runs meanwhile."""
+"""Tests of requests at the connection limit: none is dropped, and their deadlines run while they wait."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 from .support import UP, run
 
-SOCKETS = 70  # enough for 7 clients
+SOCKETS = 70  # Enough for CLIENTS connections of clients.
 CLIENTS = 7
-IDLE_SECONDS = 0.3  # a connection that was just opened does not count as idle
+IDLE_SECONDS = 0.3  # A connection counts as idle only after some time without a request.
 
 
 @contextlib.asynccontextmanager
 async def suspended(program: Program) -> AsyncIterator[None]:
-    """Hold the program up; what arrives meanwhile is ready all at once when it goes on."""
+    """Suspend the process; what arrives meanwhile is ready all at once when the process continues."""
     status = ROOT / "/proc" / str(program.process.pid) / "status"
     program.process.send_signal(signal.SIGSTOP)
     await until(lambda: "State:\tT" in status.read_text())
@@ -41,8 +41,8 @@
 
 
 @run
-async def test_a_request_that_was_read_is_not_dropped_when_a_new_connection_displaces_its_own() -> None:
-    """The request is read in the turn of the event loop in which the new connection is accepted."""
+async def test_a_request_that_was_read_survives_a_new_connection_at_the_limit() -> None:
+    """The request is read in the same event loop iteration in which the new connection is accepted."""
     async with contextlib.AsyncExitStack() as stack:
         replica = await stack.enter_async_context(FakeReplica())
         program = await stack.enter_async_context(Program(replica, sockets=SOCKETS))
@@ -59,22 +59,22 @@
 
 
 DEADLINE_MS = 3000
-DEADLINE_SLACK_MS = 150  # of the platform, for the time that is passed on
-TIME_IN_QUEUE = 1.0  # seconds
+DEADLINE_SLACK_MS = 150  # The platform tolerates a forwarded deadline that is longer by this much.
+SECONDS_IN_QUEUE = 1.0
 
 
 @pytest.mark.parametrize("body", [b"{}", b"x" * 40_000], ids=["one read", "several reads"])
-def test_the_time_of_a_request_runs_while_its_connection_waits_to_be_accepted(body: bytes) -> None:
-    """Its client counts from when it was written."""
+def test_a_deadline_runs_while_the_connection_waits_to_be_accepted(body: bytes) -> None:
+    """The client counts the deadline from when it wrote the request."""
     asyncio.run(send_more_requests_than_connections(body))
 
 
 async def send_more_requests_than_connections(body: bytes) -> None:
-    go = asyncio.Event()
+    may_finish = asyncio.Event()
 
     async def script(writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD + chunk(EVENTS[0]))
-        await go.wait()
+        await may_finish.wait()
         writer.write(chunk(STREAM_TAIL) + chunk(b""))
 
     async with contextlib.AsyncExitStack() as stack:
@@ -87,10 +87,10 @@
         ]
         sent_at = time.monotonic()
         await until(lambda: program.log("clients_at_limit") is not None)
-        await asyncio.sleep(TIME_IN_QUEUE)
+        await asyncio.sleep(SECONDS_IN_QUEUE)
         accepted = len(replica.seen)
-        go.set()
+        may_finish.set()
         assert [(await response)[0] for response in responses] == [200] * len(clients)
         passed_on = [int(one.head.headers.get("req-deadline-ms")) for one in replica.seen[accepted:]]
-        remaining = DEADLINE_MS - 1000 * TIME_IN_QUEUE
+        remaining = DEADLINE_MS - 1000 * SECONDS_IN_QUEUE
         assert passed_on and max(passed_on) <= remaining + DEADLINE_SLACK_MS, f"{time.monotonic() - sent_at}"
