--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""KNOWN-RED.txt: faults that are known and not mended yet, printed at the end of each run.
+"""A pytest plugin for KNOWN-RED.txt, the list of known faults, which it prints at the end of each run.
 
-A line is a test or a case. A test (`test | cause | issue`) runs as a strict expected failure. A case
-(`command | seed | what was seen | issue`) is too long or too rare for the suite and is only printed. The
-issue is the number of an open one.
+Each line of the list is a test or a case. A test (`test | cause | issue`) runs as a strict expected failure.
+A case (`command | seed | what was seen | issue`) takes too long or fails too rarely for the test suite, so it
+is only printed. `issue` is the number of an open issue.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRedLine:
-    """A line of the list, with its number in the file."""
+    """A line of KNOWN-RED.txt with its line number."""
 
     number: int
     text: str
 
     @property
     def fields(self) -> list[str]:
-        """What stands between the bars."""
+        """The fields between the bars, stripped of spaces."""
         return [field.strip() for field in self.text.split(" | ")]
 
     @property
@@ -36,7 +36,7 @@
         return len(self.fields) == TEST_FIELDS
 
     def fault(self) -> str | None:
-        """What is wrong with the line itself."""
+        """Return what is wrong with the format of the line, or None."""
         if len(self.fields) not in (TEST_FIELDS, CASE_FIELDS) or not all(self.fields):
             return f"want {LINE_FORMS}, got {self.text!r}"
         if not re.fullmatch("[1-9][0-9]*", self.fields[-1]):
@@ -64,20 +64,20 @@
 
 
 def _expect_failure(line: KnownRedLine, items_by_id: dict[str, pytest.Item], listed: set[str]) -> str | None:
-    """Mark the test of a line as one that has to fail; returns what is wrong with the line, if any."""
+    """Mark the test of a line as a strict expected failure; returns what is wrong with the line, or None."""
     test, cause, _ = line.fields
     if test not in items_by_id:
         return f"there is no test {test!r}"
     if test in listed:
         return f"{test!r} is listed twice"
     listed.add(test)
-    # Strict: the line of a test that passes has to be removed.
+    # Strict, because the line of a test that passes must be removed from the list.
     items_by_id[test].add_marker(pytest.mark.xfail(reason=f"known: {cause}", strict=True))
     return None
 
 
 def _known_red_lines(config: pytest.Config) -> list[KnownRedLine]:
-    """The lines of the file that hold text; none without the option or the file."""
+    """Return the non-empty lines of the list; none if the option or the file is missing."""
     name = config.getoption("--known-red")
     path = Path(config.rootpath, name) if name else None
     if path is None or not path.exists():
@@ -87,6 +87,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    # Read again: the process that prints the summary is not one of those that collect the tests.
+    # The list is read again because the process that prints the summary collects no tests.
     for line in _known_red_lines(config):
         terminalreporter.write_line(f"known red: {line.text}")
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,7 +1,7 @@
-"""Connections whose every byte, half-close and reset the test controls, and a gateway in this process.
+"""Connections that a test controls down to each byte, half-close and reset, and a gateway in this process.
 
-What a peer does is in the kernel at once, and the gateway's loop notices it only when the test awaits, so a
-test determines the order of two events.
+The kernel receives what a peer does immediately, but the event loop of the gateway sees it only when the test
+awaits. So a test controls the order of events.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 from tests.standins import WAIT_TIMEOUT
 
 MS = 1_000_000
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
+LINGER_RESET = struct.pack("ii", 1, 0)  # With this value of SO_LINGER, close() sends a reset.
 
 
 def block_event_loop(seconds: float) -> None:
-    """Keep the loop busy: it reads nothing and runs no timer meanwhile."""
+    """Block the event loop, so that it reads nothing and runs no timers meanwhile."""
     time.sleep(seconds)
 
 
 class RawConnection:
-    """One connection, controlled by the test."""
+    """A connection that the test controls."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -55,11 +55,11 @@
         self.sock.close()
 
     async def read_some(self) -> bytes:
-        """The next bytes; empty at the end."""
+        """Read the next bytes; returns empty bytes at the end of the stream."""
         return await asyncio.wait_for(asyncio.get_running_loop().sock_recv(self.sock, 65536), WAIT_TIMEOUT)
 
     async def read_until(self, marker: bytes) -> bytes:
-        """All bytes up to a marker."""
+        """Read until the data contains the marker; returns all of it."""
         got = b""
         while marker not in got:
             data = await self.read_some()
@@ -68,7 +68,7 @@
         return got
 
     async def read_to_end(self) -> bytes:
-        """All bytes up to a clean end."""
+        """Read until the peer closes the connection without a reset."""
         got = b""
         while data := await self.read_some():
             got += data
@@ -76,7 +76,10 @@
 
 
 class ScriptedServer:
-    """A port where the test is a replica or discovery; with a full backlog, connections to it hang."""
+    """A listening port at which the test acts as a replica or discovery.
+
+    If its backlog is full, connection attempts hang.
+    """
 
     def __init__(self, backlog_full: bool = False) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=0 if backlog_full else 16)
@@ -85,13 +88,13 @@
         self.backlog_fillers = [self._fill_backlog() for _ in range(backlog_full)]
 
     def _fill_backlog(self) -> socket.socket:
-        """A backlog of 0 holds one connection; the handshake of the next is retried after a second."""
+        """Fill the backlog of 0, which holds one connection; the next handshake is retried after a second."""
         filler = socket.create_connection(self.endpoint)
         filler.setblocking(False)
         return filler
 
     async def free_backlog_and_accept(self) -> RawConnection:
-        """Accept the connections that fill the backlog, so that the next is established."""
+        """Accept the connections that fill the backlog, then the next one, which can now be established."""
         for filler in self.backlog_fillers:
             filler.close()
             (await self.accept()).close()
@@ -103,7 +106,7 @@
 
 
 class Gateway:
-    """The parts that carry requests, connected as the program connects them."""
+    """The parts of a gateway that handle requests, connected like in the program."""
 
     def __init__(
         self,
@@ -119,7 +122,7 @@
         self.core = Core(balancer_settings, 7, self.replica_set, clock, self.transport, discovery or self)
         self.front = ClientFront(self.core, {"docs": 0}, 64, 48_000_000, lambda: True)
         self.list_version = 0
-        self.has_unread_changes = False  # its changes are applied at once
+        self.has_unread_changes = False  # Changes are applied immediately.
         self.update_replicas(
             *(
                 ListedReplica(f"w{index}", ReplicaState.READY, server.endpoint, "z")
@@ -128,7 +131,7 @@
         )
 
     def update_replicas(self, *entries: ListedReplica) -> None:
-        """Apply a change of the endpoint list; the complete list at first."""
+        """Apply a change of the endpoint list. The first call applies a complete list."""
         self.list_version += 1
         self.core.endpoint_list_changed(ReplicaListUpdate(self.list_version, self.list_version == 1, entries))
 
@@ -156,7 +159,7 @@
             await asyncio.sleep(0)
 
     async def connect_client(self, **options: int) -> RawConnection:
-        """A client's connection; its receive buffer may be small."""
+        """Open a client's connection; the options, such as SO_RCVBUF, are set on its socket."""
         sock = socket.socket()
         for name, value in options.items():
             sock.setsockopt(socket.SOL_SOCKET, getattr(socket, name), value)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Fakes of what surrounds the program, replicas and discovery, and helpers to start it and send requests."""
+"""Fake replicas and a fake discovery service, and helpers to run the program and send it requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from lockspoke.wire.http.response_parser import ResponseParser
 
 ROOT = Path(__file__).resolve().parent.parent
-# Seconds that a condition may take on a busy machine before a test fails.
+# A test fails if a condition doesn't become true within this many seconds, even on a busy machine.
 WAIT_TIMEOUT = float(os.environ.get("PATIENCE", "30"))
 SECOND = 1_000_000_000
 SETTINGS: dict[str, Any] = {
@@ -60,14 +60,14 @@
 
 
 async def until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; the test fails if it does not become true in time."""
+    """Wait until a condition is true; the test fails if that takes longer than WAIT_TIMEOUT."""
     async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 class Server:
-    """Answers complete requests at a port that the kernel chooses."""
+    """A server on a port chosen by the kernel; subclasses define how to answer a request."""
 
     def __init__(self) -> None:
         self.port = self.closed = 0
@@ -106,7 +106,7 @@
 
 
 class FakeReplica(Server):
-    """Streams the same response to every request, or runs its script."""
+    """Streams the same response to every request, or runs a script instead."""
 
     def __init__(self, script: Script | None = None, pause: float = 0.0) -> None:
         super().__init__()
@@ -123,7 +123,7 @@
 
 
 class FakeDiscovery(Server):
-    """Responds with the endpoint list; a watch waits until the list changes."""
+    """Responds with the endpoint list; a watch request waits until the list changes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -131,7 +131,7 @@
         self.targets: list[dict[str, Any]] = []
         self.changed = asyncio.Event()
         self.raw: bytes | None = None  # sent once instead of the list
-        self.raw_response: bytes | None = None  # sent once instead of a complete response; then the end
+        self.raw_response: bytes | None = None  # sent once instead of a complete response, before closing
 
     def change(self, *replicas: FakeReplica, state: str = "up") -> None:
         self.targets = [target(replica, state) for replica in replicas]
@@ -163,7 +163,7 @@
 
 
 class Program:
-    """The program, in its own process."""
+    """Runs the program in its own process."""
 
     def __init__(
         self,
@@ -182,11 +182,11 @@
         self.operator = operator
         self.env = env or {}
         self.keepalive = keepalive
-        self.module = module  # that is run
+        self.module = module  # the Python module to run
         self.known = {"rev": 1, "all": True, "targets": [target(replica) for replica in replicas]}
         self.discovery = discovery.port if discovery is not None else 1
         self.options = options
-        self.fifo = False  # whether the configuration is a named pipe that the test writes
+        self.fifo = False  # Whether the configuration file is a named pipe that the test writes to.
         self.logs: list[dict[str, Any]] = []
         self.raw_logs: list[str] = []
 
@@ -240,14 +240,14 @@
                 self.logs.append(json.loads(line))
 
     def log(self, event: str, **fields: Any) -> dict[str, Any] | None:
-        """The first log line of an event with these fields."""
+        """Return the first log line of an event with these fields, or None."""
         for line in self.logs:
             if line["event"] == event and fields.items() <= line.items():
                 return line
         return None
 
     def reload(self, raw: str | None = None, **changes: Any) -> None:
-        """Replace the configuration file and make the program reload it."""
+        """Change the configuration file and make the program reload it."""
         self.raw_config |= changes
         self.config.write_text(json.dumps(self.raw_config) if raw is None else raw)
         self.process.send_signal(signal.SIGHUP)
@@ -258,7 +258,7 @@
 
 
 class Client:
-    """One connection to a port of the program."""
+    """A client with one connection to a port of the program."""
 
     def __init__(self, port: int) -> None:
         self.port = port
@@ -271,7 +271,7 @@
         self.writer.close()
 
     async def request(self, raw: bytes) -> tuple[int, dict[str, str], bytes, bool]:
-        """Status, headers, body, and whether the response is complete."""
+        """Send a request; returns status, headers, body and whether the response is complete."""
         self.writer.write(raw)
         return await asyncio.wait_for(self.read_response(), WAIT_TIMEOUT)
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The modules depend on one another as docs/architecture.md says: imports go down, and in no circle."""
+"""Tests that imports have no cycles and follow the layers of docs/architecture.md."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / "lockspoke"
 
-# From the lowest up: a package imports from its own row and the rows before it.
+# From the lowest layer to the highest. A package imports only from its own layer and lower ones.
 LAYERS = (
     ("rate_limited_log", "steady_unix_time", "units"),
     ("balancing",),
@@ -29,7 +29,7 @@
 
 
 def modules() -> dict[str, Path]:
-    """Each module of the program by its dotted name, and its file."""
+    """Return the file of each module of the program by its dotted name."""
     found = {}
     for path in PACKAGE.rglob("*.py"):
         parts = path.relative_to(ROOT).with_suffix("").parts
@@ -38,7 +38,7 @@
 
 
 def imported_by(name: str, path: Path, known: set[str]) -> set[str]:
-    """The modules of the program that a module imports, wherever in its text."""
+    """Return the modules of the program that a module imports, including in functions."""
     package = name if path.name == "__init__.py" else name.rpartition(".")[0]
     imported: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
@@ -58,16 +58,16 @@
     return {name: imported_by(name, path, set(found)) for name, path in found.items()}
 
 
-def test_no_import_goes_in_a_circle() -> None:
+def test_imports_have_no_cycles() -> None:
     TopologicalSorter(graph()).prepare()
 
 
 @pytest.mark.parametrize("name", sorted(modules()))
-def test_a_module_imports_only_from_its_own_layer_and_those_below(name: str) -> None:
+def test_a_module_imports_only_from_its_own_and_lower_layers(name: str) -> None:
     _, _, package = name.partition(".")
     rank = RANK.get(package.partition(".")[0])
     if rank is None:
-        assert package in ("", "__main__"), f"{name} stands in no layer"
+        assert package in ("", "__main__"), f"{name} belongs to no layer"
         return
     for other in graph()[name]:
         below = RANK.get(other.partition(".")[2].partition(".")[0], -1)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""What the pages name exists: paths of the repository, links and their anchors, tests, names of the code."""
+"""Tests that paths, links, anchors, tests and names of the code that the documentation mentions exist."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 TEST_NODE = re.compile(r"(?P<file>tests/(?:\w+/)*test_\w+\.py)::(?P<name>test_\w+)(?:\[(?P<case>[^\]]+)\])?")
 CODE_NAME = re.compile(r"(?:[A-Z][a-z]+){2,}(?:\.\w+)*|[A-Z][a-z]+\.\w+|[A-Z]+(?:_[A-Z]+)+")
 
-# Code spans that look like paths of the repository and are none.
+# Code spans that look like paths of the repository but aren't.
 NOT_IN_REPOSITORY = {
     "group_vars/",  # of Ansible's inventories
     "host_vars/",
 }
-# Names that only other programs have: of the environment and of the libraries that pages speak about.
+# Names from other programs, such as the environment and libraries, that the documentation mentions.
 NOT_IN_CODE: set[str] = set()
 
 
@@ -44,7 +44,7 @@
 
 @cache
 def text_of(page: Path) -> str:
-    """The page without its fenced blocks: their paths are examples."""
+    """Return the text of a page without fenced blocks, whose paths are examples."""
     return FENCE.sub("", page.read_text())
 
 
@@ -60,7 +60,7 @@
 
 
 def named_paths(page: Path) -> set[str]:
-    """The paths in a page's code spans; of a command, its Python files."""
+    """Return the paths in the code spans of a page, including Python files in commands."""
     spans = code_spans(page)
     paths = {span for span in spans if RELATIVE_PATH.fullmatch(span) or FILE_NAME.fullmatch(span)}
     words = {word for span in spans for word in span.split()}
@@ -68,7 +68,7 @@
 
 
 def path_exists(path: str, folders: list[Path]) -> bool:
-    """Whether a path exists in the repository or its package; a bare file name, in one of the folders."""
+    """Return whether a path exists in the repository or package; a bare file name, in one of the folders."""
     if "/" not in path:
         return any((folder / path).is_file() for folder in (ROOT, *folders))
     as_named = (ROOT / path, PACKAGE / path)
@@ -87,7 +87,7 @@
 
 @cache
 def anchors(page: Path) -> set[str]:
-    """The anchors of a page's headings: lower case, without punctuation, numbered where two are alike."""
+    """Return the anchors of a page's headings: lower case, without punctuation, numbered if not unique."""
     seen: Counter[str] = Counter()
     found = set()
     for heading in HEADING.findall(text_of(page)):
@@ -98,7 +98,7 @@
 
 
 def link_fault(page: Path, target: str) -> str:
-    """What is wrong with a link; an empty string if nothing is."""
+    """Return what is wrong with a link, or an empty string."""
     path, _, anchor = target.partition("#")
     linked = (page.parent / path).resolve() if path else page
     if not linked.exists():
@@ -119,7 +119,7 @@
 
 @cache
 def functions_of(path: Path) -> dict[str, ast.FunctionDef | ast.AsyncFunctionDef]:
-    """The functions of a file by their names."""
+    """Return the top-level functions of a file by name."""
     functions = [
         node
         for node in ast.parse(path.read_text()).body
@@ -129,14 +129,14 @@
 
 
 def parameter_ids(function: ast.FunctionDef | ast.AsyncFunctionDef) -> set[str]:
-    """The names and texts in a test's decorators: pytest makes the ids of its cases from them."""
+    """Return the names and constants in the decorators of a test, which make up the ids of its cases."""
     nodes = [node for decorator in function.decorator_list for node in ast.walk(decorator)]
     names = {node.id for node in nodes if isinstance(node, ast.Name)}
     return names | {str(node.value) for node in nodes if isinstance(node, ast.Constant)}
 
 
 def node_fault(span: str) -> str:
-    """What is wrong with the name of a test; an empty string if nothing is."""
+    """Return what is wrong with a reference to a test, or an empty string."""
     node = TEST_NODE.fullmatch(span)
     if node is None:
         return f"{span}: want tests/FOLDER/test_FILE.py::test_NAME, or that with [CASE]"
@@ -170,7 +170,7 @@
     assert not sorted(name for name in names if not set(name.split(".")) <= words_of_the_code())
 
 
-# The checks themselves
+# Tests of the checks above
 
 
 @pytest.mark.parametrize(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Only the tests listed in KNOWN-RED.txt may fail, cases in it are printed, an invalid list is an error."""
+"""Tests that only tests listed in KNOWN-RED.txt may fail, cases are printed and invalid lists are errors."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
         ([BAD, WORSE, CASE.replace("27", "#27")], 4, "KNOWN-RED.txt:3: want the number of an open issue"),
     ],
 )
-def test_only_listed_tests_may_fail_and_they_must(
+def test_only_listed_tests_may_fail_and_must_fail(
     tmp_path: Path, lines: list[str], code: int, message: str
 ) -> None:
-    # As in the repository: the list at the root, the tests and the plugin that reads it in a folder.
+    # Like in the repository, the list is at the root, and the plugin that reads it is beside the tests.
     (tmp_path / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
     (tmp_path / "tests").mkdir()
     (tmp_path / "tests" / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
--- a/tests/test_rate_limited_log.py
+++ b/tests/test_rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Log lines that are limited in number."""
+"""Tests of rate-limited log lines."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from lockspoke.rate_limited_log import LOG_INTERVAL, RateLimitedLog
 
 
-def test_one_line_an_interval_is_logged_and_the_next_counts_what_was_left_out() -> None:
+def test_one_line_per_interval_is_logged_with_the_number_of_omitted_lines() -> None:
     limited = RateLimitedLog("something")
     with capture_logs() as lines:
         for now in (5.0, 5.1, 5.0 + 0.9 * LOG_INTERVAL, 5.0 + LOG_INTERVAL, 9.0):
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The example in the README runs as it is printed."""
+"""Tests that the example in the README runs as printed."""
 
 from __future__ import annotations
 
