--- a/lockspoke/lifecycle/command_line.py
+++ b/lockspoke/lifecycle/command_line.py
@@ -52,13 +52,15 @@
     parser = argparse.ArgumentParser(
         prog="lockspoke",
         description="A gateway for language-model replicas.",
-        epilog="Tools beside it: lockspoke inventory --help, lockspoke config --help.",
+        epilog="See also: lockspoke inventory --help, lockspoke config --help.",
     )
     files = parser.add_mutually_exclusive_group()
     files.add_argument(
-        "--edge", type=Path, metavar="FILE", help="also run the parts that FILE has sections for"
+        "--edge", type=Path, metavar="FILE", help="edge file, with a section for each subsystem to run"
+    )
+    files.add_argument(
+        "--batch", type=Path, metavar="FILE", help="configuration file of only the batch front"
     )
-    files.add_argument("--batch", type=Path, metavar="FILE", help="a file of the batch front alone")
     return parser.parse_args(arguments)
 
 
--- a/lockspoke/lifecycle/subsystems.py
+++ b/lockspoke/lifecycle/subsystems.py
@@ -58,10 +58,10 @@
 class Subsystem(Protocol):
     """The running part of the program that a section of the edge file configures.
 
-    The program calls the methods in the order in which they stand here.
+    The program calls the methods in the order of their definitions.
 
-    A reload is all or nothing. `prepare_reload` of every subsystem is called first. Only if none of them
-    raises ConfigError, the functions that they returned are called; these must not fail.
+    A reload is all or nothing. `prepare_reload` of every subsystem is called first. The functions that they
+    return are called only if none of them raises ConfigError, and must not fail.
     """
 
     name: str
--- a/tests/lifecycle/test_endpoint_list.py
+++ b/tests/lifecycle/test_endpoint_list.py
@@ -29,7 +29,7 @@
 
 @run
 async def test_an_implausible_list_is_not_applied() -> None:
-    """An empty list or one with a duplicate replica would leave the gateway without replicas."""
+    """Applying an empty list or one that names a replica twice would interrupt the whole service."""
     for twice in (False, True):
         async with FakeReplica() as replica, FakeDiscovery() as discovery:
             discovery.change(replica)
--- a/tests/lifecycle/test_requests.py
+++ b/tests/lifecycle/test_requests.py
@@ -178,7 +178,7 @@
         async with program, Client(program.port) as client:
             assert (await client.request(request_bytes(1, deadline=500)))[
                 0
-            ] == 503  # an overload response, as the request never ran
+            ] == 503  # an overload reply, as the request never ran
             await program.terminate()
             assert program.log("totals")["outcome_connect_failed"] >= 1  # type: ignore[index]  # logged as the program ends
 
