--- a/tests/lifecycle/test_endpoint_list.py
+++ b/tests/lifecycle/test_endpoint_list.py
@@ -62,10 +62,10 @@
     class DelayedDiscovery(FakeDiscovery):
         def __init__(self) -> None:
             super().__init__()
-            self.answers = asyncio.Event()
+            self.may_answer = asyncio.Event()
 
         async def answer(self, request: Any, writer: asyncio.StreamWriter) -> None:
-            await self.answers.wait()
+            await self.may_answer.wait()
             await super().answer(request, writer)
 
     async with FakeReplica() as removed, FakeReplica() as replica, DelayedDiscovery() as discovery:
@@ -76,7 +76,7 @@
             await until(lambda: bool(discovery.seen))
             async with Client(program.port) as client:
                 assert (await client.request(UP))[0] == 503
-                discovery.answers.set()
+                discovery.may_answer.set()
                 await until(lambda: program.log("phase", now="ready") is not None)
                 assert (await client.request(UP))[0] == 200
                 assert (await client.request(request_bytes(1)))[0] == 200
--- a/tests/lifecycle/test_faulty_system.py
+++ b/tests/lifecycle/test_faulty_system.py
@@ -23,7 +23,7 @@
     return [line for line in program.raw_logs if '"level": "error"' in line or "Traceback" in line]
 
 
-async def served(program: Program, number: int) -> int:
+async def response_status(program: Program, number: int) -> int:
     async with Client(program.port) as client:
         return (await client.request(request_bytes(number)))[0]
 
@@ -44,7 +44,7 @@
     @run
     async def scenario() -> None:
         async with FakeReplica() as replica, faulty_program(replica, faults) as program:
-            statuses = [await served(program, number) for number in range(1, REQUESTS)]
+            statuses = [await response_status(program, number) for number in range(1, REQUESTS)]
             assert set(statuses) <= answers
             assert statuses.count(200) > REQUESTS / 2
             assert await program.terminate() == 0
@@ -58,7 +58,7 @@
 async def test_connections_that_break_without_a_reset_raise_nothing() -> None:
     faults = FaultSettings(seed=4, break_share=0.05)
     async with FakeReplica() as replica, faulty_program(replica, faults) as program:
-        statuses = [await served(program, number) for number in range(1, REQUESTS)]
+        statuses = [await response_status(program, number) for number in range(1, REQUESTS)]
         assert statuses.count(200) > REQUESTS / 2
         assert await program.terminate() == 0
         await program.reading
--- a/tests/lifecycle/test_reload.py
+++ b/tests/lifecycle/test_reload.py
@@ -74,9 +74,9 @@
         program = Program(env={"PYTHONPATH": folder, "GATE": str(gate)})
         starting = asyncio.ensure_future(program.__aenter__())
         try:
-            end = await open_writer(gate)
+            writer = await open_writer(gate)
             program.process.send_signal(signal.SIGHUP)
-            end.close()
+            writer.close()
             await starting
             await until(lambda: program.log("reloaded") is not None)
         finally:
@@ -95,13 +95,13 @@
         await until(lambda: hasattr(program, "process"))
         signal.signal(signal.SIGHUP, before)
         try:
-            end = await open_writer(program.config)
-            end.write(json.dumps(program.raw_config))
+            writer = await open_writer(program.config)
+            writer.write(json.dumps(program.raw_config))
             newer = program.config.with_name("newer.json")
             newer.write_text(json.dumps(program.raw_config | {"discovery": f"127.0.0.1:{moved.port}"}))
             newer.replace(program.config)
             program.process.send_signal(signal.SIGHUP)
-            end.close()  # The program has read the older file only now.
+            writer.close()  # The program has read the older file only now.
             await starting
             await until(lambda: program.log("reloaded", discovery_moved=True) is not None)
         finally:
