--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -38,7 +38,7 @@
         self._listen()
         for subsystem in self._gateway.subsystems:
             subsystem.start()
-        gc.freeze()  # Excludes these objects, which live until the exit, from garbage collection.
+        gc.freeze()  # Existing objects live until the exit, so garbage collection can skip them.
         checks = asyncio.ensure_future(PeriodicChecks(self._gateway).run())
         await self._stop.wait()
         await GracefulShutdown(self._gateway).run()
