--- a/lockspoke/address/election.py
+++ b/lockspoke/address/election.py
@@ -119,7 +119,7 @@
             ValueError: The member does not hold the lease, or `successor` may not hold it.
         """
         if successor == self.name or not self.config.may_hold(successor):
-            raise ValueError(f"{successor} can't receive the address")
+            raise ValueError(f"{successor} can't be handed the address")
         if not self.holds(now):
             raise ValueError(f"{self.name} does not hold the address")
         self._begin_transfer(successor, now + 4 * self.config.lease_duration, now)
--- a/lockspoke/address/election_config.py
+++ b/lockspoke/address/election_config.py
@@ -86,5 +86,5 @@
         tolerated = len(self.members) - self.quorum
         holders = len(self.members) - len(self.witnesses)
         if tolerated == 0:
-            return f"{len(self.members)} members: nobody can hold the address once one is lost or cut off"
-        return f"{len(self.members)} members, {holders} of which can hold: {tolerated} may be lost or cut off"
+            return f"{len(self.members)} members: the address is nobody's as soon as one is lost or cut off"
+        return f"{len(self.members)} members, {holders} of which hold: {tolerated} may be lost or cut off"
--- a/lockspoke/address/health.py
+++ b/lockspoke/address/health.py
@@ -83,11 +83,11 @@
         """The limits that the metrics exceed, as texts for operators."""
         reasons = []
         if metrics.ready_replicas < self.min_ready_replicas:
-            reasons.append(f"{metrics.ready_replicas} ready replicas, want {self.min_ready_replicas}")
+            reasons.append(f"{metrics.ready_replicas} ready workers, want {self.min_ready_replicas}")
         if metrics.loop_lag > self.max_loop_lag:
             reasons.append(f"timers fire {metrics.loop_lag:.2f} s late")
         if metrics.requests >= self.min_requests and metrics.failure_share > self.max_failure_share:
-            reasons.append(f"{metrics.failure_share:.0%} of {metrics.requests} requests fail")
+            reasons.append(f"{metrics.failure_share:.0%} of {metrics.requests} calls fail")
         if metrics.descriptor_share > self.max_descriptor_share:
             reasons.append(f"{metrics.descriptor_share:.0%} of the descriptors are in use")
         if metrics.memory_share > self.max_memory_share:
--- a/lockspoke/address/member.py
+++ b/lockspoke/address/member.py
@@ -207,7 +207,7 @@
             case "hold-down":
                 return self._hold_down(command.get("seconds"))
             case other:
-                raise ValueError(f"{other!r} is not a command; known are status, move, hold-down")
+                raise ValueError(f"{other!r} is no word; known are status, move, hold-down")
 
     def _hold_down(self, seconds: Any) -> JsonObject:
         if not isinstance(seconds, int | float) or not 0 <= seconds <= MAX_HOLD_DOWN_SECONDS:
--- a/lockspoke/address/membership.py
+++ b/lockspoke/address/membership.py
@@ -44,9 +44,9 @@
         self.known_settled = max(self.known_settled, message.settled_generation)
         own = self.config
         if message.generation == own.generation and message.members_digest != own.members_digest:
-            self.mismatches[sender] = f"has different members, span or drift in generation {own.generation}"
+            self.mismatches[sender] = f"has other members, span or drift in generation {own.generation}"
         elif abs(message.generation - own.generation) > 1:
-            self.mismatches[sender] = f"is at generation {message.generation}, this one at {own.generation}"
+            self.mismatches[sender] = f"is at generation {message.generation}, here is {own.generation}"
         else:
             self.mismatches.pop(sender, None)
 
--- a/lockspoke/address/node.py
+++ b/lockspoke/address/node.py
@@ -22,7 +22,7 @@
 from .role import ElectionRole
 
 CLAIM_RETRY_DELAY = SECOND  # This is the wait before an unavailable address is claimed again.
-NOT_HEALTHY = "it is not healthy"  # `Member.status` replaces it by the detailed reasons.
+NOT_HEALTHY = "it is not fit"  # `Member.status` replaces it by the detailed reasons.
 
 log = structlog.get_logger()
 
@@ -258,15 +258,15 @@
             reasons.append("it is a witness: it votes and never holds")
         if election.role is ElectionRole.SILENT:
             remaining = (election.silent_until - now) // MILLISECOND
-            reasons.append(f"it has just started, earlier votes may be valid: silent for {remaining} ms more")
+            reasons.append(f"it has just started and may have granted before: silent for {remaining} ms more")
         if election.role is ElectionRole.LEAVING:
-            reasons.append("it is shutting down")
+            reasons.append("it stops")
         if now < self.claim_retry_at:
-            reasons.append("the address could not be claimed here")
+            reasons.append("the address was not to be had here")
         if not self.healthy:
             reasons.append(NOT_HEALTHY)
         if self.known_holder:
-            reasons.append(f"{self.known_holder} holds the lease")
+            reasons.append(f"{self.known_holder} holds and is well")
         if not reasons:
-            reasons.append(f"no quorum of {election.config.quorum} members has voted for it")
+            reasons.append(f"no majority of {election.config.quorum} has granted it")
         return reasons
