--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -125,13 +125,13 @@
     files = [type(files[0])("a." + path.rpartition(".")[2], files[0].data)]
     snapshot = take_snapshot(files, options, cache).snapshot
     read = time.perf_counter()
-    step = reconciler.step(snapshot, 0)
+    result = reconciler.reconcile(snapshot, 0)
     done = time.perf_counter()
     figures[name] = {
         "read_ms": round((read - began) * 1e3, 1),
         "reconcile_ms": round((done - read) * 1e3, 1),
         "replicas": len(snapshot.replicas),
-        "entries": len(step.entries),
+        "entries": len(result.entries),
     }
 figures["memory_mb"] = round(peak() - before, 1)
 print(json.dumps(figures))
--- a/lockspoke/cli/inventory_compare.py
+++ b/lockspoke/cli/inventory_compare.py
@@ -151,11 +151,11 @@
     With `accept`, an operator has accepted a mass removal.
     """
     # Both files are taken as complete, so a missing newline at the end suspends no removals.
-    reconciler = Reconciler(replace(policy, unfinished_ms=0))
-    reconciler.step(old, 0)
+    reconciler = Reconciler(replace(policy, unterminated_grace_ms=0))
+    reconciler.reconcile(old, 0)
     if accept:
         reconciler.accept(new.fingerprint)
-    return reconciler.step(new, 10 * max(policy.window_ms, policy.flap_half_life_ms)).decisions
+    return reconciler.reconcile(new, 10 * max(policy.removal_window_ms, policy.flap_half_life_ms)).decisions
 
 
 @click.command()
--- a/lockspoke/cli/inventory_gateway.py
+++ b/lockspoke/cli/inventory_gateway.py
@@ -165,7 +165,7 @@
     def read(self) -> None:
         """Read the sources and print new problems and decisions."""
         snapshot = self.reader.read(self.paths, self.cache).snapshot
-        decisions = self.reconciler.step(snapshot, time.time_ns() // 1_000_000).decisions
+        decisions = self.reconciler.reconcile(snapshot, time.time_ns() // 1_000_000).decisions
         new_problems = [problem for problem in snapshot.problems if problem not in self.reported]
         self.reported = set(snapshot.problems)
         if self.as_json:
--- a/lockspoke/inventory/decisions.py
+++ b/lockspoke/inventory/decisions.py
@@ -1,4 +1,4 @@
-"""What the reconciler decides: its policy, actions, decisions and results."""
+"""The types that the reconciler uses: its policy, targets, decisions and results."""
 
 from __future__ import annotations
 
@@ -12,81 +12,88 @@
 
 @dataclass(frozen=True, slots=True)
 class ReconcilePolicy:
-    """How changes of the files are limited. Times are in milliseconds."""
-
-    removed_share: float = 0.3  # share of the hosts that may disappear from the files within `window_ms`
-    removed_least: int = 3  # number of hosts that may always disappear
-    window_ms: int = 60_000
-    settle_ms: int = 0  # a mass removal is applied once unchanged for so long; 0: only when accepted
-    unfinished_ms: int = 5_000  # how long a missing newline at the end of a file suspends removals
-    flap_limit: float = 4.0  # penalty of returns and moves from which on a host is damped
+    """The limits for applying changes of the files."""
+
+    # Share of the hosts that may disappear from the files within the removal window.
+    max_removed_share: float = 0.3
+    # This many hosts may disappear within the window even if they exceed the share.
+    min_allowed_removals: int = 3
+    removal_window_ms: int = 60_000
+    # A mass removal is applied after the files have not changed for this time; 0 requires an operator.
+    removal_settle_ms: int = 0
+    # How long the removal of hosts from a file is suspended while the file lacks its final newline.
+    unterminated_grace_ms: int = 5_000
+    # A host is damped from this penalty on; each return and each change of address adds 1.
+    flap_penalty_limit: float = 4.0
     flap_half_life_ms: int = 60_000
-    blink_ms: int = 1_000  # a host that is back at its address within this time has not been restarted
-    new_is_cold: bool = True  # a host that is added while the gateway runs has just been started
+    # A host that returns at its address within this time is assumed not to have been restarted.
+    brief_absence_ms: int = 1_000
+    # Whether a host that is added while the gateway runs is assumed to have just started.
+    new_is_cold: bool = True
 
 
 class Action(Enum):
-    """What is decided about a host, or about all hosts at once."""
+    """The kinds of decisions: GUARD and ACCEPT concern a mass removal, the others a single host."""
 
     ADD = "add"
     CHANGE = "change"
     DRAIN = "drain"
     REMOVE = "remove"
-    HOLD = "hold"  # the host keeps its last valid state, unlike in the files
-    KEEP_OUT = "keep_out"  # the host isn't added
-    GUARD = "guard"  # a mass removal is held back
-    ACCEPT = "accept"  # a mass removal is applied after all
+    HOLD = "hold"  # The host keeps its last valid record although the files differ from it.
+    KEEP_OUT = "keep_out"  # The host is not added.
+    GUARD = "guard"  # A mass removal is held back.
+    ACCEPT = "accept"  # A mass removal that was held back is applied.
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """One decision with its reason; `host` is empty where it is about all hosts at once."""
+    """A decision and its reason; `host` is empty if it concerns a mass removal."""
 
     action: Action
     host: str
     reason: str
 
     def __str__(self) -> str:
-        """As a line of a log or a plan."""
+        """The decision as one line of text, as the command `plan` prints it."""
         subject = f" {self.host}" if self.host else ""
         return f"{self.action.value}{subject}: {self.reason}"
 
     def as_json(self) -> dict[str, str]:
-        """A plain object, as in the status document and the output of the command line."""
+        """The decision as a JSON object of the status document and of the command line's output."""
         return {"act": self.action.value, "host": self.host, "reason": self.reason}
 
 
 @dataclass(slots=True)
 class KnownReplica:
-    """A host that the replica set has."""
+    """A host that is in the replica set."""
 
     record: ReplicaRecord
-    files: tuple[str, ...] = ()  # the sources that name it
-    boot_ms: int = 0  # Unix time; 0: long ago
-    hold_reason: str = ""  # why it differs from the files; empty if it doesn't
+    files: tuple[str, ...] = ()  # The sources that name the host.
+    boot_ms: int = 0  # Unix time at which the host started; 0 if that was long ago or is unknown.
+    hold_reason: str = ""  # Why the record differs from the files; empty if it does not.
 
 
 @dataclass(slots=True)
 class Target:
-    """The state that one host is to have: a record, or None if it isn't to be in the replica set."""
+    """The record that one host is to have; None if it is not to be in the replica set."""
 
     action: Action
     record: ReplicaRecord | None
     reason: str
-    explicit: bool = True  # the files request it, rather than merely not naming the host
+    explicit: bool = True  # False for the removal of a host that the files just do not name.
     hold_reason: str = ""
 
     @classmethod
     def hold(cls, record: ReplicaRecord, reason: str) -> Target:
-        """The host keeps its record."""
+        """A target with which the host keeps its record."""
         return cls(Action.HOLD, record, reason, hold_reason=reason)
 
 
 @dataclass(frozen=True, slots=True)
 class ReconcileResult:
-    """What follows from a snapshot.
+    """The changes that follow from a snapshot, for the replica set, and the decisions behind them.
 
-    `wake_ms` is the Unix time at which the same snapshot is to be reconciled again, None for no time.
+    `wake_ms` is the Unix time at which the same snapshot must be reconciled again; None if it need not be.
     """
 
     entries: tuple[ListedReplica, ...] = ()
--- a/lockspoke/inventory/flap_damping.py
+++ b/lockspoke/inventory/flap_damping.py
@@ -39,7 +39,7 @@
         penalty = self._penalties.get(host)
         if penalty is None:
             return None
-        limit = policy.flap_limit
+        limit = policy.flap_penalty_limit
         value = penalty.current(now_ms, policy.flap_half_life_ms)
         penalty.damped = value >= (limit / 2 if penalty.damped else limit)
         if not penalty.damped:
--- a/lockspoke/inventory/reconciler.py
+++ b/lockspoke/inventory/reconciler.py
@@ -64,7 +64,7 @@
         """Allow the mass removal of the snapshot with this fingerprint, for an operator."""
         self._guard.accept(fingerprint)
 
-    def step(self, snapshot: Snapshot, now_ms: int) -> ReconcileResult:
+    def reconcile(self, snapshot: Snapshot, now_ms: int) -> ReconcileResult:
         """Reconcile a snapshot, a new one or the same again at a later time.
 
         A decision that is made again for the same reason is not reported again. Removals and drains come
@@ -255,7 +255,7 @@
             self._damper.count(name, now_ms, self.policy)
             if not removed.explicit:
                 self._guard.forget_removal(name)
-            returned_quickly = now_ms - removed.removed_at_ms <= self.policy.blink_ms
+            returned_quickly = now_ms - removed.removed_at_ms <= self.policy.brief_absence_ms
             if returned_quickly and removed.record.address == record.address:
                 return removed.boot_ms
         return now_ms if self.policy.new_is_cold else 0
@@ -263,7 +263,7 @@
     def _expire(self, now_ms: int) -> None:
         """Forget what is too old to matter."""
         self._guard.expire(now_ms, self.policy)
-        lifetime_ms = max(self.policy.window_ms, FORGET_HALF_LIVES * self.policy.flap_half_life_ms)
+        lifetime_ms = max(self.policy.removal_window_ms, FORGET_HALF_LIVES * self.policy.flap_half_life_ms)
         for name, removed in list(self._recently_removed.items()):
             if removed.removed_at_ms < now_ms - lifetime_ms:
                 del self._recently_removed[name]
--- a/lockspoke/inventory/removal_guard.py
+++ b/lockspoke/inventory/removal_guard.py
@@ -50,7 +50,7 @@
     empties_list: bool
 
     def is_allowed(self, policy: ReconcilePolicy) -> bool:
-        allowed = max(policy.removed_least, policy.removed_share * self.total)
+        allowed = max(policy.min_allowed_removals, policy.max_removed_share * self.total)
         return self.count <= allowed and not self.empties_list
 
 
@@ -76,7 +76,7 @@
 
     def expire(self, now_ms: int, policy: ReconcilePolicy) -> None:
         """Forget removals that are older than the window."""
-        oldest_ms = now_ms - policy.window_ms
+        oldest_ms = now_ms - policy.removal_window_ms
         while self._removals and self._removals[0].at_ms <= oldest_ms:
             self._removals.popleft()
 
@@ -100,12 +100,12 @@
         if pending is None or is_new:
             pending = self.pending = PendingRemoval(fingerprint, now_ms, len(absent))
         settled_ms = None
-        if policy.settle_ms and not extent.empties_list:
-            settled_ms = pending.since_ms + policy.settle_ms
+        if policy.removal_settle_ms and not extent.empties_list:
+            settled_ms = pending.since_ms + policy.removal_settle_ms
         if self._accepted_fingerprint and self._accepted_fingerprint == fingerprint:
             return self._allow(f"{len(absent)} removals, accepted by an operator")
         if settled_ms is not None and now_ms >= settled_ms:
-            return self._allow(f"{len(absent)} removals, unchanged for {policy.settle_ms / 1000:g} s")
+            return self._allow(f"{len(absent)} removals, unchanged for {policy.removal_settle_ms / 1000:g} s")
         decision = Decision(Action.GUARD, "", _hold_reason(extent, fingerprint, policy)) if is_new else None
         return GuardResult(decision, absent, settled_ms)
 
@@ -131,6 +131,6 @@
 def _hold_reason(extent: _Extent, fingerprint: str, policy: ReconcilePolicy) -> str:
     affected = "all" if extent.empties_list else f"{extent.count} of {extent.total}"
     return (
-        f"{affected} hosts would vanish within {policy.window_ms / 1000:g} s; held until the files have"
-        f" them again or {fingerprint} is accepted"
+        f"{affected} hosts would be removed within {policy.removal_window_ms / 1000:g} s; held until the"
+        f" files have them again or {fingerprint} is accepted"
     )
--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -92,14 +92,14 @@
         """The limits for the reconciler."""
         guard = self.guard
         return ReconcilePolicy(
-            removed_share=guard.removed_share,
-            removed_least=guard.removed_least,
-            window_ms=_to_ms(guard.window),
-            settle_ms=_to_ms(guard.settle),
-            unfinished_ms=_to_ms(guard.unfinished),
-            flap_limit=guard.flap_limit,
+            max_removed_share=guard.removed_share,
+            min_allowed_removals=guard.removed_least,
+            removal_window_ms=_to_ms(guard.window),
+            removal_settle_ms=_to_ms(guard.settle),
+            unterminated_grace_ms=_to_ms(guard.unfinished),
+            flap_penalty_limit=guard.flap_limit,
             flap_half_life_ms=_to_ms(guard.flap_half_life),
-            blink_ms=_to_ms(guard.blink),
+            brief_absence_ms=_to_ms(guard.blink),
             new_is_cold=guard.new_is_cold,
         )
 
--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -97,7 +97,7 @@
         started = time.perf_counter()
         snapshot = self._loader.load_first(self.settings, self.zones)
         self._set_loaded(snapshot, started)
-        result = self.reconciler.step(snapshot, self.wall_ms())
+        result = self.reconciler.reconcile(snapshot, self.wall_ms())
         self._report(snapshot, result)
         if not self.reconciler.known:
             raise InventoryError(f"the inventory gives no worker\n{_error_lines(snapshot)}".rstrip())
@@ -225,7 +225,7 @@
 
     async def _reconcile(self, snapshot: Snapshot) -> None:
         """Reconcile a snapshot and pass the changes to the core."""
-        result = self.reconciler.step(snapshot, self.wall_ms())
+        result = self.reconciler.reconcile(snapshot, self.wall_ms())
         self._report(snapshot, result)
         self._schedule_wake(result.wake_ms)
         if len(self.reconciler.known) > BATCH_SIZE:
--- a/lockspoke/inventory/unterminated_sources.py
+++ b/lockspoke/inventory/unterminated_sources.py
@@ -23,7 +23,9 @@
         for files in set(snapshot.files.values()):
             self._seen_terminated.update(file for file in files if file not in snapshot.unterminated_sources)
         # If a file stays without a final newline, its writer does not write one.
-        settled = [file for file, since in self._since_ms.items() if now_ms >= since + policy.unfinished_ms]
+        settled = [
+            file for file, since in self._since_ms.items() if now_ms >= since + policy.unterminated_grace_ms
+        ]
         self._seen_terminated.difference_update(settled)
 
     def suspended_until(self, file: str, now_ms: int, policy: ReconcilePolicy) -> int | None:
@@ -31,5 +33,5 @@
         since = self._since_ms.get(file)
         if since is None or file not in self._seen_terminated:
             return None
-        end = since + policy.unfinished_ms
+        end = since + policy.unterminated_grace_ms
         return end if now_ms < end else None
--- a/tests/inventory/test_reconciler.py
+++ b/tests/inventory/test_reconciler.py
@@ -33,36 +33,36 @@
 
 def started(count: int = 10, **policy: object) -> Reconciler:
     reconciler = Reconciler(ReconcilePolicy(**policy))  # type: ignore[arg-type]
-    reconciler.step(snapshot(*rows(count)), 0)
+    reconciler.reconcile(snapshot(*rows(count)), 0)
     assert len(reconciler.known) == count
     return reconciler
 
 
-def actions(step: ReconcileResult) -> dict[str, Action]:
-    return {one.host: one.action for one in step.decisions}
+def actions(result: ReconcileResult) -> dict[str, Action]:
+    return {one.host: one.action for one in result.decisions}
 
 
 def test_a_host_missing_from_the_files_is_removed_although_other_rows_are_invalid() -> None:
     reconciler = started()
     bad = ["w1,300.1.1.1,gen-a,up", "w2,10.0.0.2,gen-z,up", "w3", *rows(10, 1, 2, 3, 7)]
-    step = reconciler.step(snapshot(*bad), 10)
-    assert step.entries == (ListedReplica("w7", ReplicaState.REMOVED, None),)
-    assert actions(step) == {"w7": Action.REMOVE} | dict.fromkeys(("w1", "w2", "w3"), Action.HOLD)
+    result = reconciler.reconcile(snapshot(*bad), 10)
+    assert result.entries == (ListedReplica("w7", ReplicaState.REMOVED, None),)
+    assert actions(result) == {"w7": Action.REMOVE} | dict.fromkeys(("w1", "w2", "w3"), Action.HOLD)
     assert reconciler.known["w1"].record.host == "10.0.0.1" and "INV305" in reconciler.known["w1"].hold_reason
     # Reported once, and no longer held once it is corrected.
-    assert not reconciler.step(snapshot(*bad), 20).decisions
-    reconciler.step(snapshot(*rows(10, 7)), 30)
+    assert not reconciler.reconcile(snapshot(*bad), 20).decisions
+    reconciler.reconcile(snapshot(*rows(10, 7)), 30)
     assert not reconciler.known["w1"].hold_reason
 
 
 def test_a_host_under_two_kinds_keeps_its_last_valid_one_or_stays_out() -> None:
     reconciler = started(5)
     both = [*rows(5), "w5,10.0.0.5,gen-b,up", "w6,10.0.0.6,gen-a,up", "w6,10.0.0.6,gen-b,up"]
-    step = reconciler.step(snapshot(*both), 10)
-    assert not step.entries and actions(step) == {"w5": Action.HOLD, "w6": Action.KEEP_OUT}
+    result = reconciler.reconcile(snapshot(*both), 10)
+    assert not result.entries and actions(result) == {"w5": Action.HOLD, "w6": Action.KEEP_OUT}
     assert reconciler.known["w5"].record.kind == "gen-a" and "INV403" in reconciler.excluded["w6"]
-    step = reconciler.step(snapshot(*rows(4), "w5,10.0.0.5,gen-b,up"), 20)
-    assert [entry.weight for entry in step.entries] == [1.0] and actions(step) == {"w5": Action.CHANGE}
+    result = reconciler.reconcile(snapshot(*rows(4), "w5,10.0.0.5,gen-b,up"), 20)
+    assert [entry.weight for entry in result.entries] == [1.0] and actions(result) == {"w5": Action.CHANGE}
 
 
 def test_an_edit_cut_off_at_any_byte_changes_only_the_edited_host() -> None:
@@ -73,14 +73,16 @@
     saves += [after[:at] for at in range(len(after) + 1)]
     for text in saves:
         reconciler = started(12)
-        step = reconciler.step(take_snapshot([FileText("a.csv", text.encode())], READING).snapshot, 10)
-        removed = {entry.uid for entry in step.entries if entry.state == ReplicaState.REMOVED}
+        result = reconciler.reconcile(take_snapshot([FileText("a.csv", text.encode())], READING).snapshot, 10)
+        removed = {entry.uid for entry in result.entries if entry.state == ReplicaState.REMOVED}
         # A cut at the end of a line looks like a removal: a few hosts are removed, many are held.
         assert len(removed) <= 3 and len(reconciler.known) >= 9, text
         if not text.endswith("\n"):
             assert not removed, text
         assert {one.record.kind for one in reconciler.known.values()} == {"gen-a"}, text
-        step = reconciler.step(take_snapshot([FileText("a.csv", before.encode())], READING).snapshot, 200)
+        result = reconciler.reconcile(
+            take_snapshot([FileText("a.csv", before.encode())], READING).snapshot, 200
+        )
         assert {name: one.record.host for name, one in reconciler.known.items()} == {
             f"w{n}": f"10.0.0.{n}" for n in range(1, 13)
         }
@@ -89,74 +91,87 @@
 def test_removal_of_half_the_fleet_is_held_until_an_operator_accepts_it() -> None:
     reconciler = started(22)
     half = snapshot(*rows(11))
-    step = reconciler.step(half, 10)
-    assert not step.entries and actions(step)[""] is Action.GUARD and len(reconciler.known) == 22
+    result = reconciler.reconcile(half, 10)
+    assert not result.entries and actions(result)[""] is Action.GUARD and len(reconciler.known) == 22
     assert (
         reconciler.pending_removal is not None
         and reconciler.pending_removal.hosts == 11
-        and half.fingerprint in step.decisions[0].reason
+        and half.fingerprint in result.decisions[0].reason
     )
-    assert not reconciler.step(half, 3_600_000).entries  # not by time alone
+    assert not reconciler.reconcile(half, 3_600_000).entries  # not by time alone
     reconciler.accept("another")
-    assert not reconciler.step(half, 3_600_010).entries
+    assert not reconciler.reconcile(half, 3_600_010).entries
     reconciler.accept(half.fingerprint)
-    step = reconciler.step(half, 3_600_020)
+    result = reconciler.reconcile(half, 3_600_020)
     assert (
-        len(step.entries) == 11 and actions(step)[""] is Action.ACCEPT and reconciler.pending_removal is None
+        len(result.entries) == 11
+        and actions(result)[""] is Action.ACCEPT
+        and reconciler.pending_removal is None
     )
 
 
 def test_removals_within_a_window_add_up_and_explicit_ones_do_not_count() -> None:
     reconciler = started(10)
-    assert len(reconciler.step(snapshot(*rows(10, 1, 2, 3)), 0).entries) == 3
-    step = reconciler.step(snapshot(*rows(10, 1, 2, 3, 4)), 1_000)
-    assert not step.entries and actions(step)[""] is Action.GUARD
-    assert len(reconciler.step(snapshot(*rows(10, 1, 2, 3, 4)), 61_000).entries) == 1  # the next window
+    assert len(reconciler.reconcile(snapshot(*rows(10, 1, 2, 3)), 0).entries) == 3
+    result = reconciler.reconcile(snapshot(*rows(10, 1, 2, 3, 4)), 1_000)
+    assert not result.entries and actions(result)[""] is Action.GUARD
+    assert len(reconciler.reconcile(snapshot(*rows(10, 1, 2, 3, 4)), 61_000).entries) == 1  # the next window
     said = [f"w{n},10.0.0.{n},gen-a,{'removed' if n < 10 else 'up'}" for n in range(5, 11)]
-    step = reconciler.step(snapshot(*said), 62_000)
-    assert len(step.entries) == 5 and "" not in actions(step) and list(reconciler.known) == ["w10"]
+    result = reconciler.reconcile(snapshot(*said), 62_000)
+    assert len(result.entries) == 5 and "" not in actions(result) and list(reconciler.known) == ["w10"]
 
 
 def test_an_emptied_file_removes_no_host_even_after_the_settling_time() -> None:
-    reconciler = started(2, settle_ms=5_000)
+    reconciler = started(2, removal_settle_ms=5_000)
     for text in (b"", b"name,host,kind,state\n", b"[", b"# gone\n"):
-        assert not reconciler.step(take_snapshot([FileText("a.csv", text)], READING).snapshot, 10).entries
-        assert not reconciler.step(take_snapshot([FileText("a.csv", text)], READING).snapshot, 60_000).entries
-    reconciler = started(10, settle_ms=5_000)
+        assert not reconciler.reconcile(
+            take_snapshot([FileText("a.csv", text)], READING).snapshot, 10
+        ).entries
+        assert not reconciler.reconcile(
+            take_snapshot([FileText("a.csv", text)], READING).snapshot, 60_000
+        ).entries
+    reconciler = started(10, removal_settle_ms=5_000)
     half = snapshot(*rows(5))
-    assert reconciler.step(half, 10).wake_ms == 5_010
-    assert not reconciler.step(half, 5_009).entries and len(reconciler.step(half, 5_010).entries) == 5
+    assert reconciler.reconcile(half, 10).wake_ms == 5_010
+    assert (
+        not reconciler.reconcile(half, 5_009).entries and len(reconciler.reconcile(half, 5_010).entries) == 5
+    )
 
 
 def test_absence_from_an_unfinished_file_removes_no_host_at_first() -> None:
     reconciler = started(10)
     cut = snapshot(*rows(9), "w", end="")
-    step = reconciler.step(cut, 10)
+    result = reconciler.reconcile(cut, 10)
     assert (
-        not step.entries
-        and actions(step) == {"w10": Action.HOLD, "w": Action.KEEP_OUT}
-        and step.wake_ms == 5_010
+        not result.entries
+        and actions(result) == {"w10": Action.HOLD, "w": Action.KEEP_OUT}
+        and result.wake_ms == 5_010
     )
-    assert [entry.uid for entry in reconciler.step(cut, 5_010).entries] == [
+    assert [entry.uid for entry in reconciler.reconcile(cut, 5_010).entries] == [
         "w10"
     ]  # the file stays without a newline
     reconciler = started(10)
     malformed = take_snapshot(
         [FileText("a.csv", ("name,host,kind\n" + "w1,10.0.0.1,gen-a\n" + '"w2,').encode())], READING
     ).snapshot
-    assert not reconciler.step(malformed, 10).entries and not reconciler.step(malformed, 3_600_000).entries
+    assert (
+        not reconciler.reconcile(malformed, 10).entries
+        and not reconciler.reconcile(malformed, 3_600_000).entries
+    )
 
 
 def test_a_row_without_a_name_holds_the_host_with_its_address() -> None:
     reconciler = started(5)
-    step = reconciler.step(snapshot(*rows(4), ",10.0.0.5,gen-a,up"), 10)
-    assert actions(step) == {"w5": Action.HOLD} and not step.entries
+    result = reconciler.reconcile(snapshot(*rows(4), ",10.0.0.5,gen-a,up"), 10)
+    assert actions(result) == {"w5": Action.HOLD} and not result.entries
 
 
 def test_drains_apply_although_the_row_is_invalid() -> None:
     reconciler = started(5)
-    step = reconciler.step(snapshot(*rows(3), "w4,10.0.0.4,gen-z,draining", "w5,nowhere,gen-a,removed"), 10)
-    assert [(entry.uid, entry.state) for entry in step.entries] == [
+    result = reconciler.reconcile(
+        snapshot(*rows(3), "w4,10.0.0.4,gen-z,draining", "w5,nowhere,gen-a,removed"), 10
+    )
+    assert [(entry.uid, entry.state) for entry in result.entries] == [
         ("w4", ReplicaState.DRAINING),
         ("w5", ReplicaState.REMOVED),
     ]
@@ -165,25 +180,25 @@
 def test_a_host_removed_while_draining_and_added_again() -> None:
     reconciler = started(5)
     draining = snapshot(*rows(4), "w5,10.0.0.5,gen-a,draining")
-    assert reconciler.step(draining, 10).entries[0].state == ReplicaState.DRAINING
-    assert reconciler.step(snapshot(*rows(4)), 20).entries == (
+    assert reconciler.reconcile(draining, 10).entries[0].state == ReplicaState.DRAINING
+    assert reconciler.reconcile(snapshot(*rows(4)), 20).entries == (
         ListedReplica("w5", ReplicaState.REMOVED, None),
     )
     # It is back and still draining: it gets no request in between or after.
-    assert reconciler.step(draining, 50).entries[0].state == ReplicaState.DRAINING
-    assert reconciler.step(snapshot(*rows(4)), 60).entries[0].state == ReplicaState.REMOVED
-    # Back within `blink_ms` it is the same process; later it counts as restarted.
-    assert reconciler.step(snapshot(*rows(5)), 160).entries[0].boot_ms == 0
-    reconciler.step(snapshot(*rows(4)), 200)
-    assert reconciler.step(snapshot(*rows(5)), 9_000).entries[0].boot_ms == 9_000
+    assert reconciler.reconcile(draining, 50).entries[0].state == ReplicaState.DRAINING
+    assert reconciler.reconcile(snapshot(*rows(4)), 60).entries[0].state == ReplicaState.REMOVED
+    # Back within `brief_absence_ms` it is the same process; later it counts as restarted.
+    assert reconciler.reconcile(snapshot(*rows(5)), 160).entries[0].boot_ms == 0
+    reconciler.reconcile(snapshot(*rows(4)), 200)
+    assert reconciler.reconcile(snapshot(*rows(5)), 9_000).entries[0].boot_ms == 9_000
 
 
 def test_two_replicas_swap_their_addresses_in_one_step() -> None:
     reconciler = started(3)
-    step = reconciler.step(
+    result = reconciler.reconcile(
         snapshot("w1,10.0.0.2,gen-a,up", "w2,10.0.0.1,gen-a,up", "w3,10.0.0.3,gen-a,up"), 10
     )
-    assert {entry.uid: (entry.endpoint, entry.boot_ms) for entry in step.entries} == {
+    assert {entry.uid: (entry.endpoint, entry.boot_ms) for entry in result.entries} == {
         "w1": (("10.0.0.2", 5000), 10),
         "w2": (("10.0.0.1", 5000), 10),
     }
@@ -199,9 +214,9 @@
         "w4,10.0.0.4,gen-a,up",
         "w5,10.0.0.3,gen-a,up",
     ]
-    step = reconciler.step(snapshot(*moved), 10)
-    assert not step.entries
-    assert actions(step) == {"w1": Action.HOLD, "w2": Action.HOLD, "w3": Action.HOLD, "w5": Action.KEEP_OUT}
+    result = reconciler.reconcile(snapshot(*moved), 10)
+    assert not result.entries
+    assert actions(result) == {"w1": Action.HOLD, "w2": Action.HOLD, "w3": Action.HOLD, "w5": Action.KEEP_OUT}
 
 
 def test_conflicting_files_hold_the_host_and_a_missing_file_removes_no_host() -> None:
@@ -212,25 +227,25 @@
         ).snapshot
 
     reconciler = Reconciler()
-    reconciler.step(both(b"name,host,kind\nw1,10.0.0.1,gen-a\nw3,10.0.0.3,gen-a\n"), 0)
+    reconciler.reconcile(both(b"name,host,kind\nw1,10.0.0.1,gen-a\nw3,10.0.0.3,gen-a\n"), 0)
     assert list(reconciler.known) == ["w1", "w2", "w3"]
-    step = reconciler.step(both(b"name,host,kind\nw1,10.0.0.9,gen-b\nw3,10.0.0.3,gen-a\n"), 10)
-    assert actions(step) == {"w1": Action.HOLD} and reconciler.known["w1"].record.host == "10.0.0.1"
-    step = reconciler.step(both(None), 20)
-    assert not step.entries and actions(step) == {"w3": Action.HOLD}
+    result = reconciler.reconcile(both(b"name,host,kind\nw1,10.0.0.9,gen-b\nw3,10.0.0.3,gen-a\n"), 10)
+    assert actions(result) == {"w1": Action.HOLD} and reconciler.known["w1"].record.host == "10.0.0.1"
+    result = reconciler.reconcile(both(None), 20)
+    assert not result.entries and actions(result) == {"w3": Action.HOLD}
 
 
 def test_a_flapping_host_stays_out_longer_each_time() -> None:
     reconciler, now, delays = started(5), 0, []
     for _ in range(12):
         now += 2_000
-        reconciler.step(snapshot(*rows(4)), now)
+        reconciler.reconcile(snapshot(*rows(4)), now)
         back = now
         while "w5" not in reconciler.known:
-            step = reconciler.step(snapshot(*rows(5)), now)
+            result = reconciler.reconcile(snapshot(*rows(5)), now)
             if "w5" not in reconciler.known:
-                assert step.wake_ms is not None and step.wake_ms > now
-                now = step.wake_ms
+                assert result.wake_ms is not None and result.wake_ms > now
+                now = result.wake_ms
         delays.append(now - back)
     assert delays[0] == delays[1] == 0 and max(delays) >= 60_000
     assert now <= 12 * 180_000  # but not forever
@@ -259,8 +274,8 @@
         lines = [f"w{name},10.0.0.{at},{kind},{state}" for name, (at, kind, state) in hosts.items()]
         current = snapshot(*lines)
         before = {name: replace(one.record) for name, one in reconciler.known.items()}
-        step = reconciler.step(current, now)
-        for entry in step.entries:
+        result = reconciler.reconcile(current, now)
+        for entry in result.entries:
             applied.pop(entry.uid, None)
             if entry.state != ReplicaState.REMOVED:
                 applied[entry.uid] = entry
@@ -283,7 +298,7 @@
             not {name for name, one in current.replicas.items() if one.state == "removed"}
             & reconciler.known.keys()
         )
-        again = reconciler.step(current, now)
+        again = reconciler.reconcile(current, now)
         assert not again.entries and not again.decisions
 
 
@@ -300,7 +315,7 @@
     resolved = snapshot(*moved[:1], moved[2])
     record = replace(reconciler.known["w2"].record, host="10.0.0.1")
     resolved = replace(resolved, replicas={**resolved.replicas, "w2": record})
-    step = reconciler.step(resolved, 10)
-    assert actions(step) == {"w2": Action.HOLD, "w3": Action.DRAIN}
+    result = reconciler.reconcile(resolved, 10)
+    assert actions(result) == {"w2": Action.HOLD, "w3": Action.DRAIN}
     assert reconciler.known["w2"].record.host == "10.0.0.2"
-    assert [entry.uid for entry in step.entries] == ["w3"]
+    assert [entry.uid for entry in result.entries] == ["w3"]
