--- a/lockspoke/inventory/flap_damping.py
+++ b/lockspoke/inventory/flap_damping.py
@@ -1,4 +1,4 @@
-"""Route flap damping (RFC 2439), for hosts that are removed and added, or moved, again and again."""
+"""Flap damping as for routes (RFC 2439): delays hosts that return or change their address too often."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from .decisions import ReconcilePolicy
 
-NEGLIGIBLE_PENALTY = 0.1
+NEGLIGIBLE_PENALTY = 0.1  # Smaller penalties are dropped.
 
 
 @dataclass(slots=True)
 class _Penalty:
-    """A value that decays by half in each half-life."""
+    """A penalty that halves in each half-life."""
 
     value: float = 0.0
     updated_at_ms: int = 0
@@ -25,17 +25,20 @@
 
 
 class FlapDamper:
-    """The penalties of all hosts. A host is damped from the limit on, until it is below half of it."""
+    """The flap penalties of all hosts.
+
+    A host is damped once its penalty reaches the limit, until the penalty is below half of the limit.
+    """
 
     def __init__(self) -> None:
         self._penalties: dict[str, _Penalty] = {}
 
     def count(self, host: str, now_ms: int, policy: ReconcilePolicy) -> None:
-        """Count a return or a move of a host."""
+        """Add to the penalty of a host that has returned or changed its address."""
         self._penalties.setdefault(host, _Penalty()).add(now_ms, policy.flap_half_life_ms)
 
     def damped_until(self, host: str, now_ms: int, policy: ReconcilePolicy) -> int | None:
-        """When a damped host may change again, in Unix milliseconds; None if it isn't damped."""
+        """The Unix time in milliseconds by which a host is no longer damped; None if it is not now."""
         penalty = self._penalties.get(host)
         if penalty is None:
             return None
@@ -50,7 +53,7 @@
         return now_ms + halvings * policy.flap_half_life_ms
 
     def expire(self, now_ms: int, policy: ReconcilePolicy) -> None:
-        """Forget penalties that have decayed."""
+        """Drop penalties that have decayed."""
         for host, penalty in list(self._penalties.items()):
             if penalty.current(now_ms, policy.flap_half_life_ms) < NEGLIGIBLE_PENALTY:
                 del self._penalties[host]
--- a/lockspoke/inventory/reconciler.py
+++ b/lockspoke/inventory/reconciler.py
@@ -1,12 +1,11 @@
-"""The reconciler: turns snapshots of the files into changes of the replica set, each with its reason.
+"""Computes the changes of the replica set that follow from a snapshot of the files, each with its reason.
 
-It does no I/O and has no clock. Hosts are added with caution and removed promptly: a host that the files
-no longer name, or mark as draining, gets no new request, whatever is wrong with other rows. A host whose own
-row is invalid keeps its last valid state, or stays out if it has none. Two kinds of absence remove no host:
-one that an unfinished file may explain, and one of many hosts at once (see `removal_guard`).
+The reconciler does no I/O and reads no clock. A host that the files no longer name, or mark as draining, gets
+no new request, even if other rows are invalid. A host whose own row is invalid keeps its last valid record,
+or is not added if it has none. An absent host is not removed if an incomplete file may explain its absence,
+or if many hosts are absent at once (see `removal_guard`).
 
-A host is out, up, draining or removed; independently of that it may be held, that is, kept in a state other
-than that in the files, for a reason.
+A host that keeps a record other than the one in the files is called held; the reason is kept with it.
 """
 
 from __future__ import annotations
@@ -24,30 +23,30 @@
 from .removal_guard import PendingRemoval, RemovalGuard
 from .unterminated_sources import UnterminatedSources
 
-FORGET_HALF_LIVES = 8  # half-lives of a flap penalty for which a removed host is remembered
+REMOVED_HOST_HALF_LIVES = 8  # A removed host is remembered for this many half-lives of the flap penalty.
 
 _STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.REMOVED}
-_REMOVED_BY_FILE = "the file says that it is removed"
+_REMOVED_BY_FILE = "its state in the files is removed"
 
 
 @dataclass(frozen=True, slots=True)
 class _RemovedReplica:
-    """A host that was removed a short time ago."""
+    """A host that was removed recently."""
 
     record: ReplicaRecord
     removed_at_ms: int
     boot_ms: int
-    explicit: bool  # the files requested it
+    explicit: bool  # False if the files just no longer named the host.
 
 
 class Reconciler:
-    """Decides, from one snapshot to the next, how the replica set changes."""
+    """Reconciles the replica set with one snapshot after another."""
 
     def __init__(self, policy: ReconcilePolicy | None = None, known: Iterable[KnownReplica] = ()) -> None:
         self.policy = policy or ReconcilePolicy()
         self.known: dict[str, KnownReplica] = {one.record.name: one for one in known}
-        self.excluded: dict[str, str] = {}  # hosts that are kept out, with the reason
-        self.started = bool(self.known)
+        self.excluded: dict[str, str] = {}  # The reason for each host that is not added.
+        self.has_initial_list = bool(self.known)
         self._recently_removed: dict[str, _RemovedReplica] = {}
         self._guard = RemovalGuard()
         self._damper = FlapDamper()
@@ -65,10 +64,10 @@
         self._guard.accept(fingerprint)
 
     def reconcile(self, snapshot: Snapshot, now_ms: int) -> ReconcileResult:
-        """Reconcile a snapshot, a new one or the same again at a later time.
+        """Reconcile the replica set with a new snapshot, or with the same one at a later time.
 
-        A decision that is made again for the same reason is not reported again. Removals and drains come
-        first among the entries, as the replica set may apply them in several batches.
+        A decision that is repeated for the same reason is not reported again. Removals and drains are the
+        first entries, because the replica set may be given the entries in several batches.
         """
         self._wake_ms, self._decisions = None, []
         self._unterminated.update(snapshot, now_ms, self.policy)
@@ -78,29 +77,29 @@
         resolve_address_conflicts(targets, self.known)
         entries = self._apply_targets(targets, snapshot, now_ms)
         self.excluded = {name: one.reason for name, one in targets.items() if one.action is Action.KEEP_OUT}
-        self.started = True
+        self.has_initial_list = True
         return ReconcileResult(tuple(entries), tuple(self._decisions), self._wake_ms)
 
     def entries(self) -> tuple[ListedReplica, ...]:
-        """The complete list, as the replica set should have it now."""
+        """The complete list that the replica set should have now."""
         return tuple(_entry(known) for known in self.known.values())
 
-    # The target of each host
+    # Choosing the targets
 
     def _targets(self, snapshot: Snapshot, now_ms: int) -> tuple[dict[str, Target], int]:
-        """The targets of all hosts that may change, and the number of those that don't."""
+        """The targets of all hosts that may change, and the number of known hosts that do not."""
         targets: dict[str, Target] = {}
-        unchanged, known_of, files_of = 0, self.known.get, snapshot.files.get
+        unchanged, find_known, find_files = 0, self.known.get, snapshot.files.get
         for name, record in snapshot.replicas.items():
-            known = known_of(name)
-            # Most hosts of a large list have not changed, so this case has to be cheap.
+            known = find_known(name)
+            # Most hosts of a large list are unchanged, so this case must be cheap.
             if (
                 known is not None
                 and not known.hold_reason
                 and (known.record is record or known.record == record)
             ):
                 unchanged += 1
-                known.record, known.files = record, files_of(name, known.files)
+                known.record, known.files = record, find_files(name, known.files)
                 continue
             if (target := self._target_of_listed(name, record, now_ms)) is not None:
                 targets[name] = target
@@ -109,37 +108,37 @@
                 if name not in targets and name not in snapshot.replicas:
                     targets[name] = self._target_of_absent(name, snapshot, now_ms)
         for name, reason in snapshot.invalid_hosts.items():
-            is_in = name in self.known or name in snapshot.replicas
-            if not is_in and snapshot.requested_states.get(name) != "removed":
+            is_present = name in self.known or name in snapshot.replicas
+            if not is_present and snapshot.requested_states.get(name) != "removed":
                 targets[name] = Target(Action.KEEP_OUT, None, f"its row is wrong: {reason}")
         return targets, unchanged
 
     def _target_of_listed(self, name: str, record: ReplicaRecord, now_ms: int) -> Target | None:
-        """The target of a host with a valid row; None if it is out and stays so."""
+        """The target of a host with a valid row; None if it is not in the replica set and is not to be."""
         known = self.known.get(name)
         if record.state == "removed":
             return None if known is None else Target(Action.REMOVE, None, _REMOVED_BY_FILE)
         if known is not None:
             return self._target_of_changed(name, record, known, now_ms)
-        if self.started and self._is_damped(name, now_ms):
-            return Target(Action.KEEP_OUT, None, "it comes and goes; it stays out until that has calmed down")
-        return Target(Action.ADD, record, "new" if name not in self._recently_removed else "back")
+        if self.has_initial_list and self._is_damped(name, now_ms):
+            return Target(Action.KEEP_OUT, None, "flapping; not added until its flap penalty has decayed")
+        return Target(Action.ADD, record, "new" if name not in self._recently_removed else "listed again")
 
     def _target_of_changed(
         self, name: str, record: ReplicaRecord, known: KnownReplica, now_ms: int
     ) -> Target:
-        """The target of a known host with a valid row that differs from its record, or that was held."""
+        """The target of a known host that was held, or whose valid row differs from its record."""
         if record == known.record:
-            return Target(Action.CHANGE, record, "as before")
+            return Target(Action.CHANGE, record, "unchanged")
         if record.address != known.record.address:
             if self._is_damped(name, now_ms):
-                reason = "it moves to and fro; it stays where it was until that has calmed down"
+                reason = "flapping; keeps its address until its flap penalty has decayed"
                 return Target.hold(known.record, reason)
             old, new = (f"{host}:{port}" for host, port in (known.record.address, record.address))
-            return Target(Action.CHANGE, record, f"moves from {old} to {new}")
+            return Target(Action.CHANGE, record, f"address from {old} to {new}")
         if record.state != known.record.state:
             action = Action.DRAIN if record.state == "draining" else Action.CHANGE
-            return Target(action, record, f"from {known.record.state} to {record.state}")
+            return Target(action, record, f"state from {known.record.state} to {record.state}")
         return Target(Action.CHANGE, record, _describe_difference(known.record, record))
 
     def _target_of_absent(self, name: str, snapshot: Snapshot, now_ms: int) -> Target:
@@ -149,14 +148,14 @@
             return _target_of_invalid(known.record, name, snapshot)
         for file in known.files:
             if file in snapshot.incomplete_sources:
-                reason = f"absent, but {file} was not read to its end: {snapshot.incomplete_sources[file]}"
+                reason = f"absent, but {file} was not read completely: {snapshot.incomplete_sources[file]}"
                 return Target.hold(known.record, reason)
             until_ms = self._unterminated.suspended_until(file, now_ms, self.policy)
             if until_ms is not None:
                 self._wake_at(until_ms)
-                return Target.hold(known.record, f"absent, but the last line of {file} is not finished")
+                return Target.hold(known.record, f"absent, but the last line of {file} may be incomplete")
         if known.record.address in snapshot.invalid_row_addresses:
-            return Target.hold(known.record, "absent, but a row that can't be read has its address")
+            return Target.hold(known.record, "absent, but an invalid row has its address")
         return Target(Action.REMOVE, None, "it is not in the files any more", explicit=False)
 
     def _is_damped(self, name: str, now_ms: int) -> bool:
@@ -174,9 +173,9 @@
         if result.decision is not None:
             self._decisions.append(result.decision)
         for name in result.held_hosts:
-            reason = "absent, with too many others"
+            reason = "absent, together with too many other hosts"
             targets[name] = Target(
-                Action.HOLD, self.known[name].record, reason, hold_reason="held by the guard"
+                Action.HOLD, self.known[name].record, reason, hold_reason="held by the mass removal guard"
             )
 
     def _wake_at(self, at_ms: int) -> None:
@@ -187,7 +186,7 @@
     def _apply_targets(
         self, targets: dict[str, Target], snapshot: Snapshot, now_ms: int
     ) -> list[ListedReplica]:
-        """Bring the known replicas to their targets; returns the entries, removals and drains first."""
+        """Apply the targets to the known replicas; returns the entries, removals and drains first."""
         removals: list[ListedReplica] = []
         others: list[ListedReplica] = []
         for name, target in targets.items():
@@ -217,7 +216,7 @@
         boot_ms = self._boot_time_ms(name, record, now_ms)
         known = self.known[name] = KnownReplica(record, snapshot.files.get(name, ()), boot_ms)
         self._recently_removed.pop(name, None)
-        if self.started:
+        if self.has_initial_list:
             self._decide(target.action, name, target.reason)
         return _entry(known)
 
@@ -230,7 +229,7 @@
         snapshot: Snapshot,
         now_ms: int,
     ) -> bool:
-        """Bring a known replica to its target; returns whether the replica set has to know."""
+        """Apply the target of a known replica; returns whether the replica set must be updated."""
         is_held = target.action is Action.HOLD
         if not is_held:
             known.files = snapshot.files.get(name, known.files)
@@ -247,8 +246,8 @@
         return _visible_fields(before) != _visible_fields(record)
 
     def _boot_time_ms(self, name: str, record: ReplicaRecord, now_ms: int) -> int:
-        """When a host that is added was started, as far as is known; counts its return."""
-        if not self.started:
+        """The Unix time at which an added host started, 0 if unknown; counts its return as a flap."""
+        if not self.has_initial_list:
             return 0
         removed = self._recently_removed.get(name)
         if removed is not None:
@@ -261,9 +260,11 @@
         return now_ms if self.policy.new_is_cold else 0
 
     def _expire(self, now_ms: int) -> None:
-        """Forget what is too old to matter."""
+        """Drop removals and flap penalties that no longer affect a decision."""
         self._guard.expire(now_ms, self.policy)
-        lifetime_ms = max(self.policy.removal_window_ms, FORGET_HALF_LIVES * self.policy.flap_half_life_ms)
+        lifetime_ms = max(
+            self.policy.removal_window_ms, REMOVED_HOST_HALF_LIVES * self.policy.flap_half_life_ms
+        )
         for name, removed in list(self._recently_removed.items()):
             if removed.removed_at_ms < now_ms - lifetime_ms:
                 del self._recently_removed[name]
@@ -280,9 +281,9 @@
     if requested_state == "removed":
         return Target(Action.REMOVE, None, _REMOVED_BY_FILE)
     if requested_state == "draining" and record.state == "up":
-        # The other values of the row don't matter for a host that is to get no further request.
+        # A draining host gets no new requests, so the other values of its row don't matter.
         draining = replace(record, state="draining")
-        return Target(Action.DRAIN, draining, "from up to draining", hold_reason=reason)
+        return Target(Action.DRAIN, draining, "state from up to draining", hold_reason=reason)
     return Target.hold(record, reason)
 
 
@@ -300,7 +301,7 @@
 
 
 def _visible_fields(record: ReplicaRecord) -> tuple[object, ...]:
-    """What the replica set sees of a record."""
+    """The fields of a record that the replica set uses."""
     return record.address, record.zone, record.cell, record.weight, record.state
 
 
--- a/lockspoke/inventory/removal_guard.py
+++ b/lockspoke/inventory/removal_guard.py
@@ -1,4 +1,4 @@
-"""Holds back the removal of many hosts at once, until it has settled or an operator accepts it.
+"""Holds back a mass removal until the files have settled or an operator accepts it.
 
 Only hosts that the files no longer name count: a removal that a row requests is never held back.
 """
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRemoval:
-    """A mass removal that is held back."""
+    """A mass removal that is held back: the fingerprint of its snapshot, and the number of hosts."""
 
-    fingerprint: str  # of the snapshot that requests it
-    since_ms: int  # Unix time
+    fingerprint: str
+    since_ms: int  # Unix time at which the snapshot was first reconciled.
     hosts: int
 
 
@@ -25,7 +25,7 @@
 class Removal:
     """A host that was removed because the files no longer named it."""
 
-    at_ms: int  # Unix time
+    at_ms: int  # Unix time of the removal.
     host: str
 
 
@@ -33,7 +33,8 @@
 class GuardResult:
     """The guard's decision about one snapshot.
 
-    `held_hosts` are the hosts that must stay; `wake_ms` is the time at which the removal will have settled.
+    `held_hosts` must not be removed. `wake_ms` is the Unix time from which the removal counts as settled;
+    None if nothing is held, or if only an operator can release it.
     """
 
     decision: Decision | None = None
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Extent:
-    """How many hosts disappear, together with those that did so a short time ago."""
+    """How many of all hosts have disappeared within the removal window, those of this snapshot included."""
 
     count: int
     total: int
@@ -55,7 +56,7 @@
 
 
 class RemovalGuard:
-    """Decides about removals of many hosts."""
+    """Decides whether absent hosts may be removed, and counts the removals within the window."""
 
     def __init__(self) -> None:
         self.pending: PendingRemoval | None = None
@@ -71,11 +72,11 @@
         self._removals.append(Removal(now_ms, host))
 
     def forget_removal(self, host: str) -> None:
-        """Stop counting a host that is back."""
+        """Stop counting a host that the files name again."""
         self._removals = deque(removal for removal in self._removals if removal.host != host)
 
     def expire(self, now_ms: int, policy: ReconcilePolicy) -> None:
-        """Forget removals that are older than the window."""
+        """Drop removals that are older than the window."""
         oldest_ms = now_ms - policy.removal_window_ms
         while self._removals and self._removals[0].at_ms <= oldest_ms:
             self._removals.popleft()
@@ -89,7 +90,10 @@
         policy: ReconcilePolicy,
         any_unchanged: bool,
     ) -> GuardResult:
-        """Review the targets of one snapshot; `any_unchanged`: a known host has no target, as it stays."""
+        """Review the targets of one snapshot.
+
+        `any_unchanged` tells whether there are known hosts without a target, which stay as they are.
+        """
         absent = [name for name, one in targets.items() if one.action is Action.REMOVE and not one.explicit]
         extent = self._extent(targets, known, len(absent), any_unchanged)
         if not absent or extent.is_allowed(policy):
@@ -116,7 +120,7 @@
         absent: int,
         any_unchanged: bool,
     ) -> _Extent:
-        # A host that is back, or comes back with this snapshot, is no longer missing.
+        # A removed host that has been added again, or is added by this snapshot, no longer counts.
         present = {name for name, target in targets.items() if target.record is not None}
         recent = sum(one.host not in present and one.host not in known for one in self._removals)
         empties_list = absent > 0 and not present and not any_unchanged
