--- a/lockspoke/inventory/parse_cache.py
+++ b/lockspoke/inventory/parse_cache.py
@@ -1,4 +1,4 @@
-"""Caches what unchanged files and rows were parsed to: most of a large inventory does not change."""
+"""Caches parsed files and checked rows, as most of a large inventory does not change between snapshots."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
 class ReadOptions:
     """How sources are read.
 
-    `file_format` is that of files whose names don't tell theirs, `select` the part of the hosts that counts.
+    `file_format` is the format of all files, or empty to detect that of each file. `select` is the pattern of
+    the hosts to use; None for all hosts.
     """
 
     rules: Rules = field(default_factory=Rules)
     file_format: str = ""
     select: Pattern | None = None
-    later_wins: bool = False  # where two sources differ the later one counts, as in Ansible
+    # Whether the later of two sources with different values takes precedence, as in Ansible.
+    later_wins: bool = False
 
 
 class _SourceKey(NamedTuple):
@@ -38,7 +40,7 @@
 
 
 class _ParsedSource(NamedTuple):
-    """A source, None for a file that is skipped, and the problems found in reading it."""
+    """The problems found when reading a file, and its source; None for a file that is skipped."""
 
     source: Source | None
     problems: list[Problem]
@@ -48,9 +50,9 @@
 
 
 class ParseCache:
-    """The results of the last snapshot.
+    """Caches the parsed sources and checked rows of the last snapshot.
 
-    Rows with a problem are not cached: a problem names a line, and lines move.
+    Rows with a problem are not cached: a problem refers to a line, whose number may change.
     """
 
     def __init__(self) -> None:
@@ -61,7 +63,7 @@
         self._options: ReadOptions | None = None
 
     def begin(self, options: ReadOptions) -> None:
-        """Begin a snapshot; results from other options are dropped."""
+        """Begin a snapshot; results that were cached with other options are dropped."""
         if options != self._options:
             self._sources.clear()
             self._rows.clear()
@@ -69,14 +71,14 @@
         self._used_sources, self._used_rows = set(), set()
 
     def end(self) -> None:
-        """Drop what the snapshot did not use."""
+        """End the snapshot; cached results that it did not use are dropped."""
         self._sources = {key: self._sources[key] for key in self._used_sources if key in self._sources}
         self._rows = {key: self._rows[key] for key in self._used_rows if key in self._rows}
 
     def read(
         self, file: FileText, options: ReadOptions, names: dict[str, str], problems: ProblemCollector
     ) -> Source | None:
-        """Read a file of hosts, unless it has not changed; None for a file that is skipped."""
+        """Read a file of hosts, or return its cached source; None for a file that is skipped."""
         content = file.data or file.error.encode()
         key = _SourceKey(file.path, hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest())
         parsed = self._sources.get(key)
@@ -90,7 +92,7 @@
         return parsed.source
 
     def check(self, row: Row, rules: Rules) -> CheckedRow:
-        """Check a row against the schema, unless it has not changed."""
+        """Check a row against the schema, or return the cached result."""
         key = (
             row.name,
             *((name, _hashable(value.raw), value.encrypted) for name, value in row.values.items()),
--- a/lockspoke/inventory/parser_process.py
+++ b/lockspoke/inventory/parser_process.py
@@ -1,6 +1,6 @@
-"""A child process that parses large inventories, so that the event loop never waits for a parse.
+"""A child process that parses large inventories, so that parsing does not block the event loop.
 
-It reads requests from a pipe and ends when that is closed, so it never outlives the gateway.
+It reads requests from a pipe and exits when the pipe is closed, so it does not outlive the gateway.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
     split_snapshot,
 )
 
-READ_TIMEOUT = 120.0  # seconds for one request, after which the process is killed
+READ_TIMEOUT_SECONDS = 120.0  # After this the process is killed.
 
 
 class ParserProcessError(Exception):
-    """The process has died, timed out or sent what is no message."""
+    """The process has died, timed out or sent a malformed message."""
 
 
 @dataclass(frozen=True, slots=True)
 class _RunningProcess:
-    """The process with its pipes."""
+    """The process and its pipes."""
 
     process: asyncio.subprocess.Process
     requests: asyncio.StreamWriter
@@ -50,7 +50,7 @@
 
 
 class ParserProcess:
-    """The gateway's side: starts the process when it is first needed, and again if it has died."""
+    """The gateway's side: starts the process when it is first needed, and again after it has died."""
 
     def __init__(self) -> None:
         self._running: _RunningProcess | None = None
@@ -58,18 +58,19 @@
         self._decoder = msgspec.msgpack.Decoder(SnapshotPart)
 
     def start_early(self) -> None:
-        """Start the process before it is needed, as its start takes longer than most requests."""
+        """Start the process before it is needed, because a start takes longer than most requests."""
         self._starting = asyncio.ensure_future(self._start())
 
     async def read(
         self, settings: InventorySettings, zones: tuple[str, ...], previous: Mapping[str, ReplicaRecord]
     ) -> Snapshot:
-        """Have the sources read; records that equal one of `previous` are shared with it.
+        """Have the process read the sources.
 
-        Raises ParserProcessError; the next request starts a new process.
+        For a record that equals one of `previous`, the snapshot has that object. Raises ParserProcessError;
+        the next request then starts a new process.
         """
         try:
-            async with asyncio.timeout(READ_TIMEOUT):
+            async with asyncio.timeout(READ_TIMEOUT_SECONDS):
                 return await self._read(settings, zones, previous)
         except (OSError, EOFError, TimeoutError, msgspec.MsgspecError, ValueError) as error:
             self.close()
@@ -90,10 +91,10 @@
                 __name__,
                 stdin=asyncio.subprocess.PIPE,
                 stdout=asyncio.subprocess.PIPE,
-                start_new_session=True,  # signals to the gateway's process group don't reach it
+                start_new_session=True,  # Signals to the gateway's process group don't reach it.
             )
             if process.stdin is None or process.stdout is None:
-                raise OSError("the process has no pipes")
+                raise OSError("the parser process has no pipes")
             self._running = _RunningProcess(process, process.stdin, process.stdout)
         return self._running
 
@@ -113,12 +114,12 @@
             snapshot = assembler.add(part)
             if snapshot is not None:
                 return snapshot
-            await asyncio.sleep(0)  # lets requests run between two parts
+            await asyncio.sleep(0)  # Lets requests run between two parts.
 
 
 def serve(requests: BinaryIO, responses: BinaryIO) -> None:
     """The process's side: answer requests until the pipe is closed."""
-    gc.disable()  # parsing makes no reference cycles; one collection after each request is enough
+    gc.disable()  # Parsing makes no reference cycles; one collection after each request is enough.
     cache = ParseCache()
     decoder = msgspec.msgpack.Decoder(ReadRequest)
     while len(length := requests.read(LENGTH_BYTES)) == LENGTH_BYTES:
--- a/lockspoke/inventory/snapshot.py
+++ b/lockspoke/inventory/snapshot.py
@@ -1,4 +1,4 @@
-"""Makes a snapshot from the contents of all files: read, merged, selected and checked, without I/O."""
+"""Builds a snapshot from the contents of all files: reads, merges, selects and checks, without I/O."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Input:
-    """All files, read."""
+    """The parsed contents of all files."""
 
     sources: list[Source] = field(default_factory=list)
     group_vars: dict[str, HostVariables] = field(default_factory=dict)
@@ -38,7 +38,7 @@
 
 
 def fingerprint(files: Iterable[FileText]) -> str:
-    """A short digest of the names and contents of all files: equal inventories have equal ones."""
+    """A short digest of the paths, roles and contents of all files."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for file in files:
         data = file.data if file.data is not None else file.error.encode()
@@ -50,9 +50,9 @@
 def take_snapshot(
     files: list[FileText], options: ReadOptions, cache: ParseCache | None = None
 ) -> SnapshotReport:
-    """Read, merge, select and check. Never raises for the content of a file: the report has all problems.
+    """Read, merge, select and check all files. Errors in their content are reported, never raised.
 
-    `cache` saves the work for files and rows that have not changed since it was used last.
+    `cache` saves parsing files and rows that have not changed since the last snapshot.
     """
     problems, rules = ProblemCollector(), options.rules
     cache = cache or ParseCache()
@@ -91,7 +91,7 @@
 
 
 def _errors_by_host(problems: ProblemCollector) -> dict[str, str]:
-    """By the name of a host, the first error that was found in reading or merging it."""
+    """The first error of each host that was found when reading or merging, by the name of the host."""
     errors: dict[str, str] = {}
     for problem in problems.found:
         if problem.is_error and problem.host:
@@ -100,11 +100,11 @@
 
 
 def _reject_misread_rows(checked: list[CheckedRow], reader_errors: dict[str, str]) -> None:
-    """Take their records from rows that a reader has found an error in, or that have no name."""
+    """Drop the records of rows in which a reader has found an error, or that have no name."""
     for one in checked:
         if one.row.name in reader_errors or not one.row.name:
             one.record = None
-            # What is missing now follows from the reader's error, which is reported already.
+            # Missing values follow from the reader's error, which has already been reported.
             one.problems = [problem for problem in one.problems if problem.place != one.row.place]
 
 
@@ -148,10 +148,10 @@
             invalid_row_addresses.add(one.address)
         if not name:
             continue
-        invalid_hosts[name] = by_host.get(name) or one.reason or "its row is not right"
+        invalid_hosts[name] = by_host.get(name) or one.reason or "its row is invalid"
         if one.state != "up":
             requested_states[name] = more_restrictive(one.state, requested_states.get(name, "up"))
-    for name, reason in by_host.items():  # hosts named in a row that gave no record at all
+    for name, reason in by_host.items():  # Hosts with a reading error that have no row at all.
         if name not in replicas:
             invalid_hosts.setdefault(name, reason)
     incomplete_sources = {
@@ -174,4 +174,4 @@
     for problem in problems.found:
         if problem.is_error and problem.place.file == source.file and not problem.host:
             return f"{problem.code.id} {problem.message}"
-    return "not read to its end"
+    return "not read completely"
--- a/lockspoke/inventory/snapshot_loader.py
+++ b/lockspoke/inventory/snapshot_loader.py
@@ -1,4 +1,7 @@
-"""Reads the files of an inventory: on the event loop, in the parser process, or in a thread without it."""
+"""Loads snapshots: small inventories on the event loop, large ones in the parser process.
+
+If the parser process fails, a thread takes its place.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class SnapshotLoader:
-    """Loads snapshots, with host names resolved where the settings allow them."""
+    """Loads snapshots, and resolves host names if the settings allow them."""
 
     def __init__(self, executor: Executor) -> None:
         self.lookup = HostLookup()
@@ -32,7 +35,7 @@
 
     def load_first(self, settings: InventorySettings, zones: tuple[str, ...]) -> Snapshot:
         """Load a snapshot before the event loop runs."""
-        # The cache is discarded: that of a large inventory belongs in the parser process.
+        # Without the cache: a large inventory is cached in the parser process only.
         options = settings.read_options(zones)
         snapshot = take_snapshot(read_files(_paths(settings)), options).snapshot
         if not settings.lookups:
@@ -50,9 +53,9 @@
         is_large: bool,
         previous: Mapping[str, ReplicaRecord],
     ) -> Snapshot:
-        """Load a snapshot; `is_large` keeps the work off the event loop.
+        """Load a snapshot, outside of the event loop if `is_large` is set.
 
-        Records that equal one of `previous` are shared with it.
+        For a record that equals one of `previous`, the snapshot has that object.
         """
         if is_large:
             snapshot = await self._load_large(settings, zones, previous)
@@ -70,7 +73,7 @@
             return await self._parser.read(settings, zones, previous)
         except ParserProcessError as error:
             log.error("inventory_parser_process_failed", reason=str(error))
-        # A thread slows requests down, but without it no change would be seen.
+        # A thread slows requests down, but without it no change would be noticed.
         loop = asyncio.get_running_loop()
         files = await loop.run_in_executor(self._executor, read_files, _paths(settings))
         return await loop.run_in_executor(self._executor, _parse, files, settings.read_options(zones))
--- a/lockspoke/inventory/snapshot_messages.py
+++ b/lockspoke/inventory/snapshot_messages.py
@@ -1,7 +1,7 @@
 """The messages between the gateway and its parser process.
 
-A message is its length in four bytes, big-endian, and MessagePack. A snapshot is sent in several parts, so
-that no part takes long to decode.
+A message consists of its length (four bytes, big-endian) and its MessagePack encoding. A snapshot is sent in
+several parts, so that no part takes long to decode.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 
 LENGTH_BYTES = 4
 ROWS_PER_PART = 250
-MAX_PROBLEMS = 2_000  # of a snapshot; further ones are dropped
+MAX_PROBLEMS = 2_000  # Further problems of a snapshot are not sent.
 
 
 class ReadRequest(msgspec.Struct, frozen=True):
-    """Asks for a snapshot of the sources as they are now."""
+    """Requests a snapshot of the sources in their present state."""
 
     settings: InventorySettings
     zones: list[str]
 
 
 class InvalidHost(msgspec.Struct, frozen=True, array_like=True):
-    """A host with an invalid row: the reason, and the files that name it."""
+    """A host with an invalid row: why the row is invalid, and the files that name the host."""
 
     reason: str
     files: list[str]
 
 
 class ProblemMessage(msgspec.Struct, frozen=True, array_like=True):
-    """A problem, with its code by id."""
+    """A problem, with the id of its code."""
 
     code_id: str
     place: Place
@@ -63,7 +63,7 @@
 
 
 class SnapshotSummary(msgspec.Struct, frozen=True):
-    """The smaller fields of a snapshot."""
+    """The fields of a snapshot that need not be split into parts."""
 
     requested_states: dict[str, str]
     incomplete_sources: dict[str, str]
@@ -73,23 +73,23 @@
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, array_like=True):
-    """A part of a snapshot; the last one has the summary."""
+    """A part of a snapshot; only the last part has a summary."""
 
     replicas: list[ReplicaRecord] = []
-    files: list[list[str]] = []  # by replica, the files that name it
+    files: list[list[str]] = []  # The files that name each replica, in the order of `replicas`.
     invalid_hosts: dict[str, InvalidHost] = {}
     problems: list[ProblemMessage] = []
     summary: SnapshotSummary | None = None
 
 
 def encode_message(message: msgspec.Struct) -> bytes:
-    """A message with its length before it."""
+    """Encode a message, prefixed with its length."""
     data = msgspec.msgpack.encode(message)
     return len(data).to_bytes(LENGTH_BYTES, "big") + data
 
 
 def split_snapshot(snapshot: Snapshot) -> Iterator[SnapshotPart]:
-    """The parts of a snapshot."""
+    """Split a snapshot into its parts."""
     replicas = list(snapshot.replicas.values())
     for start in range(0, len(replicas), ROWS_PER_PART):
         chunk = replicas[start : start + ROWS_PER_PART]
@@ -116,7 +116,7 @@
 class SnapshotAssembler:
     """Assembles a snapshot from its parts.
 
-    A record that equals one of `previous` is replaced by it, so that later comparisons find the same object.
+    A record that equals one of `previous` is replaced by that object, which makes later comparisons cheap.
     """
 
     def __init__(self, previous: Mapping[str, ReplicaRecord]) -> None:
@@ -127,7 +127,7 @@
         self._problems: list[Problem] = []
 
     def add(self, part: SnapshotPart) -> Snapshot | None:
-        """Add a part; returns the snapshot once it is complete."""
+        """Add a part; returns the snapshot after the last part, None before."""
         for replica, files in zip(part.replicas, part.files, strict=True):
             known = self._previous.get(replica.name)
             self._replicas[replica.name] = known if known is not None and known == replica else replica
--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -1,6 +1,7 @@
-"""The source of the endpoint list: loads the files, reconciles them, and passes the changes to the core.
+"""The inventory as the source of the endpoint list.
 
-One task does all of it, one pass after another, so that two changes never overtake each other.
+It loads the files, reconciles the replica set with them, and passes the changes to the core. A single task
+does all of this, so that changes are applied in the order in which they were read.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
 from .snapshot_loader import SnapshotLoader
 from .status import LoadedSnapshot, status_document
 
-BATCH_SIZE = 500  # entries that the replica set is given at once
-MIN_WAKE_DELAY = 0.01  # seconds
+MAX_ENTRIES_PER_UPDATE = 500
+MIN_WAKE_DELAY_SECONDS = 0.01
 MAX_ERRORS_SHOWN = 40
 
 log = structlog.get_logger()
@@ -44,28 +45,28 @@
 
 
 class InventoryError(ValueError):
-    """An inventory that can't be started with."""
+    """The inventory has no usable replica to start with."""
 
 
 class InventorySource:
-    """The endpoint list, from files."""
+    """Provides the endpoint list from the files of the inventory."""
 
     def __init__(
         self,
         settings: InventorySettings,
         zones: tuple[str, ...],
-        wall_ms: Callable[[], int] = _unix_ms,
+        clock_ms: Callable[[], int] = _unix_ms,
     ) -> None:
-        self.settings, self.zones, self.wall_ms = settings, zones, wall_ms
+        self.settings, self.zones, self.clock_ms = settings, zones, clock_ms
         self.reconciler = self._new_reconciler()
         self._executor = ThreadPoolExecutor(2, "inventory")
         self._watcher = FileWatcher(settings, self._executor)
         self._loader = SnapshotLoader(self._executor)
-        self._decision_log = DecisionLog(wall_ms)
+        self._decision_log = DecisionLog(clock_ms)
         self._cache_writer = CacheWriter(self._write_cache, self._executor)
         self._loaded: LoadedSnapshot | None = None
-        self._undecided = False  # the loaded snapshot has not been reconciled yet
-        self._reload_requested = False  # load the files even if they have not changed
+        self._is_unreconciled = False  # Whether the loaded snapshot has not been reconciled yet.
+        self._reload_requested = False  # Whether to load the files even if they have not changed.
         self._rev = 0
         self._task: asyncio.Task[None] | None = None
         self._wake: asyncio.TimerHandle | None = None
@@ -77,18 +78,18 @@
 
     # Start
 
-    first_poll_finished = True  # the initial list is that of the files
+    first_poll_finished = True  # The initial list already comes from the files.
 
     @property
     def has_unread_changes(self) -> bool:
-        """Always false: a change is reported in the same step in which it is read."""
+        """Always false: a change is reported to the core as soon as it has been read."""
         return False
 
     def initial_list(self) -> ReplicaListUpdate | None:
-        """The list to begin with: the cached one, if there is one, reconciled with the files.
+        """The list to start with: the cached one, if there is one, reconciled with the files.
 
-        Raises InventoryError where neither gives a replica. The cached list is what the gateway used before
-        its restart, so the mass removal guard works across the restart too.
+        The cached list is what the gateway used before its restart, so the mass removal guard also covers
+        changes that were made during the restart. Raises InventoryError if neither has a usable replica.
         """
         cached = self._cached_replicas()
         if cached:
@@ -97,10 +98,10 @@
         started = time.perf_counter()
         snapshot = self._loader.load_first(self.settings, self.zones)
         self._set_loaded(snapshot, started)
-        result = self.reconciler.reconcile(snapshot, self.wall_ms())
+        result = self.reconciler.reconcile(snapshot, self.clock_ms())
         self._report(snapshot, result)
         if not self.reconciler.known:
-            raise InventoryError(f"the inventory gives no worker\n{_error_lines(snapshot)}".rstrip())
+            raise InventoryError(f"the inventory has no usable worker\n{_error_lines(snapshot)}".rstrip())
         self._request_write()
         self._rev += 1
         return ReplicaListUpdate(self._rev, True, self.reconciler.entries())
@@ -125,7 +126,7 @@
         self._listener = listener
 
     def watch(self, enable: bool) -> None:
-        """Begin or end to watch the files; the core is sent an update without entries at once."""
+        """Start or stop watching the files; after a start the core is sent an update without entries."""
         if not enable:
             self._stop_tasks()
             return
@@ -142,7 +143,7 @@
         self._listener.endpoint_list_changed(ReplicaListUpdate(self._rev, False, ()))
 
     def zones_changed(self, zones: tuple[str, ...], anew: bool) -> None:
-        """Set the zones that the gateway's settings name; `anew`: the core needs the complete list."""
+        """Set the zones of the gateway's settings, and send the core the complete list if `anew` is set."""
         self.zones = zones
         if anew:
             self._rev += 1
@@ -152,23 +153,26 @@
         self.reload()
 
     def reconfigure(self, settings: InventorySettings) -> None:
-        """Use new settings from now on. The known replicas stay; the files are loaded again."""
-        watches_differently = (settings.paths, settings.watch) != (self.settings.paths, self.settings.watch)
+        """Apply new settings. The known replicas are kept; the files are loaded again."""
+        watch_settings_changed = (settings.paths, settings.watch) != (
+            self.settings.paths,
+            self.settings.watch,
+        )
         self.settings = self._watcher.settings = settings
         self.reconciler.policy = settings.reconcile_policy()
         self.reconciler.accept(settings.guard.accept)
-        if watches_differently and self._task is not None:
+        if watch_settings_changed and self._task is not None:
             self._stop_tasks()
             self.watch(True)
         self.reload()
 
     def reload(self) -> None:
-        """Load the files, also if they have not changed."""
+        """Load the files even if they have not changed."""
         self._reload_requested = True
         self._watcher.changed.set()
 
     def close(self) -> None:
-        """Release everything. A pending write is carried out before this returns."""
+        """Stop all tasks and threads, and carry out a pending write before returning."""
         self._stop_tasks()
         self._loader.close()
         self._executor.shutdown(wait=True)
@@ -190,13 +194,13 @@
             try:
                 await self._refresh()
             except Exception:
-                # The task must go on, or removals would no longer be seen.
+                # If the task ended, removals would no longer be noticed.
                 log.exception("inventory_refresh_failed")
                 await asyncio.sleep(self.settings.poll)
 
     async def _refresh(self) -> None:
-        """Load the files if they have changed, and reconcile; also when it is time to do so again."""
-        await self._take_accepted_fingerprint()
+        """Load the files if they have changed, and reconcile; also when a scheduled wake-up is due."""
+        await self._apply_accepted_fingerprint()
         current = await self._watcher.current_signature()
         unchanged = current == self._watcher.signature
         if not unchanged or self._reload_requested or self._loader.lookup.has_expired:
@@ -218,23 +222,23 @@
 
     def _set_loaded(self, snapshot: Snapshot, started: float) -> None:
         duration_ms = round((time.perf_counter() - started) * 1000, 2)
-        self._loaded = LoadedSnapshot(snapshot, self.wall_ms(), duration_ms)
-        self._undecided = True
+        self._loaded = LoadedSnapshot(snapshot, self.clock_ms(), duration_ms)
+        self._is_unreconciled = True
 
     # Reconciling
 
     async def _reconcile(self, snapshot: Snapshot) -> None:
         """Reconcile a snapshot and pass the changes to the core."""
-        result = self.reconciler.reconcile(snapshot, self.wall_ms())
+        result = self.reconciler.reconcile(snapshot, self.clock_ms())
         self._report(snapshot, result)
         self._schedule_wake(result.wake_ms)
-        if len(self.reconciler.known) > BATCH_SIZE:
-            await asyncio.sleep(0)  # deciding and applying each take long enough
+        if len(self.reconciler.known) > MAX_ENTRIES_PER_UPDATE:
+            await asyncio.sleep(0)  # Lets requests run between the two long steps.
         if result.entries:
             self._apply(result.entries)
-        if result.entries or result.decisions or self._undecided:
+        if result.entries or result.decisions or self._is_unreconciled:
             self._request_write()
-        self._undecided = False
+        self._is_unreconciled = False
 
     def _report(self, snapshot: Snapshot, result: ReconcileResult) -> None:
         duration_ms = self._loaded.duration_ms if self._loaded is not None else 0.0
@@ -243,7 +247,7 @@
     def _schedule_wake(self, wake_ms: int | None) -> None:
         self._cancel_wake()
         if wake_ms is not None:
-            delay = max(MIN_WAKE_DELAY, (wake_ms - self.wall_ms()) / 1000)
+            delay = max(MIN_WAKE_DELAY_SECONDS, (wake_ms - self.clock_ms()) / 1000)
             self._wake = asyncio.get_running_loop().call_later(delay, self._watcher.changed.set)
 
     def _cancel_wake(self) -> None:
@@ -253,21 +257,23 @@
 
     def _apply(self, entries: tuple[ListedReplica, ...]) -> None:
         self._rev += 1
-        for start in range(0, len(entries), BATCH_SIZE):  # removals and drains come first
-            batch = entries[start : start + BATCH_SIZE]
+        for start in range(
+            0, len(entries), MAX_ENTRIES_PER_UPDATE
+        ):  # Removals and drains are the first entries.
+            batch = entries[start : start + MAX_ENTRIES_PER_UPDATE]
             self._listener.endpoint_list_changed(ReplicaListUpdate(self._rev, False, batch))
         log.info("endpoint_list_changed", rev=self._rev, complete=False, entries=len(entries))
 
-    # The folder of the setting `keep`
+    # Status, and the files in the folder of the setting `keep`
 
     def status(self) -> dict[str, Any]:
-        """The status document, as plain objects."""
+        """The status document, as JSON objects."""
         return status_document(
-            self.settings.paths, self._loaded, self.reconciler, self._decision_log, self.wall_ms()
+            self.settings.paths, self._loaded, self.reconciler, self._decision_log, self.clock_ms()
         )
 
-    async def _take_accepted_fingerprint(self) -> None:
-        """Accept the mass removal whose fingerprint `lockspoke inventory accept` has written."""
+    async def _apply_accepted_fingerprint(self) -> None:
+        """Accept the mass removal whose fingerprint the command `lockspoke inventory accept` has written."""
         if not self.settings.keep:
             return
         folder = Path(self.settings.keep)
@@ -283,10 +289,10 @@
             self._cache_writer.request()
 
     def _write_cache(self) -> bool:
-        """Write the cached list and the status. Runs in a thread: a large list takes long to encode.
+        """Write the cached list and the status, in a thread because a large list takes long to encode.
 
         Returns:
-            Whether they are stored, or there is nothing to store.
+            Whether the write succeeded, or nothing had to be written.
         """
         if not self.settings.keep or self._loaded is None:
             return True
