--- a/lockspoke/inventory/__init__.py
+++ b/lockspoke/inventory/__init__.py
@@ -1,1 +1,1 @@
-"""Lists of replicas in files: reads and checks them, and applies their changes to the replica set."""
+"""Reads and checks inventory files, which list the replicas, and applies them to the replica set."""
--- a/lockspoke/inventory/decision_log.py
+++ b/lockspoke/inventory/decision_log.py
@@ -1,4 +1,4 @@
-"""Logs what is new in a snapshot and in the reconciler's decisions, and remembers the latest decisions."""
+"""Logs the new problems of a snapshot and the reconciler's decisions, and retains the latest decisions."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from .model import Snapshot
 from .problems import Problem
 
-MAX_LINES = 40  # log lines of one kind for one snapshot; the rest are only counted
-MAX_RECENT = 100  # decisions that are retained for the status document
+MAX_LOGGED_PER_KIND = 40  # Further problems and further decisions of a snapshot are only counted.
+MAX_RECENT_DECISIONS = 100
 
 _LEVELS = {
     Action.GUARD: logging.ERROR,
@@ -25,7 +25,7 @@
 
 
 class DecisionLog:
-    """Logs each problem once, when it appears, and every decision."""
+    """Logs each problem once, when it appears, and the decisions."""
 
     def __init__(self, clock_ms: Callable[[], int]) -> None:
         self._clock_ms = clock_ms
@@ -35,22 +35,22 @@
     def report(
         self, snapshot: Snapshot, result: ReconcileResult, replica_count: int, duration_ms: float
     ) -> None:
-        """Log what a snapshot has changed; nothing if it has changed nothing."""
-        new = [problem for problem in snapshot.problems if problem not in self._reported]
+        """Log the new problems and the decisions of a snapshot; logs nothing if nothing has changed."""
+        appeared = [problem for problem in snapshot.problems if problem not in self._reported]
         current = set(snapshot.problems)
         resolved = len(self._reported - current)
         self._reported = current
-        for problem in new[:MAX_LINES]:
+        for problem in appeared[:MAX_LOGGED_PER_KIND]:
             _log_problem(problem)
-        for decision in result.decisions[:MAX_LINES]:
+        for decision in result.decisions[:MAX_LOGGED_PER_KIND]:
             self._log_decision(decision)
-        del self._recent[:-MAX_RECENT]
-        if new or resolved or result.decisions:
+        del self._recent[:-MAX_RECENT_DECISIONS]
+        if appeared or resolved or result.decisions:
             log.info(
                 "inventory_read",
                 replicas=replica_count,
                 problems=len(snapshot.problems),
-                new_problems=len(new),
+                new_problems=len(appeared),
                 resolved=resolved,
                 decisions=len(result.decisions),
                 fingerprint=snapshot.fingerprint,
@@ -58,7 +58,7 @@
             )
 
     def recent(self, count: int) -> list[dict[str, Any]]:
-        """The latest decisions as plain objects, oldest first. May be called from any thread."""
+        """The latest decisions as JSON objects, oldest first. May be called from any thread."""
         return self._recent[-count:]
 
     def _log_decision(self, decision: Decision) -> None:
--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -24,25 +24,26 @@
     removed_share: Fraction = 0.3
     removed_least: NonNegativeInt = 3
     window: Seconds = 60.0
-    settle: Seconds = 0.0  # 0: a mass removal waits for an operator
+    settle: Seconds = 0.0  # With 0, a mass removal waits for an operator.
     unfinished: Seconds = 5.0
     flap_limit: Annotated[float, msgspec.Meta(ge=1.0)] = 4.0
     flap_half_life: Annotated[float, msgspec.Meta(ge=0.1)] = 60.0
     blink: Seconds = 1.0
     new_is_cold: bool = True
-    accept: str = ""  # the fingerprint of a mass removal that an operator accepts
+    accept: str = ""  # The fingerprint of the snapshot whose mass removal an operator accepts.
 
 
 class InventorySettings(msgspec.Struct, frozen=True, kw_only=True):
     """The section `[inventory]`."""
 
-    paths: list[str]  # files and folders, merged in this order
+    paths: list[str]  # Files and folders, merged in this order.
     form: Literal["", "csv", "yaml", "json", "ini"] = ""
-    select: str = ""  # a host pattern: the hosts that this gateway serves
-    merge: Literal["strict", "later"] = "strict"  # whether two sources may differ; the later one counts
-    zones: list[str] = []  # empty: the zones of the gateway's own settings
-    kinds: dict[str, Weight] = {}  # the weight of each kind
-    names: dict[str, str] = {}  # by column or variable, the schema's name
+    select: str = ""  # A host pattern for the hosts that this gateway uses; empty for all.
+    # Two sources with different values for a host are an error, or the later source takes precedence.
+    merge: Literal["strict", "later"] = "strict"
+    zones: list[str] = []  # If empty, the zones of the gateway's own settings are used.
+    kinds: dict[str, Weight] = {}  # The weight of each kind.
+    names: dict[str, str] = {}  # The schema's field for each column or variable named differently.
     require: list[str] = []
     port: Port = 0
     lookups: bool = False
@@ -50,24 +51,24 @@
     implied_groups: bool = True
     watch: Literal["notice", "poll"] = "notice"
     poll: Annotated[float, msgspec.Meta(ge=0.01, le=3600.0)] = 1.0
-    quiet: Annotated[float, msgspec.Meta(ge=0.0, le=10.0)] = (
-        0.1  # seconds without a write after which a file written in place counts as complete
-    )
-    missing: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 1.0  # seconds for which a file may be missing
-    inline_kb: NonNegativeInt = 8  # larger inventories are parsed by the parser process
-    keep: str = ""  # a persistent folder for the cached list and the status; empty: none
+    # Seconds without a write after which a file that is written in place counts as complete.
+    quiet: Annotated[float, msgspec.Meta(ge=0.0, le=10.0)] = 0.1
+    # Seconds for which a file may be missing before this counts as a change.
+    missing: Annotated[float, msgspec.Meta(ge=0.0, le=60.0)] = 1.0
+    inline_kb: NonNegativeInt = 8  # Larger inventories are parsed by the parser process.
+    keep: str = ""  # A persistent folder for the cached list and the status; if empty, none are stored.
     guard: GuardSettings = GuardSettings()
 
     def __post_init__(self) -> None:
-        """Check what the types don't. Raises ValueError."""
+        """Check what the types can't express. Raises ValueError."""
         if not self.paths or not all(self.paths):
             raise ValueError("paths is empty, want at least one file or folder")
-        for ours in self.names.values():
-            if ours not in FIELDS and not ours.startswith("label."):
-                raise ValueError(f"names maps to {ours!r}, want one of {', '.join(sorted(FIELDS))}")
-        for word in self.require:
-            if word not in FIELDS:
-                raise ValueError(f"require has {word!r}, want any of {', '.join(sorted(FIELDS))}")
+        for field_name in self.names.values():
+            if field_name not in FIELDS and not field_name.startswith("label."):
+                raise ValueError(f"names maps to {field_name!r}, want one of {', '.join(sorted(FIELDS))}")
+        for required_field in self.require:
+            if required_field not in FIELDS:
+                raise ValueError(f"require has {required_field!r}, want any of {', '.join(sorted(FIELDS))}")
         if self.select:
             try:
                 parse_pattern(self.select)
@@ -75,7 +76,7 @@
                 raise ValueError(f"select is wrong: {error}") from None
 
     def read_options(self, zones: tuple[str, ...] = ()) -> ReadOptions:
-        """How sources are read; `zones` are the gateway's, which count if none are set here."""
+        """The options for reading sources; `zones` are the gateway's, used if none are set here."""
         rules = Rules(
             zones=tuple(self.zones) or zones,
             kinds=self.kinds,
--- a/lockspoke/inventory/status.py
+++ b/lockspoke/inventory/status.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedSnapshot:
-    """A snapshot with the Unix time at which it was loaded, and how long that took; in milliseconds."""
+    """A snapshot, the Unix time at which it was loaded, and how long the loading took."""
 
     snapshot: Snapshot
     loaded_at_ms: int
@@ -29,7 +29,7 @@
     decisions: DecisionLog,
     now_ms: int,
 ) -> dict[str, Any]:
-    """The state of each host, the reason of each hold, and the latest decisions, as plain objects."""
+    """The state of each host, the reason why any is held, and the latest decisions, as JSON objects."""
     snapshot = loaded.snapshot if loaded is not None else None
     pending = reconciler.pending_removal
     return {
@@ -46,7 +46,7 @@
         else {"since_ms": pending.since_ms, "hosts": pending.hosts, "accept": pending.fingerprint},
         "workers": [
             known.record.as_json() | {"held": known.hold_reason, "boot_ms": known.boot_ms}
-            for known in list(reconciler.known.values())  # a copy: this may run in a thread
+            for known in list(reconciler.known.values())  # A copy, as this may run in a thread.
         ],
         "kept_out": dict(reconciler.excluded),
         "decisions": decisions.recent(RECENT_DECISIONS),
--- a/lockspoke/inventory/store.py
+++ b/lockspoke/inventory/store.py
@@ -1,8 +1,9 @@
-"""The files that a gateway keeps in the folder of the setting `keep`.
+"""The files that a gateway stores in the folder of the setting `keep`.
 
-The cached list holds the replicas as the replica set had them last, not as the files described them. It has
-a version and a checksum and is replaced atomically. A restart while the inventory is being edited begins
-with it. The status document is written for operators; the accept file is written by them.
+The cached list has the replicas that were last in the replica set, which may differ from those in the
+inventory files. It has a version and a checksum, and is replaced atomically. After a restart the gateway
+starts with it, because the inventory may just be being edited. The status document is for operators; the
+accept file is how an operator accepts a mass removal.
 """
 
 from __future__ import annotations
@@ -27,19 +28,19 @@
 
 
 class CachedListError(ValueError):
-    """A cached list that can't be used; the text says why."""
+    """The cached list can't be used; the text is the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class CachedList:
-    """The replicas of a cached list, and the fingerprint of the files that they came from."""
+    """The replicas of a cached list, and the fingerprint of the files that they were read from."""
 
     replicas: list[KnownReplica]
     fingerprint: str
 
 
 def encode(known: Iterable[KnownReplica], fingerprint: str) -> bytes:
-    """A cached list as bytes: a line with the version and a BLAKE2b digest, then JSON."""
+    """Encode a cached list: a line with the version and a BLAKE2b digest of the rest, then JSON."""
     hosts = [
         one.record.as_json() | {"files": list(one.files), "boot_ms": one.boot_ms, "held": one.hold_reason}
         for one in known
@@ -50,7 +51,7 @@
 
 
 def decode(data: bytes) -> CachedList:
-    """Read a cached list. Raises CachedListError."""
+    """Decode a cached list. Raises CachedListError."""
     header, newline, body = data.partition(b"\n")
     if not header.startswith(b"lockspoke-inventory "):
         raise CachedListError("it is no kept inventory")
@@ -70,7 +71,10 @@
 
 
 def write_atomically(folder: Path, data: bytes, name: str = CACHED_LIST_NAME) -> None:
-    """Replace a file atomically and durably, by a synced temporary file beside it. Raises OSError."""
+    """Replace a file atomically and durably: write and sync a temporary file, then rename it.
+
+    Raises OSError.
+    """
     temporary = folder / f".{name}.{os.getpid()}"
     try:
         with temporary.open("wb") as file:
@@ -88,19 +92,19 @@
 
 
 def load(folder: Path) -> CachedList | None:
-    """The cached list of a folder; None where there is none. Raises CachedListError and OSError."""
+    """Load the cached list of a folder; None if there is none. Raises CachedListError and OSError."""
     try:
         with (folder / CACHED_LIST_NAME).open("rb") as file:
             data = file.read(MAX_BYTES + 1)
     except FileNotFoundError:
         return None
     if len(data) > MAX_BYTES:
-        raise CachedListError("it is too large")
+        raise CachedListError("the file is too large")
     return decode(data)
 
 
 def take_accepted_fingerprint(folder: Path) -> str:
-    """Read and remove the accept file of a folder; empty where there is none."""
+    """Read and remove the accept file of a folder; returns an empty text if there is none."""
     path = folder / ACCEPT_NAME
     try:
         text = path.read_text()[:MAX_FINGERPRINT_CHARS].strip()
--- a/lockspoke/inventory/subsystem.py
+++ b/lockspoke/inventory/subsystem.py
@@ -1,4 +1,4 @@
-"""The inventory as a subsystem: with the section `[inventory]` files are the source of the endpoint list."""
+"""The inventory as a subsystem: with the section `[inventory]`, files provide the endpoint list."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 settings_type = InventorySettings
 
 
-def create(settings: InventorySettings, around: SubsystemContext) -> Subsystem:
+def create(settings: InventorySettings, context: SubsystemContext) -> Subsystem:
     """Create the subsystem."""
-    return InventorySubsystem(settings, around.gateway)
+    return InventorySubsystem(settings, context.gateway)
 
 
 class _Source(InventorySource):
-    """The source with the interface that the program has for one."""
+    """Adapts the inventory source to the program's interface for sources of the endpoint list."""
 
     def initial_list(self) -> ReplicaListUpdate | None:
-        """The list to begin with. Raises ConfigError where the files give no replica."""
+        """The list to start with. Raises ConfigError if the inventory has no usable replica."""
         try:
             return super().initial_list()
         except InventoryError as error:
@@ -40,10 +40,10 @@
 
 
 class InventorySubsystem:
-    """Connects the inventory with the program."""
+    """Connects the inventory to the program."""
 
     name = "inventory"
-    descriptors = 16  # files, change notifications and the pipes of the parser process
+    descriptors = 16  # For files, change notifications and the pipes of the parser process.
 
     def __init__(self, settings: InventorySettings, gateway: GatewayConfig) -> None:
         self.inventory = _Source(settings, gateway.zones)
@@ -53,7 +53,7 @@
         """Nothing to do: the program connects the source and the core."""
 
     def start(self) -> None:
-        """Watch the files, even if the core would not request it."""
+        """Watch the files even if the core does not request it."""
         self.inventory.watch(True)
 
     def run_periodic_checks(self) -> None:
@@ -68,7 +68,7 @@
         return lambda: self.inventory.reconfigure(settings)
 
     async def drain(self) -> None:
-        """Nothing to wait for: changes of the list count until the last request has ended."""
+        """Nothing to wait for: changes of the list are applied until the last request has ended."""
 
     def stop(self) -> None:
         """Nothing to do: the program closes the source."""
--- a/tests/inventory/test_cache_writer.py
+++ b/tests/inventory/test_cache_writer.py
@@ -1,4 +1,4 @@
-"""What could not be written is written again, without a new request."""
+"""CacheWriter: a failed write is repeated without a new request."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from tests.standins import until
 
 
-def test_a_write_that_failed_is_tried_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(cache_writer, "RETRY_INTERVAL", 0.02)
-    monkeypatch.setattr(cache_writer, "WRITE_INTERVAL", 0.02)
+def test_failed_write_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(cache_writer, "RETRY_INTERVAL_SECONDS", 0.02)
+    monkeypatch.setattr(cache_writer, "WRITE_INTERVAL_SECONDS", 0.02)
     results = [False, False, True]
 
     def write() -> bool:
@@ -25,6 +25,6 @@
         writer.start()
         writer.request()
         await until(lambda: not results)
-        await asyncio.sleep(0.1)  # no further write: the list would be empty
+        await asyncio.sleep(0.1)  # A further write would fail, as `results` is empty.
 
     asyncio.run(scenario())
