--- a/lockspoke/inventory/file_signature.py
+++ b/lockspoke/inventory/file_signature.py
@@ -1,4 +1,4 @@
-"""What identifies a state of the files of an inventory, from one `stat` call for each file."""
+"""The signature of an inventory's files: their metadata, from one `stat` call each, to detect changes."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from typing import NamedTuple
 
 
-class FileMark(NamedTuple):
-    """One file's metadata; two equal marks mean that the file has not changed.
+class FileMetadata(NamedTuple):
+    """The metadata of one file; a file whose metadata are equal counts as unchanged.
 
-    For a file that is missing or can't be accessed, `error` is the error number and the rest is 0.
+    For a file that is missing or can't be accessed, `error` is the error number and the other fields are 0.
     """
 
     path: str
@@ -19,48 +19,48 @@
     device: int = 0
     inode: int = 0
     modified_ns: int = 0
-    size: int = 0  # bytes
+    size: int = 0  # In bytes.
     mode: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class FileSignature:
-    """The marks of all files of an inventory, in the order in which they are merged."""
+    """The metadata of all files of an inventory, in the order in which the files are merged."""
 
-    marks: tuple[FileMark, ...] = ()
+    files: tuple[FileMetadata, ...] = ()
 
     @property
     def total_size(self) -> int:
         """The size of all files, in bytes."""
-        return sum(mark.size for mark in self.marks)
+        return sum(file.size for file in self.files)
 
     @property
     def missing(self) -> frozenset[str]:
         """The paths of the files that can't be accessed."""
-        return frozenset(mark.path for mark in self.marks if mark.error)
+        return frozenset(file.path for file in self.files if file.error)
 
     def replaced_since(self, before: FileSignature) -> bool:
-        """Whether each file that differs was replaced by another one rather than written in place."""
-        old: Mapping[str, FileMark] = {mark.path: mark for mark in before.marks}
-        changed = [mark for mark in self.marks if old.get(mark.path) != mark]
-        return all(mark.path in old and _file_id(mark) != _file_id(old[mark.path]) for mark in changed)
+        """Whether each file that differs was replaced by another file rather than written in place."""
+        old: Mapping[str, FileMetadata] = {file.path: file for file in before.files}
+        changed = [file for file in self.files if old.get(file.path) != file]
+        return all(file.path in old and _file_id(file) != _file_id(old[file.path]) for file in changed)
 
 
-def mark_files(paths: Iterable[Path]) -> FileSignature:
-    """The signature of these files, as they are now."""
-    return FileSignature(tuple(_mark(path) for path in paths))
+def read_signature(paths: Iterable[Path]) -> FileSignature:
+    """Read the present signature of these files."""
+    return FileSignature(tuple(_read_metadata(path) for path in paths))
 
 
-def _file_id(mark: FileMark) -> int:
-    return -1 if mark.error else mark.inode
+def _file_id(file: FileMetadata) -> int:
+    return -1 if file.error else file.inode
 
 
-def _mark(path: Path) -> FileMark:
+def _read_metadata(path: Path) -> FileMetadata:
     try:
         status = path.stat()
     except OSError as error:
-        return FileMark(str(path), error.errno or -1)
-    return FileMark(
+        return FileMetadata(str(path), error.errno or -1)
+    return FileMetadata(
         str(path),
         device=status.st_dev,
         inode=status.st_ino,
--- a/lockspoke/inventory/file_watcher.py
+++ b/lockspoke/inventory/file_watcher.py
@@ -1,6 +1,6 @@
-"""Watches the files of an inventory: change notifications from watchfiles, and polling beside them.
+"""Watches the files of an inventory, by change notifications from watchfiles and by polling.
 
-Polling finds changes that no notification announces, as on network file systems.
+Polling also finds changes without a notification, as on network file systems.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from .files import file_signature, watched_folders
 from .settings import InventorySettings
 
-NOTIFICATION_STEP_MS = 5  # how long after a change a notification waits for further ones
-NOTIFICATION_RETRY = 5.0  # seconds after which failed notifications are set up again
-MISSING_FILE_POLL = 0.02  # seconds between two checks while a file is missing
-MAX_SETTLE_TIME = 10.0  # seconds after which a file is read although it is still being written
-MAX_INLINE_STATS = 50  # files; more of them are examined in a thread
+NOTIFICATION_STEP_MS = 5  # Changes within this time of each other give one notification.
+NOTIFICATION_RETRY_SECONDS = 5.0  # After this time failed notifications are set up again.
+MISSING_FILE_POLL_SECONDS = 0.02
+MAX_SETTLE_SECONDS = 10.0  # After this time a file is read even if it is still being written.
+MAX_FILES_STATTED_INLINE = 50  # With more files, `stat` is called in a thread.
 
 log = structlog.get_logger()
 
@@ -29,7 +29,7 @@
 class FileWatcher:
     """Reports that the files of an inventory may have changed.
 
-    `changed` is set by each notification; `signature` describes the files as they were read last.
+    `changed` is set by each notification; `signature` is that of the files when they were last read.
     """
 
     def __init__(self, settings: InventorySettings, executor: Executor) -> None:
@@ -37,9 +37,9 @@
         self.changed = asyncio.Event()
         self.signature = FileSignature()
         self._executor = executor
-        self._stop = threading.Event()  # ends the thread of the notifications
+        self._stop = threading.Event()  # Ends the notification thread.
         self._task: asyncio.Task[None] | None = None
-        self._failing = False  # and it has been logged
+        self._failure_logged = False
 
     @property
     def paths(self) -> list[Path]:
@@ -52,20 +52,20 @@
         return self.signature.total_size > self.settings.inline_kb * 1024
 
     def start(self) -> None:
-        """Begin to watch, on the running loop."""
-        self._failing = False
+        """Start watching on the running event loop."""
+        self._failure_logged = False
         self._stop = threading.Event()
         self._task = asyncio.ensure_future(self._run())
 
     def stop(self) -> None:
-        """End watching; `start` may follow."""
+        """Stop watching; `start` may be called again."""
         self._stop.set()
         if self._task is not None:
             self._task.cancel()
             self._task = None
 
     async def wait_for_change(self) -> None:
-        """Wait for a notification, or for the next poll if none comes before it."""
+        """Wait for a notification or for the next poll, whichever comes first."""
         try:
             async with asyncio.timeout(self.settings.poll):
                 await self.changed.wait()
@@ -74,27 +74,27 @@
         self.changed.clear()
 
     async def current_signature(self) -> FileSignature:
-        """The signature of the files now.
+        """Read the present signature of the files.
 
-        Taken on the event loop where that costs less than handing it to a thread.
+        A few files are examined on the event loop, which costs less than a hand-over to a thread.
         """
-        if self.settings.watch == "poll" or len(self.signature.marks) > MAX_INLINE_STATS:
+        if self.settings.watch == "poll" or len(self.signature.files) > MAX_FILES_STATTED_INLINE:
             return await asyncio.get_running_loop().run_in_executor(
                 self._executor, file_signature, self.paths
             )
         return file_signature(self.paths)
 
     async def wait_until_settled(self, current: FileSignature) -> FileSignature:
-        """Wait while a file is written in place or missing for a moment; returns the latest signature.
+        """Wait while a file is being written in place or is briefly missing; returns the latest signature.
 
-        A file that was renamed into place is complete and is not waited for.
+        A file that was renamed into place is complete, so there is no need to wait for it.
         """
         loop = asyncio.get_running_loop()
         started = loop.time()
-        while loop.time() - started < MAX_SETTLE_TIME:
+        while loop.time() - started < MAX_SETTLE_SECONDS:
             missing = current.missing - self.signature.missing
             if missing and loop.time() - started < self.settings.missing:
-                await asyncio.sleep(min(MISSING_FILE_POLL, self.settings.missing))
+                await asyncio.sleep(min(MISSING_FILE_POLL_SECONDS, self.settings.missing))
             elif not missing and current != self.signature and not current.replaced_since(self.signature):
                 await asyncio.sleep(self.settings.quiet)
             else:
@@ -106,24 +106,24 @@
         return current
 
     async def _run(self) -> None:
-        """Keep notifications going; a failure is logged once, until a notification arrives again."""
+        """Watch the folders, and again after a failure, which is logged once until a notification arrives."""
         while self.settings.watch == "notice":
             try:
                 await self._watch_folders()
                 if self._stop.is_set():
                     return
             except (OSError, RuntimeError) as error:
-                if not self._failing:
+                if not self._failure_logged:
                     log.warning(
                         "inventory_file_watch_failing", reason=str(error), poll_interval=self.settings.poll
                     )
-                self._failing = True
-                await asyncio.sleep(NOTIFICATION_RETRY)
+                self._failure_logged = True
+                await asyncio.sleep(NOTIFICATION_RETRY_SECONDS)
 
     async def _watch_folders(self) -> None:
-        """Watch the folders that exist now; returns when another one appears, or when watching is stopped."""
+        """Watch the folders that exist; returns when another one appears or watching is stopped."""
         folders = await self._existing_folders()
-        self.changed.set()  # for what changed before the notifications began
+        self.changed.set()  # Files may have changed before the watch began.
         async for _ in awatch(
             *folders,
             debounce=NOTIFICATION_STEP_MS,
@@ -132,18 +132,18 @@
             recursive=False,
             ignore_permission_denied=True,
         ):
-            self._failing = False
+            self._failure_logged = False
             self.changed.set()
             if set(await self._source_folders()) - set(folders):
                 return
 
     async def _existing_folders(self) -> list[Path]:
-        """The folders of the files, and the one to which the command line writes its messages."""
+        """The folders of the files, and the folder in which the command line writes the accept file."""
         folders = await self._source_folders()
         if self.settings.keep and Path(self.settings.keep).is_dir():  # noqa: ASYNC240 - one stat, local disk
             folders.append(Path(self.settings.keep))
         if not folders:
-            raise OSError("none of the folders is there")
+            raise OSError("none of the folders exists")
         return folders
 
     async def _source_folders(self) -> list[Path]:
--- a/lockspoke/inventory/files.py
+++ b/lockspoke/inventory/files.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from .file_signature import FileSignature, mark_files
+from .file_signature import FileSignature, read_signature
 from .limits import MAX_FILE_BYTES, MAX_FILES
 from .source_file import FileText
 
@@ -48,7 +48,7 @@
 
     Costs a `stat` call for each file and reads none of them.
     """
-    return mark_files(_all_files(paths))
+    return read_signature(_all_files(paths))
 
 
 def _all_files(paths: Sequence[Path]) -> Iterator[Path]:
--- a/lockspoke/inventory/host_lookup.py
+++ b/lockspoke/inventory/host_lookup.py
@@ -1,4 +1,4 @@
-"""Resolves the host names of replicas to addresses, where the settings allow names."""
+"""Resolves the host names of replicas to addresses, if the settings allow host names."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 from .model import ReplicaRecord, Snapshot
 from .schema import is_ip
 
-LOOKUP_TIMEOUT = 2.0  # seconds
+LOOKUP_TIMEOUT_SECONDS = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """The address of a name, empty if it has none, and the monotonic time until which that is valid."""
+    """The address of a name, empty if it has none, and the monotonic time until which it is valid."""
 
     address: str
     valid_until: float
 
 
 class HostLookup:
-    """Resolves host names and caches the answers. Lifetimes of answers are in seconds."""
+    """Resolves host names and caches the answers for a given lifetime in seconds."""
 
     def __init__(self) -> None:
         self._answers: dict[str, _Answer] = {}
 
     @property
     def has_expired(self) -> bool:
-        """Whether an answer is too old to be used."""
+        """Whether a cached answer has expired."""
         return any(answer.valid_until < time.monotonic() for answer in self._answers.values())
 
     def resolve_blocking(self, snapshot: Snapshot, lifetime: float) -> Snapshot:
-        """The snapshot with addresses in place of names; waits for each name in turn."""
+        """Replace host names by addresses, resolving one name after the other."""
         return _with_addresses(snapshot, lambda name: self._look_up_blocking(name, lifetime))
 
     async def resolve(self, snapshot: Snapshot, lifetime: float) -> Snapshot:
-        """The snapshot with addresses in place of names."""
+        """Replace host names by addresses, resolving all names concurrently."""
         names = _names_in(snapshot.replicas.values())
         await asyncio.gather(*(self._look_up(name, lifetime) for name in names))
         return _with_addresses(snapshot, self._cached_address)
@@ -52,11 +52,11 @@
         if known is not None and known.valid_until > time.monotonic():
             return
         try:
-            async with asyncio.timeout(LOOKUP_TIMEOUT):
+            async with asyncio.timeout(LOOKUP_TIMEOUT_SECONDS):
                 found = await asyncio.get_running_loop().getaddrinfo(name, None, type=socket.SOCK_STREAM)
             address = str(found[0][4][0])
         except (OSError, TimeoutError):
-            address = known.address if known is not None else ""  # an old answer is better than none
+            address = known.address if known is not None else ""  # An expired answer is better than none.
         self._answers[name] = _Answer(address, time.monotonic() + lifetime)
 
     def _look_up_blocking(self, name: str, lifetime: float) -> str:
@@ -73,7 +73,7 @@
 
 
 def _with_addresses(snapshot: Snapshot, resolve: Callable[[str], str]) -> Snapshot:
-    """Replace names by addresses; a name without an address makes its host an invalid one."""
+    """Replace names by addresses; a host whose name has no address becomes an invalid host."""
     replicas: dict[str, ReplicaRecord] = {}
     invalid_hosts = dict(snapshot.invalid_hosts)
     for name, replica in snapshot.replicas.items():
@@ -81,5 +81,5 @@
         if address:
             replicas[name] = replace(replica, host=address)
         else:
-            invalid_hosts[name] = f"{replica.host!r} can't be looked up"
+            invalid_hosts[name] = f"{replica.host!r} can't be resolved"
     return replace(snapshot, replicas=replicas, invalid_hosts=invalid_hosts)
--- a/lockspoke/inventory/reports.py
+++ b/lockspoke/inventory/reports.py
@@ -1,4 +1,4 @@
-"""Reports of problems: as text with the lines concerned, as JSON, and as SARIF 2.1.0."""
+"""Reports problems as text with excerpts of the sources, as JSON, and as SARIF 2.1.0."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .problems import CODES, Place, Problem, Severity
 
 SARIF_SCHEMA = "https://json.schemastore.org/sarif-2.1.0.json"
-MAX_EXCERPT_CHARS = 100  # characters of a source line that are shown
+MAX_EXCERPT_CHARS = 100  # Longer source lines are shown in part.
 
 
 def as_text(
@@ -18,9 +18,9 @@
     texts: Mapping[str, str],
     style: Callable[[str, str], str] = lambda text, _: text,
 ) -> str:
-    """Problems as compilers print them; `texts` holds the contents of files, by path.
+    """Format problems as compilers print them; `texts` has the contents of the files by path.
 
-    `style` formats a text for a terminal; its second argument is error, warning, place or mend.
+    `style` formats a text for a terminal; its second argument is one of error, warning, place and mend.
     """
     blocks = []
     for problem in problems:
@@ -55,7 +55,7 @@
 
 
 def summary(replica_count: int, problems: Iterable[Problem]) -> str:
-    """The numbers of replicas, errors and warnings, in one line."""
+    """One line with the numbers of replicas, errors and warnings."""
     levels = [problem.severity for problem in problems]
     errors, warnings = levels.count(Severity.ERROR), levels.count(Severity.WARNING)
     return (
@@ -68,7 +68,7 @@
 
 
 def problem_json(problem: Problem) -> dict[str, Any]:
-    """A problem as a plain object."""
+    """A problem as a JSON object."""
     document: dict[str, Any] = {
         "file": problem.place.file,
         "line": problem.place.line,
@@ -86,7 +86,7 @@
 
 
 def as_json(replicas: Iterable[ReplicaRecord], problems: Iterable[Problem]) -> dict[str, Any]:
-    """The output of `check --json`, as a plain object."""
+    """The output of `check --json`, as a JSON object."""
     return {
         "workers": [replica.as_json() for replica in replicas],
         "problems": [problem_json(problem) for problem in problems],
@@ -94,8 +94,8 @@
 
 
 def as_sarif(problems: Iterable[Problem], version: str) -> dict[str, Any]:
-    """A SARIF 2.1.0 log with one run, as a plain object."""
-    idents = list(CODES)
+    """A SARIF 2.1.0 log with one run, as a JSON object."""
+    code_ids = list(CODES)
     rules = [
         {
             "id": code.id,
@@ -110,7 +110,7 @@
         text = f"{problem.message}; {problem.suggestion}" if problem.suggestion else problem.message
         result: dict[str, Any] = {
             "ruleId": problem.code.id,
-            "ruleIndex": idents.index(problem.code.id),
+            "ruleIndex": code_ids.index(problem.code.id),
             "level": problem.severity.value,
             "message": {"text": text},
             "locations": [_sarif_location(problem.place)],
--- a/lockspoke/inventory/unterminated_sources.py
+++ b/lockspoke/inventory/unterminated_sources.py
@@ -1,4 +1,4 @@
-"""Tracks the files that have lost the newline at their end: their writers have probably not finished."""
+"""Tracks the files that have lost their final newline, which are probably still being written."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
         self._seen_terminated: set[str] = set()
 
     def update(self, snapshot: Snapshot, now_ms: int, policy: ReconcilePolicy) -> None:
-        """Update from a new snapshot."""
+        """Take over which files of a snapshot have no final newline."""
         for file in snapshot.unterminated_sources:
             self._since_ms.setdefault(file, now_ms)
         for file in list(self._since_ms):
@@ -22,14 +22,14 @@
                 del self._since_ms[file]
         for files in set(snapshot.files.values()):
             self._seen_terminated.update(file for file in files if file not in snapshot.unterminated_sources)
-        # If a file stays without a final newline, its writer does not write one.
+        # If a file still has no final newline after the grace period, its writer does not write one.
         settled = [
             file for file, since in self._since_ms.items() if now_ms >= since + policy.unterminated_grace_ms
         ]
         self._seen_terminated.difference_update(settled)
 
     def suspended_until(self, file: str, now_ms: int, policy: ReconcilePolicy) -> int | None:
-        """Until when absence from a file removes no host, in Unix milliseconds; None if it does now."""
+        """The Unix time in milliseconds until which absence from a file removes no host; None if it does."""
         since = self._since_ms.get(file)
         if since is None or file not in self._seen_terminated:
             return None
--- a/lockspoke/inventory/writing.py
+++ b/lockspoke/inventory/writing.py
@@ -1,4 +1,4 @@
-"""Writes replicas in each format that can be read; reading the text gives equal records."""
+"""Writes replicas in each of the inventory formats; reading the text again gives equal records."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def write_inventory(replicas: Iterable[ReplicaRecord], file_format: str) -> str:
-    """The text of an inventory with these replicas; `file_format` is one of FORMATS."""
+    """Write an inventory with these replicas as text; `file_format` is one of FORMATS."""
     return _WRITERS[file_format](list(replicas))
 
 
 def _values(replica: ReplicaRecord) -> dict[str, Any]:
-    """The values of a replica without those that equal their defaults."""
+    """The values of a replica, except for optional ones that equal their defaults."""
     values: dict[str, Any] = {"host": replica.host, "port": replica.port}
     for name, default in _OPTIONAL.items():
         if (value := getattr(replica, name)) != default:
