--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -28,7 +28,7 @@
 from lockspoke.inventory.snapshot import take_snapshot
 from lockspoke.inventory.source_file import FileText
 from lockspoke.inventory.writing import FORMATS, write_inventory
-from tests.inventory.test_source import Load, Timed, edge, place, rows
+from tests.inventory.test_source import Load, RecordingReplica, csv_text, gateway_options, replace_file
 from tests.standins import Client, Program, until
 
 GRACE = 0.25
@@ -55,10 +55,10 @@
     with tempfile.TemporaryDirectory() as name:
         path = Path(name, "workers.csv")
         async with AsyncExitStack() as stack:
-            fleet = [await stack.enter_async_context(Timed()) for _ in range(fleet_size)]
-            text = rows(*fleet)
-            place(path, text)
-            program = await stack.enter_async_context(Program(options=edge(Path(name))))
+            fleet = [await stack.enter_async_context(RecordingReplica()) for _ in range(fleet_size)]
+            text = csv_text(*fleet)
+            replace_file(path, text)
+            program = await stack.enter_async_context(Program(options=gateway_options(Path(name))))
             load = Load(program.port, clients)
             for _ in range(count):
                 out = draw.randrange(fleet_size)
@@ -66,7 +66,9 @@
                 await until(lambda out=out, seen=seen: len(fleet[out].times) > seen)  # type: ignore[misc]
                 mark = len(program.logs)
                 wall = time.time()
-                when = place(path, "".join(x for x in text.splitlines(True) if not x.startswith(f"w{out},")))
+                when = replace_file(
+                    path, "".join(x for x in text.splitlines(True) if not x.startswith(f"w{out},"))
+                )
                 await asyncio.sleep(GRACE + 0.1)
                 found = [one for one in program.logs[mark:] if one.get("action") == "remove"]
                 assert [one["host"] for one in found] == [f"w{out}"], found
@@ -74,7 +76,7 @@
                 decided.append(decided_at - wall)
                 last.append(max(0.0, fleet[out].times[-1] - when))
                 strays += sum(one > when + GRACE for one in fleet[out].times)
-                place(path, text)
+                replace_file(path, text)
                 # Wait until it is added again: two renames at once would be one change.
                 await until(lambda mark=mark: any(x.get("action") == "add" for x in program.logs[mark:]))  # type: ignore[misc]
             await load.end()
@@ -160,8 +162,8 @@
     """The longest time without a response to `GET /up`, at rest and while one row of many changes."""
     with tempfile.TemporaryDirectory() as name:
         path = Path(name, "workers.csv")
-        place(path, big_rows(size))
-        options = edge(Path(name), **{"kinds.gen-a": 0.7})
+        replace_file(path, big_rows(size))
+        options = gateway_options(Path(name), **{"kinds.gen-a": 0.7})
         async with Program(options=options) as program, Client(program.port) as client:
             rest: list[float] = []
             busy: list[float] = []
@@ -178,7 +180,7 @@
             await ping(rest, lambda: time.monotonic() > until_rest)
             for change in range(changes):
                 mark = len(program.logs)
-                began = place(path, big_rows(size, change))
+                began = replace_file(path, big_rows(size, change))
                 await ping(
                     busy, lambda mark=mark: sum(x["event"] == "inventory_read" for x in program.logs[mark:])
                 )
