--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -19,7 +19,10 @@
 
 
 class GuardSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The section `[inventory.guard]`: limits for changes of the files. Times are in seconds."""
+    """The section `[inventory.guard]`: limits for applying changes of the files, with times in seconds.
+
+    `ReconcilePolicy` describes each of them; `reconcile_policy` maps the settings to its fields.
+    """
 
     removed_share: Fraction = 0.3
     removed_least: NonNegativeInt = 3
--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -142,10 +142,10 @@
         self._rev += 1
         self._listener.endpoint_list_changed(ReplicaListUpdate(self._rev, False, ()))
 
-    def zones_changed(self, zones: tuple[str, ...], anew: bool) -> None:
-        """Set the zones of the gateway's settings, and send the core the complete list if `anew` is set."""
+    def zones_changed(self, zones: tuple[str, ...], needs_complete_list: bool) -> None:
+        """Set the zones of the gateway's settings, and send the core the complete list if it needs it."""
         self.zones = zones
-        if anew:
+        if needs_complete_list:
             self._rev += 1
             self._listener.endpoint_list_changed(
                 ReplicaListUpdate(self._rev, True, self.reconciler.entries())
@@ -154,14 +154,11 @@
 
     def reconfigure(self, settings: InventorySettings) -> None:
         """Apply new settings. The known replicas are kept; the files are loaded again."""
-        watch_settings_changed = (settings.paths, settings.watch) != (
-            self.settings.paths,
-            self.settings.watch,
-        )
+        must_rewatch = (settings.paths, settings.watch) != (self.settings.paths, self.settings.watch)
         self.settings = self._watcher.settings = settings
         self.reconciler.policy = settings.reconcile_policy()
         self.reconciler.accept(settings.guard.accept)
-        if watch_settings_changed and self._task is not None:
+        if must_rewatch and self._task is not None:
             self._stop_tasks()
             self.watch(True)
         self.reload()
@@ -257,9 +254,8 @@
 
     def _apply(self, entries: tuple[ListedReplica, ...]) -> None:
         self._rev += 1
-        for start in range(
-            0, len(entries), MAX_ENTRIES_PER_UPDATE
-        ):  # Removals and drains are the first entries.
+        # Removals and drains are the first entries, so they are in the first updates.
+        for start in range(0, len(entries), MAX_ENTRIES_PER_UPDATE):
             batch = entries[start : start + MAX_ENTRIES_PER_UPDATE]
             self._listener.endpoint_list_changed(ReplicaListUpdate(self._rev, False, batch))
         log.info("endpoint_list_changed", rev=self._rev, complete=False, entries=len(entries))
--- a/lockspoke/inventory/unterminated_sources.py
+++ b/lockspoke/inventory/unterminated_sources.py
@@ -14,7 +14,7 @@
         self._seen_terminated: set[str] = set()
 
     def update(self, snapshot: Snapshot, now_ms: int, policy: ReconcilePolicy) -> None:
-        """Take over which files of a snapshot have no final newline."""
+        """Record which files of a new snapshot lack their final newline."""
         for file in snapshot.unterminated_sources:
             self._since_ms.setdefault(file, now_ms)
         for file in list(self._since_ms):
--- a/tests/inventory/test_source.py
+++ b/tests/inventory/test_source.py
@@ -77,11 +77,11 @@
 
 
 def decision_logged(program: Program, action: str, host: str, times: int = 1) -> Callable[[], bool]:
-    def has_decided() -> bool:
+    def is_logged() -> bool:
         found = [one for one in program.logs if (one.get("action"), one.get("host")) == (action, host)]
         return len(found) >= times
 
-    return has_decided
+    return is_logged
 
 
 class Load:
