--- a/lockspoke/inventory/host_lookup.py
+++ b/lockspoke/inventory/host_lookup.py
@@ -81,5 +81,5 @@
         if address:
             replicas[name] = replace(replica, host=address)
         else:
-            invalid_hosts[name] = f"{replica.host!r} can't be resolved"
+            invalid_hosts[name] = f"{replica.host!r} can't be looked up"
     return replace(snapshot, replicas=replicas, invalid_hosts=invalid_hosts)
--- a/lockspoke/inventory/reconciler.py
+++ b/lockspoke/inventory/reconciler.py
@@ -26,7 +26,7 @@
 REMOVED_HOST_HALF_LIVES = 8  # A removed host is remembered for this many half-lives of the flap penalty.
 
 _STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.REMOVED}
-_REMOVED_BY_FILE = "its state in the files is removed"
+_REMOVED_BY_FILE = "the file says that it is removed"
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,24 +121,24 @@
         if known is not None:
             return self._target_of_changed(name, record, known, now_ms)
         if self.has_initial_list and self._is_damped(name, now_ms):
-            return Target(Action.KEEP_OUT, None, "flapping; not added until its flap penalty has decayed")
-        return Target(Action.ADD, record, "new" if name not in self._recently_removed else "listed again")
+            return Target(Action.KEEP_OUT, None, "it comes and goes; it stays out until that has calmed down")
+        return Target(Action.ADD, record, "new" if name not in self._recently_removed else "back")
 
     def _target_of_changed(
         self, name: str, record: ReplicaRecord, known: KnownReplica, now_ms: int
     ) -> Target:
         """The target of a known host that was held, or whose valid row differs from its record."""
         if record == known.record:
-            return Target(Action.CHANGE, record, "unchanged")
+            return Target(Action.CHANGE, record, "as before")
         if record.address != known.record.address:
             if self._is_damped(name, now_ms):
-                reason = "flapping; keeps its address until its flap penalty has decayed"
+                reason = "it moves to and fro; it stays where it was until that has calmed down"
                 return Target.hold(known.record, reason)
             old, new = (f"{host}:{port}" for host, port in (known.record.address, record.address))
-            return Target(Action.CHANGE, record, f"address from {old} to {new}")
+            return Target(Action.CHANGE, record, f"moves from {old} to {new}")
         if record.state != known.record.state:
             action = Action.DRAIN if record.state == "draining" else Action.CHANGE
-            return Target(action, record, f"state from {known.record.state} to {record.state}")
+            return Target(action, record, f"from {known.record.state} to {record.state}")
         return Target(Action.CHANGE, record, _describe_difference(known.record, record))
 
     def _target_of_absent(self, name: str, snapshot: Snapshot, now_ms: int) -> Target:
@@ -148,14 +148,14 @@
             return _target_of_invalid(known.record, name, snapshot)
         for file in known.files:
             if file in snapshot.incomplete_sources:
-                reason = f"absent, but {file} was not read completely: {snapshot.incomplete_sources[file]}"
+                reason = f"absent, but {file} was not read to its end: {snapshot.incomplete_sources[file]}"
                 return Target.hold(known.record, reason)
             until_ms = self._unterminated.suspended_until(file, now_ms, self.policy)
             if until_ms is not None:
                 self._wake_at(until_ms)
-                return Target.hold(known.record, f"absent, but the last line of {file} may be incomplete")
+                return Target.hold(known.record, f"absent, but the last line of {file} is not finished")
         if known.record.address in snapshot.invalid_row_addresses:
-            return Target.hold(known.record, "absent, but an invalid row has its address")
+            return Target.hold(known.record, "absent, but a row that can't be read has its address")
         return Target(Action.REMOVE, None, "it is not in the files any more", explicit=False)
 
     def _is_damped(self, name: str, now_ms: int) -> bool:
@@ -173,9 +173,9 @@
         if result.decision is not None:
             self._decisions.append(result.decision)
         for name in result.held_hosts:
-            reason = "absent, together with too many other hosts"
+            reason = "absent, with too many others"
             targets[name] = Target(
-                Action.HOLD, self.known[name].record, reason, hold_reason="held by the mass removal guard"
+                Action.HOLD, self.known[name].record, reason, hold_reason="held by the guard"
             )
 
     def _wake_at(self, at_ms: int) -> None:
@@ -283,7 +283,7 @@
     if requested_state == "draining" and record.state == "up":
         # A draining host gets no new requests, so the other values of its row don't matter.
         draining = replace(record, state="draining")
-        return Target(Action.DRAIN, draining, "state from up to draining", hold_reason=reason)
+        return Target(Action.DRAIN, draining, "from up to draining", hold_reason=reason)
     return Target.hold(record, reason)
 
 
--- a/lockspoke/inventory/removal_guard.py
+++ b/lockspoke/inventory/removal_guard.py
@@ -135,6 +135,6 @@
 def _hold_reason(extent: _Extent, fingerprint: str, policy: ReconcilePolicy) -> str:
     affected = "all" if extent.empties_list else f"{extent.count} of {extent.total}"
     return (
-        f"{affected} hosts would be removed within {policy.removal_window_ms / 1000:g} s; held until the"
+        f"{affected} hosts would vanish within {policy.removal_window_ms / 1000:g} s; held until the"
         f" files have them again or {fingerprint} is accepted"
     )
--- a/lockspoke/inventory/snapshot.py
+++ b/lockspoke/inventory/snapshot.py
@@ -148,7 +148,7 @@
             invalid_row_addresses.add(one.address)
         if not name:
             continue
-        invalid_hosts[name] = by_host.get(name) or one.reason or "its row is invalid"
+        invalid_hosts[name] = by_host.get(name) or one.reason or "its row is not right"
         if one.state != "up":
             requested_states[name] = more_restrictive(one.state, requested_states.get(name, "up"))
     for name, reason in by_host.items():  # Hosts with a reading error that have no row at all.
@@ -174,4 +174,4 @@
     for problem in problems.found:
         if problem.is_error and problem.place.file == source.file and not problem.host:
             return f"{problem.code.id} {problem.message}"
-    return "not read completely"
+    return "not read to its end"
