--- a/lockspoke/core/__init__.py
+++ b/lockspoke/core/__init__.py
@@ -1,5 +1,5 @@
 """Requests, their attempts, the set of replicas, and the loop that runs the balancer.
 
-Nothing in this package knows a wire protocol: clients, replicas and discovery are reached through the
-protocols of `interfaces.py`.
+This package does not depend on any wire protocol: it accesses clients, replicas and discovery through the
+protocols in `interfaces.py` and `transport.py`.
 """
--- a/lockspoke/core/actions.py
+++ b/lockspoke/core/actions.py
@@ -1,4 +1,4 @@
-"""Runs the balancer and carries out the actions that it decides on."""
+"""Passes events to the balancer and carries out the actions that it decides on."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
                 log.warning("decision", text=text)
 
     def _reject(self, action: Reject) -> None:
-        request = self._requests.unanswered(action.request)
+        request = self._requests.find_unanswered(action.request)
         if request is None:
             return
         if not request.background:
@@ -63,7 +63,7 @@
         request.response.reject(action.retry_after)
 
     def _fail(self, action: Fail) -> None:
-        request = self._requests.unanswered(action.request)
+        request = self._requests.find_unanswered(action.request)
         if request is None:
             return
         self._requests.complete(request, RequestOutcome.FAILED)
@@ -72,5 +72,5 @@
     def _decision_failed(self, event: Event) -> None:
         self._requests.totals.decisions_failed += 1
         if isinstance(event, EndpointListUpdate):
-            # The balancer may have applied only a part of the update, so the next poll requests a full list.
+            # The balancer may have applied the update only partly, so the next poll requests a full list.
             self._replica_set.version = UNKNOWN_VERSION
--- a/lockspoke/core/attempt_lifecycle.py
+++ b/lockspoke/core/attempt_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of an attempt: started, permitted to send, streaming, ended."""
+"""The lifecycle of an attempt: started, permitted to send, streaming, ended."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class AttemptLifecycle:
-    """Starts attempts, and takes the transport's reports on them (see `AttemptListener`)."""
+    """Starts attempts, and handles their progress as the transport reports it (see `AttemptListener`)."""
 
     def __init__(
         self,
@@ -42,8 +42,8 @@
     def start(self, action: SendAttempt) -> None:
         """Start an attempt that the balancer has decided on.
 
-        The attempt ends at once as `NEVER_SENT` if its request has been answered, streams already, or is
-        past its deadline.
+        The attempt ends at once as `NEVER_SENT` if its request has been answered, is already streaming, or
+        is past its deadline.
         """
         request = self._requests.open_requests.get(action.request)
         replica = self._replica_set.replicas.get(action.replica)
@@ -65,30 +65,30 @@
         self._transport.start(attempt)
 
     def _deadline_expired(self, attempt: Attempt) -> None:
-        # The deadline is for the first token: a stream that has begun may go on past it.
+        # The deadline applies to the first token: a stream that has started may continue past it.
         if not attempt.streaming:
-            self.abandon(attempt, Outcome.TIMEOUT)
+            self.cancel_if_open(attempt, Outcome.TIMEOUT)
 
-    def abandon(self, attempt: Attempt, outcome: Outcome) -> None:
+    def cancel_if_open(self, attempt: Attempt, outcome: Outcome) -> None:
         """Cancel an open attempt; it ends as `NEVER_SENT` instead of `outcome` if no byte was sent."""
         if attempt.outcome is None:
             self._transport.cancel(attempt)
-            self.attempt_ended(attempt, outcome if attempt.maybe_ran else Outcome.NEVER_SENT)
+            self.attempt_ended(attempt, outcome if attempt.may_have_run else Outcome.NEVER_SENT)
 
-    # Reports of the transport
+    # Called by the transport
 
     def permission_to_send(self, attempt: Attempt) -> SendPermission:
-        """Whether the first byte of an attempt may be sent now that its connection is up.
+        """Return whether the first byte of an attempt may be sent, now that its connection is established.
 
-        Connecting takes time, and the decision to send may no longer hold when it is done: the client may
-        have disconnected, the replica may be draining or have restarted, or the time may have passed until
-        which the replica recognises a duplicate of the request. Then the attempt ends as `NEVER_SENT`.
+        While the attempt was connecting, the client may have disconnected, the replica may have started to
+        drain or restarted, or the replica's deduplication window for the request may have ended. In these
+        cases the attempt ends as `NEVER_SENT`.
 
-        A client's disconnect and a replica's drain bind the gateway from the moment they were written to its
-        sockets, not from when it read them, and a busy event loop reads them late. So while discovery or the
-        client has unread input, the answer is `CHECK_AGAIN`: the loop reads that input first.
+        A client's disconnect and a replica's drain count from the moment when they reach the gateway's
+        sockets, but a busy event loop reads them later. So while the client or discovery has unread input,
+        the result is `CHECK_AGAIN`, and the loop reads that input first.
 
-        Every attempt passes through here before its first byte.
+        The transport must call this before the first byte of every attempt.
         """
         if attempt.outcome is not None:
             return SendPermission.ENDED
@@ -102,7 +102,7 @@
         return SendPermission.GRANTED
 
     def _send_is_obsolete(self, attempt: Attempt) -> bool:
-        """Whether the reasons for an attempt that is not sent yet no longer hold."""
+        """Return whether an attempt that has not been sent yet must not be sent any more."""
         now = self._clock.now()
         request, replica = attempt.request, attempt.replica
         if request.answered or request.streaming_attempt is not None:
@@ -114,10 +114,11 @@
         )
 
     def stream_received(self, attempt: Attempt, data: bytes) -> asyncio.Future[None] | None:
-        """Forward a part of a replica's stream to the client.
+        """Forward a chunk of a replica's stream to the client.
 
-        The first attempt to bring data becomes the request's response, and the others are cancelled. If a
-        future is returned, the client is slow: read no more of the stream until it is done.
+        The stream of the first attempt that receives data becomes the request's response, and the other
+        attempts are cancelled. If a future is returned, the client reads slowly: the transport must not read
+        more of the stream until the future is done.
         """
         request = attempt.request
         if attempt.outcome is not None:
@@ -139,19 +140,19 @@
         request = attempt.request
         request.streaming_attempt = attempt
         attempt.stage = AttemptStage.STREAMING
-        request.body = b""  # it is not sent again, and streams are long: free the memory
+        request.body = b""  # never sent again, and a stream may last long: free the memory
         attempt.cancel_deadline_timer()
         elapsed = attempt.last_received_at - attempt.started_at
         self._post(FirstToken(request.number, attempt.index, attempt.replica.number, elapsed))
         for other in request.attempts:
             if other is not attempt:
-                self.abandon(other, Outcome.CANCELLED)
+                self.cancel_if_open(other, Outcome.CANCELLED)
 
     def resume_reading(self, attempt: Attempt) -> None:
-        """Let the transport read an attempt's stream again, if it is paused for a slow client."""
+        """Let the transport continue to read an attempt's stream if reading is paused for a slow client."""
         paused, attempt.backpressure = attempt.backpressure, None
         if paused is not None:
-            # The pause was the client's: it does not count as the replica's silence.
+            # The client caused the pause: it does not count as silence of the replica.
             attempt.last_received_at = self._clock.now()
             if not paused.done():
                 paused.set_result(None)
@@ -163,10 +164,10 @@
         cached_tokens: int = 0,
         report: tuple[float, ...] = (),
     ) -> None:
-        """Record the outcome of an attempt; only the first call for an attempt counts.
+        """Record the outcome of an attempt; further calls for the same attempt have no effect.
 
-        A successful attempt completes its request, and a stream that breaks off truncates it. After any
-        other outcome the balancer decides: it retries, rejects or fails the request.
+        A successful attempt completes its request. A stream that ends early truncates the response. After
+        any other outcome the balancer decides whether to retry, reject or fail the request.
         """
         if attempt.outcome is not None:
             return
--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -1,8 +1,8 @@
 """The core: the one object through which fronts, discovery and subsystems use this package.
 
-It feeds the balancer with events, has its actions carried out, and ensures that each request gets exactly one
-answer. Fronts submit a `ClientRequest` that carries the writer of its response; replicas, discovery and
-the clock are reached through the protocols of `interfaces.py`.
+It passes events to the balancer, carries out its actions, and ensures that each request gets exactly one
+answer. Fronts submit a `ClientRequest` together with the writer of its response. Replicas, discovery and the
+clock are accessed through the protocols in `transport.py` and `interfaces.py`.
 """
 
 from __future__ import annotations
@@ -35,7 +35,8 @@
 
 log = structlog.get_logger()
 
-WATCH_RETRY_DELAY = SECOND  # after a failed poll, where the balancer does not schedule the polls
+# The delay after a failed poll if the balancer does not schedule the polls.
+WATCH_RETRY_DELAY = SECOND
 
 
 class Core:
@@ -69,24 +70,24 @@
 
     @property
     def totals(self) -> Totals:
-        """The counters since the start of the process."""
+        """The counters since the process started."""
         return self.request_lifecycle.totals
 
     @property
     def interactive_rejected_at(self) -> int:
-        """When the balancer last rejected a request that is not background, by the clock; 0: never."""
+        """When the balancer last rejected a request that is not background, by the core's clock; 0: never."""
         return self.request_lifecycle.interactive_rejected_at
 
     def start(self) -> None:
-        """Begin the periodic checks, and the watch of the endpoint list."""
+        """Start the periodic checks and the watch of the endpoint list."""
         self.stream_supervision.run()
         if not self._polls_endpoint_list:
-            # With these settings the balancer expects the list to be pushed, but discovery only responds to
-            # requests. With the others the balancer itself starts the watch, by an action.
+            # With this setting the balancer expects discovery to push the list, but discovery only responds
+            # to polls, so the watch starts here. Otherwise the balancer starts it by an action.
             self.discovery.watch(True)
 
     def reconfigure(self, settings: BalancerSettings, zones: Sequence[str]) -> bool:
-        """Apply new settings. Returns whether they need a full endpoint list, as new zones do."""
+        """Apply new settings. Returns whether a full endpoint list is needed because the zones changed."""
         self._polls_endpoint_list = settings.polls_endpoint_list
         self.balancer.reconfigure(settings)
         return self.replica_set.set_zones(zones)
@@ -94,7 +95,7 @@
     # Requests
 
     def submit(self, request: ClientRequest) -> None:
-        """Take in a request. From here on it gets exactly one answer, unless its client disconnects first."""
+        """Accept a request. It gets exactly one answer, unless its client disconnects first."""
         request.number = self.replica_set.identifiers.request()
         now = self.clock.now()
         request.deadline = (request.arrived_at or now) + request.time_remaining
@@ -118,8 +119,8 @@
     def client_disconnected(self, request: ClientRequest) -> None:
         """Complete a request whose client has disconnected.
 
-        Its attempts go on: a replica does not stop generating when the client disconnects, and reading the
-        stream to its end shows the balancer how long the replica is busy with it.
+        Its attempts continue: a replica does not stop generating when the client disconnects, and by reading
+        the stream to its end the balancer learns how long the replica is busy with it.
         """
         if request.answered:
             return
@@ -127,7 +128,7 @@
         self._post(ClientDisconnected(request.number))
 
     def interactive_request_waiting(self) -> bool:
-        """Whether a request that is not background is queued because no replica has capacity for it."""
+        """Return whether a request that is not background is queued because no replica has capacity."""
         return self.request_lifecycle.interactive_request_waiting()
 
     # Hand-off
@@ -138,17 +139,17 @@
         include_streams: bool = True,
         immediately: bool = True,
     ) -> None:
-        """End requests here so that their clients continue at other gateways.
+        """End requests at this gateway so that their clients continue at other gateways.
 
-        A stream is cut, and its client requests the rest elsewhere. A request that has not begun to stream
-        is rejected if a retry does no harm, and failed otherwise. The attempts are cancelled, since nothing
-        uses their responses any more.
+        A stream is aborted, and its client requests the rest at another gateway. A request that has not
+        started to stream is rejected if a retry is safe, and failed otherwise. The attempts are cancelled,
+        since their responses are no longer needed.
 
         Args:
             requests: The requests to hand off; None for all.
-            include_streams: Whether to cut streams too.
-            immediately: If False, a stream with data that is not forwarded yet goes on for now, and no
-                longer waits for a slow client: its replica may have finished it already.
+            include_streams: Whether to abort streams too.
+            immediately: If False, a stream with received data that is not forwarded yet continues for now,
+                since its replica may already have finished it; it no longer waits for a slow client.
         """
         for request in list(self.requests.values() if requests is None else requests):
             stream = request.streaming_attempt
@@ -162,7 +163,7 @@
             if not request.answered:
                 self._end_for_hand_off(request, stream)
             for attempt in request.attempts:
-                self.attempts.abandon(attempt, Outcome.CANCELLED)
+                self.attempts.cancel_if_open(attempt, Outcome.CANCELLED)
 
     def _end_for_hand_off(self, request: ClientRequest, stream: Attempt | None) -> None:
         if stream is not None:
@@ -177,11 +178,11 @@
     def endpoint_list_changed(
         self, update: ReplicaListUpdate, cached: bool = False, completes_poll: bool = True
     ) -> None:
-        """Apply a full endpoint list, or a change of it.
+        """Apply a full endpoint list, or changes to it.
 
         Args:
-            update: The list or change.
-            cached: Whether it was stored by an earlier process, and is not confirmed by discovery yet.
+            update: The list or changes.
+            cached: Whether an earlier process stored it and discovery has not confirmed it yet.
             completes_poll: Whether it is the response to the poll that the balancer waits for.
         """
         reading = ClockReading(self.clock.now(), self.clock.wall_time())
@@ -199,24 +200,26 @@
         return True
 
     def _apply(self, change: ReplicaSetChange) -> None:
-        for replica in change.connections_to_close:
+        for replica in change.replicas_to_disconnect:
             self.transport.close_idle_connections(replica)
-        self._log_last_attempt(change.connections_to_close)
+        self._log_last_attempt(change.replicas_to_disconnect)
         self._post(change.event)
 
     def _log_last_attempt(self, changed: Iterable[Replica]) -> None:
-        """Log when replicas that are out of use from now on last got an attempt: a late drain shows in it."""
-        last = [
+        """Log when replicas that have just left service last got an attempt; this reveals late drains."""
+        last_attempt_times = [
             replica.last_attempt_at
             for replica in changed
             if replica.last_attempt_at and not self.replica_set.accepts_requests(replica)
         ]
-        if last:
-            elapsed_ms = (self.clock.now() - max(last)) // MILLISECOND
-            log.info("replicas_left_service", replicas=len(last), last_attempt_ms_ago=elapsed_ms)
+        if last_attempt_times:
+            elapsed_ms = (self.clock.now() - max(last_attempt_times)) // MILLISECOND
+            log.info(
+                "replicas_left_service", replicas=len(last_attempt_times), last_attempt_ms_ago=elapsed_ms
+            )
 
     def endpoint_list_failed(self) -> None:
-        """Record that a poll of the endpoint list has failed; the last list stays in force."""
+        """Record that a poll of the endpoint list has failed; the last list remains in use."""
         self.totals.endpoint_list_polls_failed += 1
         self._post(EndpointListUpdate(EndpointListKind.FAILED))
         if not self._polls_endpoint_list:
--- a/lockspoke/core/decision_loop.py
+++ b/lockspoke/core/decision_loop.py
@@ -1,4 +1,4 @@
-"""The loop that feeds events to the balancer, one at a time, and has its actions carried out in order."""
+"""The loop that passes events to the balancer one at a time and carries out its actions in order."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class DecisionLoop:
-    """Feeds a balancer with events.
+    """Passes events to a balancer and carries out the actions that it decides on.
 
-    Carrying out an action may post more events. They are queued until all actions of the current event are
-    carried out.
+    Carrying out an action may post further events. They are queued until all actions of the current event
+    have been carried out.
     """
 
     def __init__(
@@ -31,12 +31,12 @@
         self._balancer = balancer
         self._now = now
         self._execute = execute
-        self._decision_failed = decision_failed  # called with the event when the balancer raises
+        self._decision_failed = decision_failed  # called if the balancer raises
         self._queue: deque[Event] = deque()
         self._running = False
 
     def post(self, event: Event) -> None:
-        """Queue an event, and process the queue unless that is under way further up the call stack."""
+        """Queue an event, and process the queue unless a caller further up the stack already does."""
         self._queue.append(event)
         if self._running:
             return
@@ -48,18 +48,19 @@
             self._running = False
 
     def _process(self, event: Event) -> None:
-        """Have one event decided on, and carry out the actions.
+        """Pass one event to the balancer, and carry out the resulting actions.
 
-        If the balancer raises an exception, the rest of this event's decisions is lost, but no other event.
+        If the balancer raises an exception, its remaining decisions on this event are lost; other events are
+        not affected.
         """
         try:
             actions = self._balancer.handle(self._now(), [event])
         except Exception:
-            # The gateway must survive a fault of the balancer. Requests that stay unanswered because of it
-            # are failed by the periodic check for overdue requests.
+            # The gateway must keep running after a fault of the balancer. The periodic check for overdue
+            # requests fails those that remain unanswered because of it.
             log.exception("decision_failed", event_type=type(event).__name__)
             self._decision_failed(event)
-            # The balancer already counts the actions decided before the fault as done: carry them out.
+            # The balancer's state already includes the actions decided before the fault: carry them out.
             actions = self._balancer.latest_actions
         for action in actions:
             self._execute(action)
--- a/lockspoke/core/endpoint_list.py
+++ b/lockspoke/core/endpoint_list.py
@@ -8,7 +8,7 @@
 
 
 class EndpointListListener(Protocol):
-    """Receives changes of the endpoint list; the core is one."""
+    """Receives changes of the endpoint list; implemented by the core."""
 
     @property
     def replica_set(self) -> ReplicaSet:
@@ -17,13 +17,13 @@
     def endpoint_list_changed(
         self, update: ReplicaListUpdate, cached: bool = False, completes_poll: bool = True
     ) -> None:
-        """Apply a complete list or a change of it.
+        """Apply a complete list or changes to it.
 
         Args:
-            update: The list, or what has changed in it.
-            cached: Whether it was stored by an earlier process, and is not confirmed by its source yet.
+            update: The list or changes.
+            cached: Whether an earlier process stored it and its source has not confirmed it yet.
             completes_poll: Whether it is the response to the poll that the balancer waits for.
         """
 
     def endpoint_list_failed(self) -> None:
-        """Record that a poll of the list has failed; the last list stays in force."""
+        """Record that a poll of the list has failed; the last list remains in use."""
--- a/lockspoke/core/interfaces.py
+++ b/lockspoke/core/interfaces.py
@@ -1,4 +1,4 @@
-"""The protocols through which the core reaches clients, replicas, discovery and the clock."""
+"""The protocols through which the core accesses clients, discovery and the clock."""
 
 from __future__ import annotations
 
@@ -8,34 +8,34 @@
 
 
 class TimerHandle(Protocol):
-    """A callback that the clock has scheduled."""
+    """A scheduled callback."""
 
     def cancel(self) -> None:
-        """Drop the callback: it is not called, and no reference to it remains."""
+        """Cancel the callback: it is not called, and no reference to it is kept."""
 
 
 class Clock(Protocol):
-    """The current time, and callbacks at a later time."""
+    """Provides the current time, and schedules callbacks."""
 
     def now(self) -> int:
-        """Nanoseconds since the Unix epoch; never goes back."""
+        """Return the nanoseconds since the Unix epoch by a clock that never goes back."""
 
     def wall_time(self) -> int:
-        """Nanoseconds since the Unix epoch by the system's wall clock, which may be set at any time."""
+        """Return the nanoseconds since the Unix epoch by the wall clock, which may be set at any time."""
 
     def earliest_arrival(self) -> int:
-        """The earliest time at which input that is being read now can have arrived.
+        """Return the earliest time at which input that is being read now can have arrived.
 
-        A busy event loop reads input some time after the kernel received it. Deadlines count from arrival,
-        so they must not start later than this.
+        A busy event loop reads input some time after the kernel received it. Deadlines are counted from the
+        arrival, so they must not be counted from a later time than this.
         """
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> TimerHandle:
-        """Call back after `delay` nanoseconds; returns the handle that cancels it."""
+        """Schedule a callback after `delay` nanoseconds; the returned handle cancels it."""
 
 
 class ResponseWriter(Protocol):
-    """Where the response to one request is written.
+    """Writes the response to one request.
 
     A request is completed by exactly one call of `finish`, `abort`, `reject` or `fail`, or by none of them if
     the client has disconnected.
@@ -43,22 +43,22 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether the client has sent something that is not read yet, such as the close of its connection."""
+        """Whether input of the client is unread; closing its connection counts as input."""
 
     def write(self, data: bytes) -> asyncio.Future[None] | None:
-        """Send a part of the stream. If a future is returned, write no more until it is done."""
+        """Send a chunk of the stream. If a future is returned, write no more until it is done."""
 
     def finish(self) -> None:
-        """End the response: the stream is complete."""
+        """End a response whose stream is complete."""
 
     def abort(self) -> None:
-        """Cut the response: the stream broke off after it had begun."""
+        """Abort a response whose stream has started but cannot be completed."""
 
     def reject(self, retry_after: int) -> None:
-        """Send an overload reply: a retry does no harm, after `retry_after` nanoseconds unless 0."""
+        """Send an overload reply. A retry is safe; it should wait `retry_after` nanoseconds, unless 0."""
 
     def fail(self) -> None:
-        """Send an error reply that leaves open whether the request ran."""
+        """Send an error reply that does not say whether the request ran."""
 
 
 class Discovery(Protocol):
@@ -66,7 +66,7 @@
 
     @property
     def has_unread_changes(self) -> bool:
-        """Whether changes have arrived that are not applied yet."""
+        """Whether changes of the list have arrived that are not applied yet."""
 
     def watch(self, enable: bool) -> None:
-        """Start or stop polling for changes; starting again while a watch runs has no effect."""
+        """Start or stop polling for changes; starting has no effect if a watch is running."""
--- a/lockspoke/core/process_start.py
+++ b/lockspoke/core/process_start.py
@@ -1,8 +1,9 @@
-"""When the processes of replicas started, by the core's clock, though a wall clock may be wrong.
+"""Start times of replicas' processes on the core's clock, corrected for steps of wall clocks.
 
-Discovery gives the start of a replica in Unix time. The core's clock counts on from the Unix time at which
-this process started; the wall clock may have been set since, on this machine or on all of them. What was
-derived from a start once is kept: a later step of a clock changes no span of time.
+Discovery lists the start time of a replica in Unix time. The core's clock takes the Unix time when this
+process starts and advances steadily from there, whereas the wall clock may be set later, on this machine or
+on all machines. A start time is therefore converted once and kept: a later clock step does not change the
+age of a replica.
 """
 
 from __future__ import annotations
@@ -11,12 +12,12 @@
 
 from lockspoke.units import MILLISECOND, SECOND
 
-CLOCK_TOLERANCE = SECOND  # by which the clocks of two machines may differ
+MAX_CLOCK_SKEW = SECOND  # tolerated difference between two clocks
 
 
 @dataclass(frozen=True, slots=True)
 class ClockReading:
-    """The clocks of this machine at one moment, in nanoseconds since the Unix epoch."""
+    """The clocks of this machine at one instant, in nanoseconds since the Unix epoch."""
 
     now: int  # the core's clock
     wall: int  # the wall clock
@@ -28,41 +29,42 @@
     started_at: int
 
 
-class ProcessStarts:
-    """The starts of replicas' processes, each fixed when it is first listed."""
+class ProcessStartTimes:
+    """The start times of replicas' processes, each determined when it is first listed."""
 
     def __init__(self) -> None:
         self._starts: dict[int, _ProcessStart] = {}  # by replica number
 
     def started_at(self, replica: int, boot_ms: int, reading: ClockReading) -> int:
-        """Return when a replica's process started, by the core's clock.
+        """Return when a replica's process started, by the core's clock; 0: long ago.
 
         Args:
             replica: The replica's number.
-            boot_ms: Its start as discovery lists it, in Unix time; 0: long ago.
-            reading: The clocks now.
+            boot_ms: The start time that discovery lists, in Unix time; 0: long ago.
+            reading: The current time.
         """
-        known = self._starts.get(replica)
-        if known is None or known.boot_ms != boot_ms:
-            known = self._starts[replica] = _ProcessStart(boot_ms, estimate_start(boot_ms, reading))
-        return known.started_at
+        start = self._starts.get(replica)
+        if start is None or start.boot_ms != boot_ms:
+            start = self._starts[replica] = _ProcessStart(boot_ms, estimate_start(boot_ms, reading))
+        return start.started_at
 
     def forget(self, replica: int) -> None:
-        """Forget a replica."""
+        """Delete the start time of a replica."""
         self._starts.pop(replica, None)
 
 
 def estimate_start(boot_ms: int, reading: ClockReading) -> int:
-    """Return when a process started that is listed for the first time, by the core's clock; 0: long ago.
+    """Return the start time of a newly listed process, by the core's clock; 0: long ago.
 
-    Where the clocks contradict each other, the younger age counts: a replica that is taken for younger than
-    it is gets less for the time of its slow start, one that is taken for older is overloaded.
+    If the clocks of this machine disagree, the lower age is used: a replica whose age is underestimated only
+    gets less load during its slow start, but one whose age is overestimated is overloaded.
     """
     started_at = boot_ms * MILLISECOND
     if not boot_ms:
         return 0
     age = reading.now - started_at
-    if abs(reading.wall - reading.now) > CLOCK_TOLERANCE:
-        # The wall clock has been set since this process started, and `boot_ms` may be from before or after.
+    if abs(reading.wall - reading.now) > MAX_CLOCK_SKEW:
+        # The wall clock has been set since this process started, and `boot_ms` may have been read from a
+        # wall clock before or after that.
         age = min(age, reading.wall - started_at)
-    return reading.now if age < -CLOCK_TOLERANCE else reading.now - age
+    return reading.now if age < -MAX_CLOCK_SKEW else reading.now - age
--- a/lockspoke/core/request_lifecycle.py
+++ b/lockspoke/core/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Open requests: each is registered once, completed once, and forgotten when its last attempt has ended."""
+"""Open requests: each is registered once, completed once, and removed when its last attempt has ended."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 
     def __init__(self, log: RequestLog) -> None:
         self._log = log
-        # By number. An answered request stays until its last attempt has ended.
+        # Keyed by request number. An answered request is kept until its last attempt has ended.
         self.open_requests: dict[int, ClientRequest] = {}
         self.totals = Totals()
-        self.interactive_rejected_at = 0  # when the balancer last rejected a request that is not background
+        # When the balancer last rejected a request that is not background, by the core's clock; 0: never.
+        self.interactive_rejected_at = 0
 
     def register(self, request: ClientRequest) -> None:
-        """Take in a submitted request."""
+        """Add a submitted request."""
         self.open_requests[request.number] = request
         self.totals.requests += 1
 
-    def unanswered(self, number: int) -> ClientRequest | None:
-        """The request of this number, or None if it is unknown or answered."""
+    def find_unanswered(self, number: int) -> ClientRequest | None:
+        """Return the request with this number, or None if it is unknown or already answered."""
         request = self.open_requests.get(number)
         return None if request is None or request.answered else request
 
     def complete(self, request: ClientRequest, outcome: RequestOutcome) -> None:
-        """Mark an unanswered request as answered. The caller writes the response after this."""
+        """Mark an unanswered request as answered. The caller writes the response afterwards."""
         request.answered = True
         self.totals.request_outcomes[outcome] += 1
         self._log.completed(request, outcome)
         self.forget_if_finished(request)
 
     def reject_or_fail(self, request: ClientRequest) -> None:
-        """Answer a request that has not begun to stream and that this gateway abandons."""
+        """Answer a request that has not started to stream and that this gateway gives up."""
         if request.safe_to_reject:
             self.complete(request, RequestOutcome.REJECTED)
             request.response.reject(0)
@@ -44,12 +45,12 @@
             request.response.fail()
 
     def forget_if_finished(self, request: ClientRequest) -> None:
-        """Drop a request that is answered and has no open attempt."""
+        """Remove a request if it is answered and has no open attempt."""
         if request.finished and self.open_requests.pop(request.number, None) is not None:
             request.body = b""
 
     def interactive_request_waiting(self) -> bool:
-        """Whether a request that is not background is unanswered and has no open attempt."""
+        """Return whether any request that is not background is unanswered and has no open attempt."""
         return any(
             not request.background and not request.answered and not request.has_open_attempt
             for request in self.open_requests.values()
--- a/lockspoke/core/request_log.py
+++ b/lockspoke/core/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines about requests that did not end with a complete response."""
+"""Log lines for requests that did not get a complete response."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 from .requests import Attempt, ClientRequest
 from .totals import RequestOutcome
 
-MAX_ATTEMPTS_LOGGED = 8  # the last ones
+MAX_ATTEMPTS_LOGGED = 8  # the latest attempts of a request
 
 
 class RequestLog:
-    """Logs how requests ended that were not served, at most one line a second for each outcome."""
+    """Logs requests that were not served, at most one line per second for each outcome."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._lines: dict[RequestOutcome, RateLimitedLog] = {
+        self._logs: dict[RequestOutcome, RateLimitedLog] = {
             outcome: RateLimitedLog("request_not_served")
             for outcome in RequestOutcome
             if outcome is not RequestOutcome.SERVED
         }
 
     def completed(self, request: ClientRequest, outcome: RequestOutcome) -> None:
-        """Log the end of a request, with the replica and the outcome of each attempt."""
-        line = self._lines.get(outcome)
-        if line is None:
+        """Log a completed request, with the replica, stage and outcome of its latest attempts."""
+        outcome_log = self._logs.get(outcome)
+        if outcome_log is None:
             return
         now = self._clock.now()
-        line.info(
+        outcome_log.info(
             now / SECOND,
             request_id=request.request_id,
             outcome=outcome.value,
@@ -39,6 +39,6 @@
 
 
 def _describe(attempt: Attempt) -> str:
-    """The replica of an attempt, how far it came, and its outcome if it has ended."""
+    """Return the replica of an attempt, its stage, and its outcome, or `open` if it has not ended."""
     outcome = "open" if attempt.outcome is None else attempt.outcome.name.lower()
     return f"{attempt.replica.uid} {attempt.stage.value} {outcome}"
--- a/lockspoke/core/requests.py
+++ b/lockspoke/core/requests.py
@@ -14,7 +14,7 @@
 from .interfaces import ResponseWriter, TimerHandle
 from .replica_set import Incarnation, Replica
 
-# Outcomes which prove that the replica has not run the request.
+# Outcomes that prove that the replica has not run the request.
 NEVER_RAN = (Outcome.OVERLOADED, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
 
 
@@ -37,34 +37,34 @@
     prefix_tokens: float = 0.0
     max_tokens: float = 0.0
     client_retry: bool = False
-    arrived_at: int = 0  # when its last byte arrived; 0: the time at which it is submitted
-    background: bool = False  # batch work: no client waits on a connection, and interactive requests go first
+    arrived_at: int = 0  # when its last byte arrived; 0: when it is submitted
+    background: bool = False  # batch work without a waiting client; interactive requests take precedence
     # Set by the core:
     number: int = 0
     deadline: int = 0
-    # The settings of its class when it was submitted: a reload may renumber the classes.
+    # The settings of its class at submission, stored because a reload may renumber the classes.
     class_settings: RequestClass = field(default_factory=RequestClass)
     attempts: list[Attempt] = field(default_factory=list)
     streaming_attempt: Attempt | None = None  # the attempt whose stream is the response
     answered: bool = False
-    handing_off: bool = False  # its stream is being handed off and no longer waits for a slow client
+    handing_off: bool = False  # its stream is being handed off and is not paused for a slow client any more
 
     @property
     def finished(self) -> bool:
-        """Whether it is answered and all its attempts have ended."""
+        """Whether the request is answered and all its attempts have ended."""
         return self.answered and not self.has_open_attempt
 
     @property
     def has_open_attempt(self) -> bool:
-        """Whether an attempt has not ended yet."""
+        """Whether any attempt of the request has not ended yet."""
         return any(attempt.outcome is None for attempt in self.attempts)
 
     @property
     def safe_to_reject(self) -> bool:
-        """Whether it may be rejected with an overload reply, that is, whether a retry does no harm."""
+        """Whether the request may get an overload reply, because a retry by the client is safe."""
         if self.class_settings.idempotency is Idempotency.IDEMPOTENT:
             return True
-        if not any(attempt.maybe_ran for attempt in self.attempts):
+        if not any(attempt.may_have_run for attempt in self.attempts):
             return True
         return (
             self.class_settings.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
@@ -73,29 +73,29 @@
 
 
 class AttemptStage(Enum):
-    """How far an open attempt has come."""
+    """The stages of an open attempt."""
 
-    CONNECTING = "connecting"  # no byte is written: it has not run, and can be stopped from being sent
-    SENT = "sent"  # the first byte is being written: from here on it may have run
+    CONNECTING = "connecting"  # no byte is written: it has not run, and sending can still be prevented
+    SENT = "sent"  # the first byte is being written: from now on it may have run
     STREAMING = "streaming"  # its stream is the response to the request
 
 
 class SendPermission(Enum):
-    """What an attempt whose connection is up may do."""
+    """What the transport may do with an attempt whose connection is established."""
 
     GRANTED = "granted"  # send the first byte now, without awaiting anything first
-    CHECK_AGAIN = "check_again"  # unread input may change the decision: check again after one loop iteration
-    ENDED = "ended"  # the attempt has ended: report nothing more
+    CHECK_AGAIN = "check_again"  # unread input may change the result: check again after one loop iteration
+    ENDED = "ended"  # the attempt has ended: send nothing, and report nothing more
 
 
 class AttemptListener(Protocol):
     """Receives the progress of attempts from the transport."""
 
     def permission_to_send(self, attempt: Attempt) -> SendPermission:
-        """Whether the first byte may be sent now; called once the attempt's connection is up."""
+        """Return whether the first byte may be sent now; called when the connection is established."""
 
     def stream_received(self, attempt: Attempt, data: bytes) -> asyncio.Future[None] | None:
-        """Take a part of the replica's stream. If a future is returned, read no more until it is done."""
+        """Handle a chunk of the replica's stream. If a future is returned, read no more until it is done."""
 
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, cached_tokens: int, report: tuple[float, ...]
@@ -113,43 +113,43 @@
     started_at: int
     deadline: int
     listener: AttemptListener
-    replica_incarnation: Incarnation = field(init=False)  # of the replica when the attempt was decided on
-    start_by: int = 0  # no first byte is sent at or after this time; 0: no limit but the deadline
+    replica_incarnation: Incarnation = field(init=False)  # of the replica when the attempt was created
+    start_by: int = 0  # the first byte must be sent before this time; 0: only the deadline applies
     stage: AttemptStage = AttemptStage.CONNECTING
     outcome: Outcome | None = None  # None while the attempt is open
     connection_reused: bool = False
-    last_received_at: int = 0  # when the stream last brought data, or reading was resumed
-    deadline_timer: TimerHandle | None = None  # while it runs
-    backpressure: asyncio.Future[None] | None = None  # reading is paused until it is done
+    last_received_at: int = 0  # when data last arrived, or when reading was last resumed
+    deadline_timer: TimerHandle | None = None  # None if it is not running
+    backpressure: asyncio.Future[None] | None = None  # if set, reading is paused until it is done
 
     def __post_init__(self) -> None:
-        """Record for which incarnation of the replica the attempt was decided."""
+        """Record the current incarnation of the replica."""
         self.replica_incarnation = self.replica.incarnation
 
     @property
     def streaming(self) -> bool:
-        """Whether its stream is the response to the request."""
+        """Whether the stream of this attempt is the response to the request."""
         return self.request.streaming_attempt is self
 
     @property
-    def maybe_ran(self) -> bool:
-        """Whether the replica may have run it: a byte was sent, and no outcome proves that it did not run."""
+    def may_have_run(self) -> bool:
+        """Whether the replica may have run it: a byte was sent, and its outcome does not prove otherwise."""
         return self.stage is not AttemptStage.CONNECTING and self.outcome not in NEVER_RAN
 
     def permission_to_send(self) -> SendPermission:
-        """Whether the first byte may be sent now; to be called once the connection is up."""
+        """Return whether the first byte may be sent now; to be called when the connection is established."""
         return self.listener.permission_to_send(self)
 
     def stream_received(self, data: bytes) -> asyncio.Future[None] | None:
-        """Report a part of the replica's stream. If a future is returned, read no more until it is done."""
+        """Report a chunk of the replica's stream. If a future is returned, read no more until it is done."""
         return self.listener.stream_received(self, data)
 
     def end(self, outcome: Outcome, cached_tokens: int = 0, report: tuple[float, ...] = ()) -> None:
-        """Report that the attempt has ended; only the first report counts."""
+        """Report that the attempt has ended; further reports have no effect."""
         self.listener.attempt_ended(self, outcome, cached_tokens, report)
 
     def cancel_deadline_timer(self) -> None:
-        """Stop the timer of its deadline, if it runs."""
+        """Cancel the timer of the deadline if it is running."""
         if self.deadline_timer is not None:
             self.deadline_timer.cancel()
             self.deadline_timer = None
--- a/lockspoke/core/stream_supervision.py
+++ b/lockspoke/core/stream_supervision.py
@@ -17,16 +17,16 @@
 from .transport import Transport
 
 CHECK_INTERVAL = SECOND // 4
-# A stream that brings no data for so long has lost its replica.
+# A stream that receives no data for longer is ended: its replica is considered unreachable.
 MAX_STREAM_SILENCE = 3 * SECOND
-# How long past its deadline a request waits for the balancer's answer before the check fails it.
+# How long after its deadline a request may stay unanswered before the check fails it.
 OVERDUE_GRACE = 10 * MILLISECOND
 
 log = structlog.get_logger()
 
 
 class StreamSupervision:
-    """Ends streams of vanished replicas, and fails requests for which the balancer made no decision."""
+    """Ends streams of unreachable replicas, and fails requests for which the balancer made no decision."""
 
     def __init__(
         self,
@@ -54,21 +54,22 @@
         self._clock.call_later(CHECK_INTERVAL, self.run)
 
     def _check_silent(self, stream: Attempt, now: int) -> None:
-        """End a stream that has brought nothing for long.
+        """End a stream that has received no data for longer than `MAX_STREAM_SILENCE`.
 
-        A machine that vanishes leaves its connections open and silent. Without this check its clients would
-        wait for ever; once their streams are cut, they can request the rest from another replica.
+        The connections of a machine that fails suddenly stay open without any data. Without this check its
+        clients would wait forever; once their streams are aborted, they can request the rest from another
+        replica.
         """
-        # While reading is paused for a slow client, silence says nothing about the replica.
+        # While reading is paused for a slow client, missing data does not indicate a fault of the replica.
         if stream.backpressure is None and now - stream.last_received_at > MAX_STREAM_SILENCE:
             self._transport.cancel(stream)
             self._attempts.attempt_ended(stream, Outcome.RESET)
 
     def _check_overdue(self, request: ClientRequest, now: int) -> None:
-        """Fail a request that should have been answered by now, as after a fault of the balancer.
+        """Fail a request that is unanswered after its deadline, for example because of a balancer fault.
 
-        After a pause of the process this check may come before the balancer's own timers that are due, too:
-        they run first.
+        After a pause of the process, this check may run before timers of the balancer that are also due.
+        `call_later` with no delay lets them run first.
         """
         if not request.answered and now > request.deadline + OVERDUE_GRACE:
             self._clock.call_later(0, lambda: self._fail_overdue(request))
--- a/lockspoke/core/totals.py
+++ b/lockspoke/core/totals.py
@@ -1,4 +1,4 @@
-"""Counts of what the gateway has done since it started."""
+"""Counters of requests, attempts and failures since the gateway started."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     """How a request was completed. Each request is completed exactly once."""
 
     SERVED = "served"  # the client has the complete response
-    TRUNCATED = "truncated"  # the replica's stream broke off after it had begun
-    REJECTED = "rejected"  # an overload reply: the client may retry without harm
+    TRUNCATED = "truncated"  # the replica's stream ended early, after the first data
+    REJECTED = "rejected"  # an overload reply: a retry is safe
     FAILED = "failed"  # an error reply: the request may have run
     CLIENT_DISCONNECTED = "client_disconnected"  # the client closed its connection before the end
-    HANDED_OFF = "handed_off"  # the stream was cut so that the client continues at another gateway
+    HANDED_OFF = "handed_off"  # the stream was aborted so that the client continues at another gateway
     OVERDUE = "overdue"  # the balancer made no decision by the deadline: the periodic check failed it
 
 
 class Totals:
-    """Counters since the start of the process."""
+    """Counters since the process started."""
 
     __slots__ = (
         "attempt_outcomes",
@@ -34,14 +34,14 @@
 
     def __init__(self) -> None:
         self.requests = 0
-        self.attempts = 0  # those that the transport has started
+        self.attempts = 0  # those that were passed to the transport
         self.endpoint_list_polls_failed = 0
         self.decisions_failed = 0  # events at which the balancer raised an exception
         self.request_outcomes: Counter[RequestOutcome] = Counter()
         self.attempt_outcomes: Counter[Outcome] = Counter()
 
     def log_fields(self) -> dict[str, int]:
-        """Return the counters that are not 0, by the names that they have in the `totals` log line."""
+        """Return the counters that are not 0, keyed by their names in the `totals` log line."""
         counts = {
             "requests": self.requests,
             "attempts": self.attempts,
--- a/lockspoke/core/transport.py
+++ b/lockspoke/core/transport.py
@@ -1,4 +1,4 @@
-"""The interface to the replicas: it carries attempts and reports on each."""
+"""The protocol through which the core sends attempts to replicas."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Transport(Protocol):
-    """Carries attempts to replicas and reports on each through `Attempt`."""
+    """Sends attempts to replicas and reports their progress through the methods of `Attempt`."""
 
     def start(self, attempt: Attempt) -> None:
-        """Begin an attempt. Never raises: failures are reported through the attempt."""
+        """Start an attempt. Never raises: failures are reported through the attempt."""
 
     def cancel(self, attempt: Attempt) -> None:
-        """Abandon an attempt: nothing more is reported for it."""
+        """Cancel an attempt: nothing more is reported for it."""
 
     def has_unread_response(self, attempt: Attempt) -> bool:
         """Whether bytes of the attempt's response have arrived that are not forwarded yet."""
 
     def close_idle_connections(self, replica: Replica) -> None:
-        """Close the idle connections to a replica that has moved, restarted or been removed."""
+        """Close the idle connections to a replica that has moved, restarted or left service."""
