--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -220,7 +220,7 @@
         """The uids of the replicas that operators have banned."""
         return frozenset(self._banned)
 
-    def ban_all(self, uids: Iterable[str]) -> None:
+    def restore_bans(self, uids: Iterable[str]) -> None:
         """Restore the bans of an earlier process; to be called before the first list is applied."""
         self._banned.update(uids)
 
--- a/lockspoke/lifecycle/program.py
+++ b/lockspoke/lifecycle/program.py
@@ -58,7 +58,7 @@
         gateway = self._gateway
         gateway.core.start()
         if gateway.operators is not None:
-            gateway.replica_set.ban_all(read_bans(self._bans_file))
+            gateway.replica_set.restore_bans(read_bans(self._bans_file))
         initial_list = gateway.endpoint_list_source.initial_list()
         if initial_list is not None:
             gateway.core.endpoint_list_changed(initial_list, cached=True)
