--- a/tests/core/test_attempt_lifecycle.py
+++ b/tests/core/test_attempt_lifecycle.py
@@ -1,4 +1,4 @@
-"""Attempts: retries, deadlines, and the cancellation of attempts that lose to a first stream."""
+"""Attempts: retries, deadlines, and cancellation when another attempt of the request streams."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     assert world.started[0].replica is not world.started[1].replica
 
 
-def test_the_deadline_ends_attempts_that_do_not_stream_and_no_others() -> None:
+def test_deadline_ends_only_attempts_that_do_not_stream() -> None:
     world = World(replicas=1)
     (_, silent), (_, streaming) = world.submit(), world.submit()
     world.started[1].stream_received(b"a")
-    for _ in range(5):  # a stream that has begun has no deadline
+    for _ in range(5):  # a stream that has started has no deadline
         world.pass_time(SECOND)
         world.started[1].stream_received(b"b")
     assert silent.written == ["failed"] and world.cancelled == [world.started[0]]
@@ -30,7 +30,7 @@
     assert streaming.written[-1] == "finished" and not world.core.requests
 
 
-def test_an_attempt_for_a_request_that_streams_is_never_sent() -> None:
+def test_attempt_for_a_streaming_request_is_not_sent() -> None:
     world = World()
     request, _ = world.submit()
     world.started[0].stream_received(b"a")
--- a/tests/core/test_clock_steps.py
+++ b/tests/core/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""A wall clock that is set to another time makes no replica warm, cold for longer, or superseded."""
+"""Steps of the wall clock: they neither shorten nor extend a slow start, nor remove the newer replica."""
 
 from __future__ import annotations
 
@@ -10,71 +10,71 @@
 
 from .world import World
 
-STEPS = (-3600 * SECOND, -5 * SECOND, 0, 5 * SECOND, 3600 * SECOND)
+CLOCK_STEPS = (-3600 * SECOND, -5 * SECOND, 0, 5 * SECOND, 3600 * SECOND)
 
 
 def list_new_replica(world: World, boot: int, uid: str = "new", port: int = 7000) -> None:
-    """List a replica whose machine says that it started at `boot`."""
+    """Add a replica to the endpoint list, with `boot` as its listed start time."""
     entry = ListedReplica(uid, ReplicaState.READY, ("127.0.0.1", port), "z", boot_ms=boot // MILLISECOND)
     world.core.endpoint_list_changed(ReplicaListUpdate(2, False, (entry,)))
 
 
-def slow_start_ends_in(world: World, uid: str = "new") -> float:
-    """Seconds until a replica counts as warm."""
+def seconds_until_slow_start_ends(world: World, uid: str = "new") -> float:
+    """Return the seconds until the slow start of a replica ends."""
     number = world.core.replica_set.identifiers.replica(uid)
     return (world.core.balancer.replicas[number].slow_start.ends_at - world.time) / SECOND
 
 
-def slow_start_duration(world: World) -> float:
+def slow_start_seconds(world: World) -> float:
     return world.core.balancer.settings.slow_start_duration / SECOND
 
 
-def aged_world(step: int) -> World:
-    """A world two hours old, whose wall clock is set now."""
+def harness_after_two_hours(step: int) -> World:
+    """Return a harness that has run for two hours and whose wall clock has just been set by `step`."""
     world = World()
     world.time += 7200 * SECOND
     world.wall_clock_step = step
     return world
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_a_replica_that_started_after_the_step_has_its_slow_start(step: int) -> None:
-    """Its machine reads the clock that was set."""
-    world = aged_world(step)
+@pytest.mark.parametrize("step", CLOCK_STEPS)
+def test_replica_started_after_a_clock_step_gets_its_slow_start(step: int) -> None:
+    """The wall clock of the replica's machine is set too, so its listed start time includes the step."""
+    world = harness_after_two_hours(step)
     list_new_replica(world, world.wall_time() - SECOND)
-    remaining = slow_start_duration(world) - slow_start_ends_in(world)
-    assert 0 <= remaining <= 1
+    elapsed = slow_start_seconds(world) - seconds_until_slow_start_ends(world)
+    assert 0 <= elapsed <= 1
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_a_replica_has_its_slow_start_where_only_this_machine_was_set(step: int) -> None:
-    world = aged_world(step)
+@pytest.mark.parametrize("step", CLOCK_STEPS)
+def test_clock_step_of_only_the_gateway_keeps_the_slow_start(step: int) -> None:
+    world = harness_after_two_hours(step)
     list_new_replica(world, world.time - SECOND)
-    remaining = slow_start_duration(world) - slow_start_ends_in(world)
-    assert 0 <= remaining <= 1
+    elapsed = slow_start_seconds(world) - seconds_until_slow_start_ends(world)
+    assert 0 <= elapsed <= 1
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_a_step_changes_no_slow_start_that_has_begun(step: int) -> None:
+@pytest.mark.parametrize("step", CLOCK_STEPS)
+def test_clock_step_does_not_change_a_running_slow_start(step: int) -> None:
     world = World()
     world.time += 7200 * SECOND
     boot = world.time - SECOND
     list_new_replica(world, boot)
-    before = slow_start_ends_in(world)
+    before = seconds_until_slow_start_ends(world)
     world.wall_clock_step = step
     world.time += SECOND
     list_new_replica(world, boot)
-    assert slow_start_ends_in(world) == before - 1
+    assert seconds_until_slow_start_ends(world) == before - 1
 
 
-def test_a_replica_is_not_cold_for_an_hour_where_the_clock_is_behind_from_the_start() -> None:
+def test_start_time_in_the_future_does_not_extend_the_slow_start() -> None:
     world = World()
     list_new_replica(world, world.time + 3600 * SECOND)
-    assert slow_start_ends_in(world) <= slow_start_duration(world)
+    assert seconds_until_slow_start_ends(world) <= slow_start_seconds(world)
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_the_process_that_started_last_stays_at_its_address(step: int) -> None:
+@pytest.mark.parametrize("step", CLOCK_STEPS)
+def test_newest_process_keeps_its_address_after_a_clock_step(step: int) -> None:
     world = World()
     world.time += 7200 * SECOND
     list_new_replica(world, world.time - 10 * SECOND, "old")
--- a/tests/core/test_decision_loop.py
+++ b/tests/core/test_decision_loop.py
@@ -1,4 +1,4 @@
-"""The decision loop goes on after a fault of the balancer."""
+"""The decision loop continues after an exception in the balancer."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 def test_actions_decided_before_a_balancer_fault_are_carried_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: a send that the balancer had counted was dropped; later outcomes hit the wrong attempt."""
+    """Regression: a send was dropped after the balancer had counted it.
+
+    Later outcomes were then assigned to the wrong attempt.
+    """
     world = World(replicas=1)
     handle = world.core.balancer.handle
 
@@ -32,16 +35,16 @@
     assert response.written == [b"a", "finished"] and not world.core.balancer.requests
 
 
-def test_a_balancer_fault_at_one_event_does_not_lose_the_events_queued_behind_it(
+def test_balancer_fault_at_one_event_keeps_queued_events(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: all events queued meanwhile were handled as one batch, and lost together."""
+    """Regression: queued events were passed to the balancer together, and a fault lost all of them."""
     world = World(replicas=1)
     handle, faults = world.core.balancer.handle, [True]
 
     def fail_once(now: int, events: list[Any]) -> list[Any]:
         if faults and faults.pop():
-            # The request is submitted while this event is being decided on, so its event is queued.
+            # The balancer is still handling this event, so the event of the new request is queued.
             world.submit()
             raise ZeroDivisionError
         return handle(now, events)
@@ -51,7 +54,7 @@
     assert len(world.started) == 1
 
 
-def test_a_drain_at_which_the_balancer_failed_is_obeyed_and_a_full_list_is_polled(
+def test_drain_that_the_balancer_failed_on_is_applied(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = World(replicas=1)
@@ -67,5 +70,5 @@
     monkeypatch.setattr(world.core.balancer, "handle", handle)
     assert world.core.replica_set.version == UNKNOWN_VERSION
     world.submit()
-    assert world.started, "to the balancer it is still ready"
+    assert world.started, "the balancer still considers the replica ready"
     assert {attempt.permission_to_send() for attempt in world.started} == {SendPermission.ENDED}
--- a/tests/core/test_endpoint_list.py
+++ b/tests/core/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The polls of the endpoint list."""
+"""Polling the endpoint list, and the log line for replicas that leave service."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.core.world import World
 
 
-def test_an_operators_ban_does_not_stop_the_polls_after_a_failed_one() -> None:
-    """Regression: the ban was taken for the answer to the poll, and discovery was never polled again."""
+def test_ban_after_a_failed_poll_does_not_stop_polling() -> None:
+    """Regression: the ban counted as the response to the poll, and discovery was never polled again."""
     world = World(polls_endpoint_list=True)
     world.core.endpoint_list_failed()
     world.watches.clear()
@@ -28,7 +28,7 @@
     assert world.watches == [True, True]
 
 
-def test_the_list_is_watched_too_where_the_balancer_does_not_poll_it() -> None:
+def test_list_is_watched_if_the_balancer_does_not_poll_it() -> None:
     world = World()
     world.core.start()
     assert world.watches == [True]
@@ -42,8 +42,8 @@
     world.core.endpoint_list_changed(ReplicaListUpdate(2, False, (entry,)))
 
 
-def test_a_list_that_takes_replicas_out_of_use_says_when_they_last_got_an_attempt() -> None:
-    """A drain that came late to one gateway of many shows in it, with no line for single requests."""
+def test_last_attempt_time_is_logged_when_replicas_leave_service() -> None:
+    """The line reveals a drain that reached one of many gateways late, without logging every request."""
     world = World()
     world.submit()
     used = world.started[0].replica
--- a/tests/core/test_hand_off.py
+++ b/tests/core/test_hand_off.py
@@ -12,8 +12,8 @@
 from tests.core.world import World, idempotent_with_key
 
 
-def test_handed_off_requests_can_be_sent_to_another_gateway() -> None:
-    """Regression: requests still open when the process was killed after a planned stop were lost."""
+def test_hand_off_aborts_streams_and_rejects_waiting_requests() -> None:
+    """Regression: requests that were still open when a stopping process was killed were lost."""
     world = World()
     submitted = [world.submit() for _ in range(3)]
     world.started[0].stream_received(b"a")
@@ -26,7 +26,7 @@
 
 
 def test_only_the_given_requests_are_handed_off() -> None:
-    """Those of an address that the gateway has lost are handed off; others go on."""
+    """When the gateway loses an address, only the requests of that address are handed off."""
     world = World()
     (handed_off, first), (_, second) = world.submit(), world.submit()
     for attempt in world.started:
@@ -48,10 +48,10 @@
         (idempotent_with_key(DeduplicationScope.CELL), True, None, "failed"),
     ],
 )
-def test_a_handed_off_request_is_rejected_unless_a_retry_may_do_harm(
+def test_handed_off_request_is_rejected_if_a_retry_is_safe(
     request_class: RequestClass, sent: bool, outcome: Outcome | None, answer: str
 ) -> None:
-    """Regression: any attempt counted as one that ran, even if its outcome proves that it never did."""
+    """Regression: every attempt counted as run, even if its outcome proves that it did not run."""
     world = World(replicas=1, classes=(request_class,), max_attempts=2)
     world.connects_at_once = sent
     _, response = world.submit()
@@ -62,7 +62,7 @@
     assert response.written == [answer]
 
 
-def test_open_requests_keep_their_class_settings_when_a_reload_renumbers_the_classes() -> None:
+def test_open_requests_keep_their_class_settings_after_a_reload() -> None:
     world = World(replicas=1, classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
     _, response = world.submit()
     world.core.reconfigure(
@@ -72,8 +72,8 @@
     assert response.written == ["failed"]
 
 
-def test_a_stream_that_its_replica_has_finished_is_not_cut_by_the_hand_off() -> None:
-    """Regression: the last bytes had arrived, and the client was cut off before they were forwarded."""
+def test_hand_off_does_not_abort_a_stream_with_unread_data() -> None:
+    """Regression: the last bytes had arrived, but the stream was aborted before they were forwarded."""
 
     async def scenario() -> None:
         world = World(replicas=1)
@@ -92,7 +92,7 @@
     asyncio.run(scenario())
 
 
-def test_streams_are_handed_off_only_if_included_and_in_the_end_all_of_them() -> None:
+def test_hand_off_of_streams_depends_on_its_flags() -> None:
     world = World(replicas=1)
     (_, stream), (_, waiting) = world.submit(), world.submit()
     world.started[0].stream_received(b"a")
--- a/tests/core/test_identifiers.py
+++ b/tests/core/test_identifiers.py
@@ -5,7 +5,7 @@
 from lockspoke.core.identifiers import Identifiers, key_identifier
 
 
-def test_replica_numbers_are_the_same_at_every_gateway_and_never_shared() -> None:
+def test_replica_numbers_are_unique_and_the_same_at_every_gateway() -> None:
     identifiers = Identifiers()
     assert identifiers.replica("s-1") == Identifiers().replica("s-1") != identifiers.replica("s-2")
     assert identifiers.request() != identifiers.request()
--- a/tests/core/test_replica_set.py
+++ b/tests/core/test_replica_set.py
@@ -42,7 +42,7 @@
 
 
 def test_a_younger_replica_at_an_address_removes_the_older_one() -> None:
-    """Discovery reports a vanished machine late: listed twice, its successor would get a double load."""
+    """Discovery detects a failed machine late: with both listed, the newer would get twice its load."""
     world = World()
     successor = ListedReplica(
         "successor", ReplicaState.READY, ("127.0.0.1", 5000), "z", boot_ms=world.time // MILLISECOND - 100
@@ -55,7 +55,7 @@
     both = tuple(ListedReplica(f"w{i}", ReplicaState.READY, ("127.0.0.1", 5000 + i), "z") for i in range(2))
     world.core.endpoint_list_changed(
         ReplicaListUpdate(3, True, (successor, *both))
-    )  # the older one is still listed, and stays removed
+    )  # the older one is listed again, and stays removed
     assert {
         replica.uid
         for replica in world.core.replica_set.replicas.values()
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""Requests: each gets one answer, and is forgotten once nothing more can happen to it."""
+"""Requests: each gets one answer, and is removed when its last attempt has ended."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def test_bodies_and_timers_are_released_once_they_are_not_needed() -> None:
-    """Regression: bodies of streams and timers of finished requests made the heap grow all day."""
+    """Regression: bodies of streaming requests and timers of finished ones were kept; the heap grew."""
     world = World()
     request, _ = world.submit()
     assert len(world.timers) == 2  # the balancer's and the attempt's
@@ -53,7 +53,7 @@
     assert response.written == ["rejected"]
 
 
-def test_a_disconnected_client_gets_no_response_and_its_attempt_goes_on() -> None:
+def test_disconnected_client_gets_no_response_and_its_attempt_continues() -> None:
     world = World()
     request, response = world.submit()
     world.core.client_disconnected(request)
--- a/tests/core/test_send_permission.py
+++ b/tests/core/test_send_permission.py
@@ -37,10 +37,10 @@
 
 
 @pytest.mark.parametrize("change", [client_disconnects, replica_drains, replica_restarts, replica_is_banned])
-def test_changes_while_connecting_are_obeyed_before_the_first_byte(
+def test_change_while_connecting_prevents_sending(
     change: Callable[[World, ClientRequest], None],
 ) -> None:
-    """Regression: requests were sent after their client had disconnected, and to draining replicas."""
+    """Regression: attempts were sent after their client had disconnected, and to draining replicas."""
     world = World()
     world.connects_at_once = False
     request, _ = world.submit()
@@ -48,14 +48,17 @@
     change(world, request)
     assert attempt.outcome is None
     assert attempt.permission_to_send() is SendPermission.ENDED and attempt.outcome is Outcome.NEVER_SENT
-    # If the client still waits, the request is retried at another replica at once.
+    # If the client is still waiting, the request is retried at another replica immediately.
     others = [other.replica for other in world.started[1:]]
     assert len(others) == (change is not client_disconnects) and attempt.replica not in others
     assert bool(world.core.requests) == (change is not client_disconnects)
 
 
-def test_a_retry_whose_deduplication_window_ends_while_connecting_is_not_sent() -> None:
-    """Regression: decided on within the window, it was sent after its end, where a duplicate runs again."""
+def test_retry_is_not_sent_after_its_deduplication_window() -> None:
+    """Regression: a retry was decided on within the window, but sent after its end.
+
+    After the window, the replica does not recognise the duplicate and runs it again.
+    """
     world = World(classes=(idempotent_with_key(window=SECOND),))
     world.submit()
     world.connects_at_once = False
@@ -67,8 +70,8 @@
     assert retry.permission_to_send() is SendPermission.ENDED and retry.outcome is Outcome.NEVER_SENT
 
 
-def test_an_attempt_whose_deadline_passes_while_connecting_has_not_run() -> None:
-    """Regression: it counted as one that may have run, and the request was failed in place of rejected."""
+def test_deadline_while_connecting_ends_the_attempt_as_never_sent() -> None:
+    """Regression: the attempt counted as possibly run, so the request was failed instead of rejected."""
     world = World(classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
     world.connects_at_once = False
     _, response = world.submit()
@@ -76,7 +79,7 @@
     assert world.started[0].outcome is Outcome.NEVER_SENT and response.written == ["rejected"]
 
 
-def test_an_attempt_waits_until_input_of_discovery_and_its_client_is_read() -> None:
+def test_attempt_waits_while_input_of_discovery_or_its_client_is_unread() -> None:
     world = World()
     world.connects_at_once = False
     _, response = world.submit()
--- a/tests/core/test_stream_supervision.py
+++ b/tests/core/test_stream_supervision.py
@@ -12,7 +12,8 @@
 from tests.core.world import World
 
 
-def test_a_silent_stream_is_aborted_so_that_its_client_can_request_the_rest() -> None:
+def test_silent_stream_is_aborted() -> None:
+    """After the abort, the client can request the rest from another replica."""
     world = World()
     world.core.start()
     _, response = world.submit()
@@ -54,8 +55,8 @@
     assert response.written == ["failed"] and not world.core.requests
 
 
-def test_a_pause_of_the_process_is_no_fault_of_the_balancer() -> None:
-    """The check was due before the deadline and the balancer's timer at it; both come after the pause."""
+def test_request_is_not_overdue_after_a_pause_of_the_process() -> None:
+    """The check is due before the deadline and the balancer's timer at it; both run after the pause."""
     world = World()
     world.core.start()
     _, response = world.submit(seconds=1.1)
--- a/tests/core/world.py
+++ b/tests/core/world.py
@@ -1,4 +1,4 @@
-"""A core without sockets: replicas, discovery, the clock and clients are fakes in the test's hands."""
+"""A core without sockets: replicas, discovery, the clock and clients are fakes that the test controls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RecordingResponse:
-    """Records what is written: data as bytes, and the end of the response as a word."""
+    """Records what is written: data as bytes, and the end of the response as a string."""
 
     def __init__(self) -> None:
         self.written: list[bytes | str] = []
@@ -56,17 +56,17 @@
 
 
 class World:
-    """A core and all that surrounds it, with a clock that the test moves."""
+    """A core with fakes of its dependencies, and a clock that the test advances."""
 
     def __init__(self, replicas: int = 2, **changes: Any) -> None:
         self.time = 1_000 * SECOND
-        self.wall_clock_step = 0  # by which the wall clock was set since the start
+        self.wall_clock_step = 0  # the offset by which the wall clock was set since the start
         self.timers: list[Timer] = []
         self.started: list[Attempt] = []
         self.cancelled: list[Attempt] = []
-        self.idle_closed: list[Replica] = []  # replicas to which idle connections were closed
+        self.idle_closed: list[Replica] = []  # replicas whose idle connections were closed
         self.watches: list[bool] = []
-        self.connects_at_once = True  # whether each attempt requests permission to send as it starts
+        self.connects_at_once = True  # whether each attempt requests permission to send when it starts
         self.has_unread_changes = False
         self.unread_responses: set[Attempt] = set()
         self.core = Core(settings(**changes), 7, ReplicaSet(Identifiers(), ["z"]), self, self, self)
@@ -91,7 +91,7 @@
         return FakeTimerHandle(self.timers, self.timers[-1])
 
     def pass_time(self, duration: int) -> None:
-        """Move the clock, and call the timers that fall due."""
+        """Advance the clock, and call the timers that become due."""
         end = self.time + duration
         while self.timers and min(when for when, _ in self.timers) <= end:
             first = min(range(len(self.timers)), key=lambda index: self.timers[index][0])
@@ -124,7 +124,7 @@
     # Clients
 
     def submit(self, seconds: float = 4, **fields: Any) -> tuple[ClientRequest, RecordingResponse]:
-        """Submit a request whose client waits for so many seconds."""
+        """Submit a request whose client waits for `seconds`."""
         response = RecordingResponse()
         request = ClientRequest(response, 0, int(seconds * SECOND), "id", "POST", "/x", {}, b"{}", **fields)
         self.core.submit(request)
@@ -134,7 +134,7 @@
 def idempotent_with_key(
     scope: DeduplicationScope = DeduplicationScope.ALL, window: int = 5 * SECOND
 ) -> RequestClass:
-    """A class of requests that replicas deduplicate by their key."""
+    """Return a class of requests that replicas deduplicate by their key."""
     return RequestClass(
         idempotency=Idempotency.IDEMPOTENT_WITH_KEY, deduplication_scope=scope, deduplication_window=window
     )
