--- a/tests/batch/harness.py
+++ b/tests/batch/harness.py
@@ -19,7 +19,7 @@
 from lockspoke.wire.http.encoding import encode_request
 from lockspoke.wire.http.messages import MessagePart, RequestHead
 from lockspoke.wire.http.request_parser import RequestParser
-from tests.core.world import World
+from tests.core.harness import CoreHarness
 from tests.standins import EVENTS, STREAM_TAIL
 
 ENDPOINT = "/v1/chat/completions"
@@ -56,12 +56,12 @@
     """A store, a runner, and a core whose attempts the test ends."""
 
     def __init__(self, folder: Path, concurrency: int = 2, max_attempts: int = 2) -> None:
-        self.world = World()
+        self.core_harness = CoreHarness()
         self.clock = 1_000_000.0
         self.store = BatchStore(folder, self.now)
         batch_lines = BatchLines(self.store, "bulk", 0, 12 * SECOND, 100)
         self.runner = BatchRunner(
-            self.store, self.world.core, batch_lines, concurrency, max_attempts, self.now
+            self.store, self.core_harness.core, batch_lines, concurrency, max_attempts, self.now
         )
 
     def now(self) -> float:
@@ -88,7 +88,7 @@
 
     def in_flight(self) -> list[Attempt]:
         """Attempts that have not ended."""
-        return [attempt for attempt in self.world.started if attempt.outcome is None]
+        return [attempt for attempt in self.core_harness.started if attempt.outcome is None]
 
     def serve(self, attempt: Attempt) -> None:
         """Answer an attempt with a complete response."""
--- a/tests/batch/test_runner.py
+++ b/tests/batch/test_runner.py
@@ -32,9 +32,9 @@
             if harness.in_flight():
                 harness.serve(harness.in_flight()[0])
         assert batch.status is BatchStatus.COMPLETED
-        assert len(harness.world.started) == 5
+        assert len(harness.core_harness.started) == 5
         assert harness.results(batch) == {f"c{n}": "served" for n in range(5)}
-        sent = json.loads(harness.world.started[0].request.body or b"{}")
+        sent = json.loads(harness.core_harness.started[0].request.body or b"{}")
         assert sent in ({}, LINE["body"] | {"stream": True, "stream_options": {"include_usage": True}})
 
     harness.run(scenario)
@@ -53,7 +53,7 @@
         assert [error["code"] for error in empty.errors] == ["empty_file"]
         assert [error["code"] for error in too_long.errors] == ["too_many_lines"]
         assert {batch.status, empty.status, too_long.status} == {BatchStatus.FAILED}
-        assert not harness.world.started
+        assert not harness.core_harness.started
 
     harness.run(scenario)
 
@@ -65,12 +65,12 @@
         batch = await harness.create_batch(*lines(1))
         await until(lambda: len(harness.in_flight()) == 1)
         attempt = harness.in_flight()[0]
-        harness.world.core.transport.cancel(attempt)
+        harness.core_harness.core.transport.cancel(attempt)
         harness.reject(attempt, retry_after=5 * SECOND)
         await until(lambda: not harness.runner.slots.in_flight)
         harness.clock += 4
         await asyncio.sleep(0.15)
-        assert len(harness.world.started) == 1, "not before the end of Retry-After"
+        assert len(harness.core_harness.started) == 1, "not before the end of Retry-After"
         harness.clock += 2
         await until(lambda: len(harness.in_flight()) == 1)
         harness.serve(harness.in_flight()[0])
@@ -130,7 +130,7 @@
         harness.serve(harness.in_flight()[0])
         await until(lambda: batch.is_final)
         assert batch.status is BatchStatus.EXPIRED
-        assert len(harness.world.started) == 1
+        assert len(harness.core_harness.started) == 1
         expired = dict.fromkeys(("c0", "c1", "z"), "batch_expired")
         assert harness.results(batch) == expired | {"a": "served"}
 
@@ -141,12 +141,12 @@
     harness = Harness(tmp_path)
 
     async def scenario() -> None:
-        harness.world.core.request_lifecycle.interactive_rejected_at = harness.world.now()
+        harness.core_harness.core.request_lifecycle.interactive_rejected_at = harness.core_harness.now()
         batch = await harness.create_batch(*lines(1))
         await until(lambda: batch.status is BatchStatus.IN_PROGRESS)
         await asyncio.sleep(0.15)
-        assert not harness.world.started, "an interactive request was rejected a moment ago"
-        harness.world.time += PAUSE_AFTER_REJECTION
+        assert not harness.core_harness.started, "an interactive request was rejected a moment ago"
+        harness.core_harness.time += PAUSE_AFTER_REJECTION
         await until(lambda: len(harness.in_flight()) == 1)
         harness.serve(harness.in_flight()[0])
         await until(lambda: batch.is_final)
@@ -186,7 +186,7 @@
             for attempt in second.in_flight():
                 second.serve(attempt)
         assert second.results(batch) == {f"c{n}": "served" for n in range(6)}
-        assert len(second.world.started) == 4
+        assert len(second.core_harness.started) == 4
 
     second.run(finish)
     third = BatchStore(tmp_path, lambda: 0.0)
@@ -225,7 +225,7 @@
             for attempt in harness.in_flight():
                 harness.reject(attempt, retry_after=60 * SECOND)
         assert harness.runner.slots.backing_off == 4
-        assert len(harness.world.started) == 4
+        assert len(harness.core_harness.started) == 4
         await harness.store.set_status(batch, BatchStatus.CANCELLING)
         await until(lambda: batch.is_final)
         assert set(harness.results(batch).values()) == {"batch_cancelled"}
@@ -250,12 +250,12 @@
 
     async def scenario() -> None:
         # An interactive request was just rejected, so no line starts. After the cancellation one could.
-        harness.world.core.request_lifecycle.interactive_rejected_at = harness.world.now()
+        harness.core_harness.core.request_lifecycle.interactive_rejected_at = harness.core_harness.now()
         batch = await harness.create_batch(*lines(100))
         await until(lambda: batch.status is BatchStatus.IN_PROGRESS)
         await harness.store.set_status(batch, BatchStatus.CANCELLING)
         monkeypatch.setattr(slots, "available", available)
-        harness.world.time += 2 * PAUSE_AFTER_REJECTION
+        harness.core_harness.time += 2 * PAUSE_AFTER_REJECTION
         harness.runner.notify()
         await until(lambda: batch.is_final or never_yields.is_set())
         assert not never_yields.is_set()
--- a/tests/batch/test_status_changes.py
+++ b/tests/batch/test_status_changes.py
@@ -88,7 +88,7 @@
         await until(lambda: batch.is_final)
         assert batch.status is BatchStatus.CANCELLED
         assert set(harness.results(batch).values()) == {"batch_cancelled"}
-        assert not harness.world.started
+        assert not harness.core_harness.started
 
     harness.run(scenario)
 
--- a/tests/core/world.py
+++ b/tests/core/harness.py
@@ -55,7 +55,7 @@
             self.timers.remove(self.timer)
 
 
-class World:
+class CoreHarness:
     """A core with fakes of its dependencies, and a clock that the test advances."""
 
     def __init__(self, replicas: int = 2, **changes: Any) -> None:
--- a/tests/core/test_decision_loop.py
+++ b/tests/core/test_decision_loop.py
@@ -9,7 +9,7 @@
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.core.replica_set import UNKNOWN_VERSION, ListedReplica, ReplicaListUpdate
 from lockspoke.core.requests import SendPermission
-from tests.core.world import World
+from tests.core.harness import CoreHarness
 
 
 def test_actions_decided_before_a_balancer_fault_are_carried_out(
@@ -19,56 +19,56 @@
 
     Later outcomes were then assigned to the wrong attempt.
     """
-    world = World(replicas=1)
-    handle = world.core.balancer.handle
+    harness = CoreHarness(replicas=1)
+    handle = harness.core.balancer.handle
 
     def fail_after_deciding(now: int, events: list[Any]) -> None:
         handle(now, events)
         raise ZeroDivisionError
 
-    monkeypatch.setattr(world.core.balancer, "handle", fail_after_deciding)
-    request, response = world.submit()
-    assert len(world.started) == len(request.attempts) == 1
+    monkeypatch.setattr(harness.core.balancer, "handle", fail_after_deciding)
+    request, response = harness.submit()
+    assert len(harness.started) == len(request.attempts) == 1
     monkeypatch.undo()
-    world.started[0].stream_received(b"a")
-    world.started[0].end(Outcome.OK)
-    assert response.written == [b"a", "finished"] and not world.core.balancer.requests
+    harness.started[0].stream_received(b"a")
+    harness.started[0].end(Outcome.OK)
+    assert response.written == [b"a", "finished"] and not harness.core.balancer.requests
 
 
 def test_balancer_fault_at_one_event_keeps_queued_events(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Regression: queued events were passed to the balancer together, and a fault lost all of them."""
-    world = World(replicas=1)
-    handle, faults = world.core.balancer.handle, [True]
+    harness = CoreHarness(replicas=1)
+    handle, faults = harness.core.balancer.handle, [True]
 
     def fail_once(now: int, events: list[Any]) -> list[Any]:
         if faults and faults.pop():
             # The balancer is still handling this event, so the event of the new request is queued.
-            world.submit()
+            harness.submit()
             raise ZeroDivisionError
         return handle(now, events)
 
-    monkeypatch.setattr(world.core.balancer, "handle", fail_once)
-    world.core.endpoint_list_failed()
-    assert len(world.started) == 1
+    monkeypatch.setattr(harness.core.balancer, "handle", fail_once)
+    harness.core.endpoint_list_failed()
+    assert len(harness.started) == 1
 
 
 def test_drain_that_the_balancer_failed_on_is_applied(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = World(replicas=1)
-    world.connects_at_once = False
-    handle = world.core.balancer.handle
+    harness = CoreHarness(replicas=1)
+    harness.connects_at_once = False
+    handle = harness.core.balancer.handle
 
     def fail(now: int, events: list[Any]) -> list[Any]:
         raise ZeroDivisionError
 
-    monkeypatch.setattr(world.core.balancer, "handle", fail)
+    monkeypatch.setattr(harness.core.balancer, "handle", fail)
     drain = ListedReplica("w0", ReplicaState.DRAINING, ("127.0.0.1", 5000), "z")
-    world.core.endpoint_list_changed(ReplicaListUpdate(2, False, (drain,)))
-    monkeypatch.setattr(world.core.balancer, "handle", handle)
-    assert world.core.replica_set.version == UNKNOWN_VERSION
-    world.submit()
-    assert world.started, "the balancer still considers the replica ready"
-    assert {attempt.permission_to_send() for attempt in world.started} == {SendPermission.ENDED}
+    harness.core.endpoint_list_changed(ReplicaListUpdate(2, False, (drain,)))
+    monkeypatch.setattr(harness.core.balancer, "handle", handle)
+    assert harness.core.replica_set.version == UNKNOWN_VERSION
+    harness.submit()
+    assert harness.started, "the balancer still considers the replica ready"
+    assert {attempt.permission_to_send() for attempt in harness.started} == {SendPermission.ENDED}
--- a/tests/core/test_endpoint_list.py
+++ b/tests/core/test_endpoint_list.py
@@ -7,52 +7,52 @@
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.core.replica_set import ListedReplica, Replica, ReplicaListUpdate
 from lockspoke.units import MILLISECOND, SECOND
-from tests.core.world import World
+from tests.core.harness import CoreHarness
 
 
 def test_ban_after_a_failed_poll_does_not_stop_polling() -> None:
     """Regression: the ban counted as the response to the poll, and discovery was never polled again."""
-    world = World(polls_endpoint_list=True)
-    world.core.endpoint_list_failed()
-    world.watches.clear()
-    assert world.core.set_banned("w0", True)
-    world.pass_time(SECOND)
-    assert world.watches == [True]
+    harness = CoreHarness(polls_endpoint_list=True)
+    harness.core.endpoint_list_failed()
+    harness.watches.clear()
+    assert harness.core.set_banned("w0", True)
+    harness.pass_time(SECOND)
+    assert harness.watches == [True]
 
 
 def test_the_balancer_polls_the_list_again_after_a_failure() -> None:
-    world = World(polls_endpoint_list=True)
-    assert world.watches == [True]
-    world.core.endpoint_list_failed()
-    world.pass_time(2000 * MILLISECOND)
-    assert world.watches == [True, True]
+    harness = CoreHarness(polls_endpoint_list=True)
+    assert harness.watches == [True]
+    harness.core.endpoint_list_failed()
+    harness.pass_time(2000 * MILLISECOND)
+    assert harness.watches == [True, True]
 
 
 def test_list_is_watched_if_the_balancer_does_not_poll_it() -> None:
-    world = World()
-    world.core.start()
-    assert world.watches == [True]
-    world.core.endpoint_list_failed()
-    world.pass_time(2 * SECOND)
-    assert world.watches == [True, True]
+    harness = CoreHarness()
+    harness.core.start()
+    assert harness.watches == [True]
+    harness.core.endpoint_list_failed()
+    harness.pass_time(2 * SECOND)
+    assert harness.watches == [True, True]
 
 
-def drain(world: World, replica: Replica) -> None:
+def drain(harness: CoreHarness, replica: Replica) -> None:
     entry = ListedReplica(replica.uid, ReplicaState.DRAINING, replica.endpoint)
-    world.core.endpoint_list_changed(ReplicaListUpdate(2, False, (entry,)))
+    harness.core.endpoint_list_changed(ReplicaListUpdate(2, False, (entry,)))
 
 
 def test_last_attempt_time_is_logged_when_replicas_leave_service() -> None:
     """The line reveals a drain that reached one of many gateways late, without logging every request."""
-    world = World()
-    world.submit()
-    used = world.started[0].replica
-    world.pass_time(300 * MILLISECOND)
+    harness = CoreHarness()
+    harness.submit()
+    used = harness.started[0].replica
+    harness.pass_time(300 * MILLISECOND)
     with capture_logs() as lines:
-        drain(world, used)
+        drain(harness, used)
     (line,) = [line for line in lines if line["event"] == "replicas_left_service"]
     assert (line["replicas"], line["last_attempt_ms_ago"]) == (1, 300)
     with capture_logs() as lines:
-        (other,) = [replica for replica in world.core.replica_set.replicas.values() if replica is not used]
-        drain(world, other)
+        (other,) = [replica for replica in harness.core.replica_set.replicas.values() if replica is not used]
+        drain(harness, other)
     assert "replicas_left_service" not in [line["event"] for line in lines], "it never got an attempt"
--- a/tests/core/test_replica_set.py
+++ b/tests/core/test_replica_set.py
@@ -7,17 +7,17 @@
 from lockspoke.core.process_start import ClockReading
 from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate, ReplicaSet
 from lockspoke.units import MILLISECOND, SECOND
-from tests.core.world import World
+from tests.core.harness import CoreHarness
 
 
 def test_removed_replicas_are_forgotten_unless_in_use() -> None:
-    world = World()
+    harness = CoreHarness()
     for n in range(300):
-        world.time += SECOND
+        harness.time += SECOND
         new = ListedReplica(f"n{n}", ReplicaState.READY, ("127.0.0.1", 7000 + n), "z")
         old = ListedReplica(f"n{n - 1}", ReplicaState.REMOVED, None, "z")
-        world.core.endpoint_list_changed(ReplicaListUpdate(2 + n, False, (new, old) if n else (new,)))
-    replica_set = world.core.replica_set
+        harness.core.endpoint_list_changed(ReplicaListUpdate(2 + n, False, (new, old) if n else (new,)))
+    replica_set = harness.core.replica_set
     assert len(replica_set.replicas) < 50 and len(replica_set.identifiers._replica_numbers) < 50
     assert replica_set.ready_count == 3
 
@@ -43,22 +43,22 @@
 
 def test_a_younger_replica_at_an_address_removes_the_older_one() -> None:
     """Discovery detects a failed machine late: with both listed, the newer would get twice its load."""
-    world = World()
+    harness = CoreHarness()
     successor = ListedReplica(
-        "successor", ReplicaState.READY, ("127.0.0.1", 5000), "z", boot_ms=world.time // MILLISECOND - 100
+        "successor", ReplicaState.READY, ("127.0.0.1", 5000), "z", boot_ms=harness.time // MILLISECOND - 100
     )
-    world.core.endpoint_list_changed(ReplicaListUpdate(2, False, (successor,)))
-    assert [replica.uid for replica in world.idle_closed] == ["w0"]
+    harness.core.endpoint_list_changed(ReplicaListUpdate(2, False, (successor,)))
+    assert [replica.uid for replica in harness.idle_closed] == ["w0"]
     for _ in range(8):
-        world.submit()
-    assert "w0" not in {attempt.replica.uid for attempt in world.started}
+        harness.submit()
+    assert "w0" not in {attempt.replica.uid for attempt in harness.started}
     both = tuple(ListedReplica(f"w{i}", ReplicaState.READY, ("127.0.0.1", 5000 + i), "z") for i in range(2))
-    world.core.endpoint_list_changed(
+    harness.core.endpoint_list_changed(
         ReplicaListUpdate(3, True, (successor, *both))
     )  # the older one is listed again, and stays removed
     assert {
         replica.uid
-        for replica in world.core.replica_set.replicas.values()
+        for replica in harness.core.replica_set.replicas.values()
         if replica.state == ReplicaState.READY
     } == {
         "successor",
@@ -67,22 +67,22 @@
 
 
 def test_a_draining_replica_gets_no_new_attempts_and_its_idle_connections_close() -> None:
-    world = World()
+    harness = CoreHarness()
     draining = ListedReplica("w0", ReplicaState.DRAINING, ("127.0.0.1", 5000), "z")
-    world.core.endpoint_list_changed(ReplicaListUpdate(2, False, (draining,)))
-    assert [replica.uid for replica in world.idle_closed] == ["w0"]
+    harness.core.endpoint_list_changed(ReplicaListUpdate(2, False, (draining,)))
+    assert [replica.uid for replica in harness.idle_closed] == ["w0"]
     for _ in range(6):
-        world.submit()
-    assert {attempt.replica.uid for attempt in world.started} == {"w1"}
+        harness.submit()
+    assert {attempt.replica.uid for attempt in harness.started} == {"w1"}
 
 
 def test_a_full_list_removes_replicas_that_it_does_not_name() -> None:
-    world = World()
-    world.core.endpoint_list_changed(
+    harness = CoreHarness()
+    harness.core.endpoint_list_changed(
         ReplicaListUpdate(3, True, (ListedReplica("w1", ReplicaState.READY, ("127.0.0.1", 9), "z"),))
     )
-    assert {replica.uid: replica.state for replica in world.core.replica_set.replicas.values()} == {
+    assert {replica.uid: replica.state for replica in harness.core.replica_set.replicas.values()} == {
         "w0": ReplicaState.REMOVED,
         "w1": ReplicaState.READY,
     }
-    assert {replica.uid for replica in world.idle_closed} == {"w0", "w1"}  # w1 has moved
+    assert {replica.uid for replica in harness.idle_closed} == {"w0", "w1"}  # w1 has moved
--- a/tests/core/test_send_permission.py
+++ b/tests/core/test_send_permission.py
@@ -11,47 +11,47 @@
 from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate
 from lockspoke.core.requests import ClientRequest, SendPermission
 from lockspoke.units import MILLISECOND, SECOND
-from tests.core.world import World, idempotent_with_key
+from tests.core.harness import CoreHarness, idempotent_with_key
 
 
-def client_disconnects(world: World, request: ClientRequest) -> None:
-    world.core.client_disconnected(request)
+def client_disconnects(harness: CoreHarness, request: ClientRequest) -> None:
+    harness.core.client_disconnected(request)
 
 
-def replica_drains(world: World, request: ClientRequest) -> None:
+def replica_drains(harness: CoreHarness, request: ClientRequest) -> None:
     uid = request.attempts[0].replica.uid
-    world.core.endpoint_list_changed(
+    harness.core.endpoint_list_changed(
         ReplicaListUpdate(2, False, (ListedReplica(uid, ReplicaState.DRAINING, ("127.0.0.1", 5000), "z"),))
     )
 
 
-def replica_restarts(world: World, request: ClientRequest) -> None:
+def replica_restarts(harness: CoreHarness, request: ClientRequest) -> None:
     uid, endpoint = request.attempts[0].replica.uid, request.attempts[0].replica.endpoint
-    world.core.endpoint_list_changed(
+    harness.core.endpoint_list_changed(
         ReplicaListUpdate(2, False, (ListedReplica(uid, ReplicaState.READY, endpoint, "z", boot_ms=10**6),))
     )
 
 
-def replica_is_banned(world: World, request: ClientRequest) -> None:
-    assert world.core.set_banned(request.attempts[0].replica.uid, True)
+def replica_is_banned(harness: CoreHarness, request: ClientRequest) -> None:
+    assert harness.core.set_banned(request.attempts[0].replica.uid, True)
 
 
 @pytest.mark.parametrize("change", [client_disconnects, replica_drains, replica_restarts, replica_is_banned])
 def test_change_while_connecting_prevents_sending(
-    change: Callable[[World, ClientRequest], None],
+    change: Callable[[CoreHarness, ClientRequest], None],
 ) -> None:
     """Regression: attempts were sent after their client had disconnected, and to draining replicas."""
-    world = World()
-    world.connects_at_once = False
-    request, _ = world.submit()
-    attempt = world.started[0]
-    change(world, request)
+    harness = CoreHarness()
+    harness.connects_at_once = False
+    request, _ = harness.submit()
+    attempt = harness.started[0]
+    change(harness, request)
     assert attempt.outcome is None
     assert attempt.permission_to_send() is SendPermission.ENDED and attempt.outcome is Outcome.NEVER_SENT
     # If the client is still waiting, the request is retried at another replica immediately.
-    others = [other.replica for other in world.started[1:]]
+    others = [other.replica for other in harness.started[1:]]
     assert len(others) == (change is not client_disconnects) and attempt.replica not in others
-    assert bool(world.core.requests) == (change is not client_disconnects)
+    assert bool(harness.core.requests) == (change is not client_disconnects)
 
 
 def test_retry_is_not_sent_after_its_deduplication_window() -> None:
@@ -59,34 +59,34 @@
 
     After the window, the replica does not recognise the duplicate and runs it again.
     """
-    world = World(classes=(idempotent_with_key(window=SECOND),))
-    world.submit()
-    world.connects_at_once = False
-    world.pass_time(SECOND - 60 * MILLISECOND)
-    world.started[0].end(Outcome.RESET)
-    retry = world.started[1]
+    harness = CoreHarness(classes=(idempotent_with_key(window=SECOND),))
+    harness.submit()
+    harness.connects_at_once = False
+    harness.pass_time(SECOND - 60 * MILLISECOND)
+    harness.started[0].end(Outcome.RESET)
+    retry = harness.started[1]
     assert retry.start_by == retry.started_at + 60 * MILLISECOND
-    world.pass_time(60 * MILLISECOND)
+    harness.pass_time(60 * MILLISECOND)
     assert retry.permission_to_send() is SendPermission.ENDED and retry.outcome is Outcome.NEVER_SENT
 
 
 def test_deadline_while_connecting_ends_the_attempt_as_never_sent() -> None:
     """Regression: the attempt counted as possibly run, so the request was failed instead of rejected."""
-    world = World(classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
-    world.connects_at_once = False
-    _, response = world.submit()
-    world.pass_time(4 * SECOND)
-    assert world.started[0].outcome is Outcome.NEVER_SENT and response.written == ["rejected"]
+    harness = CoreHarness(classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
+    harness.connects_at_once = False
+    _, response = harness.submit()
+    harness.pass_time(4 * SECOND)
+    assert harness.started[0].outcome is Outcome.NEVER_SENT and response.written == ["rejected"]
 
 
 def test_attempt_waits_while_input_of_discovery_or_its_client_is_unread() -> None:
-    world = World()
-    world.connects_at_once = False
-    _, response = world.submit()
-    (attempt,) = world.started
-    world.has_unread_changes = True
+    harness = CoreHarness()
+    harness.connects_at_once = False
+    _, response = harness.submit()
+    (attempt,) = harness.started
+    harness.has_unread_changes = True
     assert attempt.permission_to_send() is SendPermission.CHECK_AGAIN
-    world.has_unread_changes, response.has_unread_input = False, True
+    harness.has_unread_changes, response.has_unread_input = False, True
     assert attempt.permission_to_send() is SendPermission.CHECK_AGAIN and attempt.outcome is None
     response.has_unread_input = False
     assert attempt.permission_to_send() is SendPermission.GRANTED
--- a/tests/wire/clients/test_connection.py
+++ b/tests/wire/clients/test_connection.py
@@ -16,7 +16,7 @@
 from lockspoke.wire.clients import connection as client_connection
 from lockspoke.wire.clients.connection import ClientConnection
 from lockspoke.wire.clients.front import ClientFront
-from tests.core.world import World
+from tests.core.harness import CoreHarness
 from tests.standins import EVENTS, request_bytes, until
 
 BODY = b"x" * 5000
@@ -27,9 +27,9 @@
 class ConnectedClient:
     """A client socket, the gateway's side of its connection, and the front that serves it."""
 
-    def __init__(self, front: ClientFront, world: World) -> None:
+    def __init__(self, front: ClientFront, core_harness: CoreHarness) -> None:
         self.front = front
-        self.world = world
+        self.core_harness = core_harness
         self.socket, served = socket.socketpair()
         self.socket.setblocking(False)
         served.setblocking(False)
@@ -62,8 +62,10 @@
 
 def new_client() -> ConnectedClient:
     """Return a client that is connected to a new front."""
-    world = World()
-    return ConnectedClient(ClientFront(world.core, {"docs": 0}, 8, 48_000_000, lambda: True), world)
+    core_harness = CoreHarness()
+    return ConnectedClient(
+        ClientFront(core_harness.core, {"docs": 0}, 8, 48_000_000, lambda: True), core_harness
+    )
 
 
 def run_with_client(test: Callable[[ConnectedClient], Awaitable[None]]) -> None:
@@ -78,27 +80,27 @@
 
     async def completed(client: ConnectedClient) -> None:
         client.send(request_bytes(1, body=BODY))
-        await until(lambda: bool(client.world.started))
+        await until(lambda: bool(client.core_harness.started))
         assert client.front.buffered_bytes == len(BODY)
-        client.world.started[0].stream_received(EVENTS[0])
-        client.world.started[0].end(Outcome.OK)
+        client.core_harness.started[0].stream_received(EVENTS[0])
+        client.core_harness.started[0].end(Outcome.OK)
         assert client.front.buffered_bytes == 0
         await client.disconnect()
 
     async def disconnected(client: ConnectedClient) -> None:
         client.send(request_bytes(1, body=BODY))
-        await until(lambda: bool(client.world.started))
+        await until(lambda: bool(client.core_harness.started))
         await client.disconnect()
         assert (
             client.front.buffered_bytes == 0
-            and client.world.core.totals.request_outcomes[RequestOutcome.CLIENT_DISCONNECTED] == 1
+            and client.core_harness.core.totals.request_outcomes[RequestOutcome.CLIENT_DISCONNECTED] == 1
         )
 
     async def incomplete(client: ConnectedClient) -> None:
         client.send(request_bytes(1, body=BODY)[:-10])
         await until(lambda: client.front.buffered_bytes == len(BODY) - 10)
         await client.disconnect()
-        assert client.front.buffered_bytes == 0 and not client.world.started
+        assert client.front.buffered_bytes == 0 and not client.core_harness.started
 
     for test in (completed, disconnected, incomplete):
         run_with_client(test)
@@ -111,7 +113,7 @@
         response = await client.read_until(b"held\n")
         assert response.startswith(b"HTTP/1.1 503 ") and b"Retry-After: 1.000" in response
         await client.disconnect()
-        assert client.front.buffered_bytes == 0 and not client.world.started
+        assert client.front.buffered_bytes == 0 and not client.core_harness.started
 
     run_with_client(test)
 
@@ -133,9 +135,9 @@
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def test(client: ConnectedClient) -> None:
         client.send(request_bytes(1) + READINESS_CHECK)
-        await until(lambda: bool(client.world.started) and bool(client.connection.pipelined))
-        client.world.started[0].stream_received(EVENTS[0])
-        client.world.started[0].end(Outcome.OK)
+        await until(lambda: bool(client.core_harness.started) and bool(client.connection.pipelined))
+        client.core_harness.started[0].stream_received(EVENTS[0])
+        client.core_harness.started[0].end(Outcome.OK)
         response = await client.read_until(b"ready\n")
         assert response.index(EVENTS[0]) < response.index(b"0\r\n\r\n") < response.index(b"ready\n")
 
@@ -148,9 +150,9 @@
     async def pipelined(client: ConnectedClient) -> None:
         client.send(b"".join(request_bytes(number) for number in range(1, 200)))
         for number in range(client_connection.MAX_PIPELINED_REQUESTS):
-            await until(lambda number=number: len(client.world.started) == number + 1)  # type: ignore[misc]  # mypy infers no lambda with a default
-            client.world.started[number].stream_received(EVENTS[0])
-            client.world.started[number].end(Outcome.OK)
+            await until(lambda number=number: len(client.core_harness.started) == number + 1)  # type: ignore[misc]  # mypy infers no lambda with a default
+            client.core_harness.started[number].stream_received(EVENTS[0])
+            client.core_harness.started[number].end(Outcome.OK)
         response = await client.read_until(b"ahead\n")
         assert response.count(EVENTS[0]) == client_connection.MAX_PIPELINED_REQUESTS
         assert b"HTTP/1.1 503 " in response
@@ -162,9 +164,9 @@
         for _ in range(20):
             client.send(b"noise\r\n\r\n")
             await asyncio.sleep(0)
-        await until(lambda: bool(client.world.started))
-        client.world.started[0].stream_received(EVENTS[0])
-        client.world.started[0].end(Outcome.OK)
+        await until(lambda: bool(client.core_harness.started))
+        client.core_harness.started[0].stream_received(EVENTS[0])
+        client.core_harness.started[0].end(Outcome.OK)
         response = await client.read_until(b"an error\n")
         assert EVENTS[0] in response and response.count(b"HTTP/1.1 400 ") == 1
         await client.disconnect()
@@ -176,14 +178,14 @@
 def test_duplicate_request_id_is_rejected_until_the_response_ends() -> None:
     async def test(client: ConnectedClient) -> None:
         client.send(request_bytes(1))
-        await until(lambda: bool(client.world.started))
-        first, other = client.socket, ConnectedClient(client.front, client.world)
+        await until(lambda: bool(client.core_harness.started))
+        first, other = client.socket, ConnectedClient(client.front, client.core_harness)
         other.send(request_bytes(1))
         assert b"HTTP/1.1 409 " in await other.read_until(b"in use\n")
-        client.world.started[0].stream_received(EVENTS[0])
-        client.world.started[0].end(Outcome.OK)
+        client.core_harness.started[0].stream_received(EVENTS[0])
+        client.core_harness.started[0].end(Outcome.OK)
         other.send(request_bytes(1))
-        await until(lambda: len(client.world.started) == 2)
+        await until(lambda: len(client.core_harness.started) == 2)
         assert client.socket is first
         await other.disconnect()
         await client.disconnect()
@@ -229,10 +231,10 @@
 def test_http_1_0_client_gets_its_stream_without_chunks() -> None:
     async def test(client: ConnectedClient) -> None:
         client.send(request_bytes(1).replace(b"HTTP/1.1", b"HTTP/1.0").replace(b"Host: origin.svc\r\n", b""))
-        await until(lambda: bool(client.world.started))
-        assert client.world.started[0].request.headers["host"] == "origin.svc"
-        client.world.started[0].stream_received(EVENTS[0])
-        client.world.started[0].end(Outcome.OK)
+        await until(lambda: bool(client.core_harness.started))
+        assert client.core_harness.started[0].request.headers["host"] == "origin.svc"
+        client.core_harness.started[0].stream_received(EVENTS[0])
+        client.core_harness.started[0].end(Outcome.OK)
         response = await client.read_until(EVENTS[0])
         assert b"chunked" not in response and response.endswith(b"\r\n\r\n" + EVENTS[0])
         await client.expect_close()
@@ -247,7 +249,7 @@
         lease_is_valid = True
         client.connection.lease_is_valid = lambda: lease_is_valid
         client.send(request_bytes(1))
-        await until(lambda: client.world.core.totals.requests == 1)
+        await until(lambda: client.core_harness.core.totals.requests == 1)
         request = client.connection.open_request
         assert request is not None
         request.response.reject(0)
@@ -257,7 +259,7 @@
         response = await client.read_until(b"the address has moved")
         assert response.startswith(b"HTTP/1.1 503") and b"Retry-After: 0.050" in response
         assert b"Connection: close" in response
-        assert client.world.core.totals.requests == 1
+        assert client.core_harness.core.totals.requests == 1
         await client.expect_close()
 
     run_with_client(test)
@@ -272,9 +274,9 @@
         for index, tenant in enumerate(tenants):
             header: dict[str, Any] = {"Req-Owner": tenant}
             client.send(request_bytes(index + 1, **header))
-            await until(lambda index=index: len(client.world.started) > index)  # type: ignore[misc]  # mypy infers no lambda with a default
-            attempt = client.world.started[index]
-            event = client.world.core.balancer.requests[attempt.request.number].arrived
+            await until(lambda index=index: len(client.core_harness.started) > index)  # type: ignore[misc]  # mypy infers no lambda with a default
+            attempt = client.core_harness.started[index]
+            event = client.core_harness.core.balancer.requests[attempt.request.number].arrived
             assert event.tenant == {"south": 1}.get(tenant, 0)
             attempt.stream_received(b"data: x\n\n")
             attempt.end(Outcome.OK)
