--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -36,7 +36,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Its process and address."""
+        """The replica's process and address."""
         return Incarnation(self.endpoint, self.boot_ms)
 
 
@@ -65,7 +65,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """Its process and address."""
+        """The replica's process and address."""
         return Incarnation(self.endpoint, self.boot_ms)
 
 
@@ -140,7 +140,7 @@
                 listed_endpoints[replica.endpoint] = None
         if update.complete:
             self._remove_unlisted(update.unreadable, entries, to_disconnect)
-        for replica in self._superseded(listed_endpoints):
+        for replica in self._find_superseded(listed_endpoints):
             self._remove(replica)
             entries[replica.number] = EndpointListEntry(replica.number, ReplicaState.REMOVED)
             to_disconnect.append(replica)
@@ -177,7 +177,7 @@
             self._remove(replica)
             to_disconnect.append(replica)
 
-    def _superseded(self, endpoints: Iterable[tuple[str, int]]) -> list[Replica]:
+    def _find_superseded(self, endpoints: Iterable[tuple[str, int]]) -> list[Replica]:
         """Return the replicas at these addresses that are older than another replica at the same address.
 
         The process of such a replica has ended, but discovery has not detected it yet. Requests to it would
--- a/lockspoke/core/requests.py
+++ b/lockspoke/core/requests.py
@@ -20,7 +20,7 @@
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """A client's request, from any front."""
+    """A request that a client sent to any of the fronts."""
 
     response: ResponseWriter
     request_class: int
@@ -30,14 +30,14 @@
     target: str
     headers: Mapping[str, str]  # forwarded to the replica
     body: bytes
-    tenant: int = 0  # index in the settings; 0 also where there are none
+    tenant: int = 0  # index in the settings; 0 if they name no tenants
     session: int = 0
     prefix: int = 0
     prompt_tokens: float = 0.0
     prefix_tokens: float = 0.0
     max_tokens: float = 0.0
     client_retry: bool = False
-    arrived_at: int = 0  # when its last byte arrived; 0: when it is submitted
+    arrived_at: int = 0  # when its last byte arrived; 0: the time of submission is used
     background: bool = False  # batch work without a waiting client; interactive requests take precedence
     # Set by the core:
     number: int = 0
@@ -108,7 +108,7 @@
     """One attempt of a request at one replica."""
 
     request: ClientRequest
-    index: int  # in the request's list of attempts
+    index: int  # position in `request.attempts`
     replica: Replica
     started_at: int
     deadline: int
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -65,7 +65,7 @@
         self.started: list[Attempt] = []
         self.cancelled: list[Attempt] = []
         self.idle_closed: list[Replica] = []  # replicas whose idle connections were closed
-        self.watches: list[bool] = []
+        self.watch_calls: list[bool] = []
         self.connects_at_once = True  # whether each attempt requests permission to send when it starts
         self.has_unread_changes = False
         self.unread_responses: set[Attempt] = set()
@@ -90,7 +90,7 @@
         self.timers.append((self.time + delay, callback))
         return FakeTimerHandle(self.timers, self.timers[-1])
 
-    def pass_time(self, duration: int) -> None:
+    def advance_time(self, duration: int) -> None:
         """Advance the clock, and call the timers that become due."""
         end = self.time + duration
         while self.timers and min(when for when, _ in self.timers) <= end:
@@ -119,7 +119,7 @@
     # Discovery
 
     def watch(self, enable: bool) -> None:
-        self.watches.append(enable)
+        self.watch_calls.append(enable)
 
     # Clients
 
--- a/tests/core/test_attempt_lifecycle.py
+++ b/tests/core/test_attempt_lifecycle.py
@@ -21,7 +21,7 @@
     (_, silent), (_, streaming) = harness.submit(), harness.submit()
     harness.started[1].stream_received(b"a")
     for _ in range(5):  # a stream that has started has no deadline
-        harness.pass_time(SECOND)
+        harness.advance_time(SECOND)
         harness.started[1].stream_received(b"b")
     assert silent.written == ["failed"] and harness.cancelled == [harness.started[0]]
     assert harness.started[0].outcome is Outcome.TIMEOUT
--- a/tests/core/test_endpoint_list.py
+++ b/tests/core/test_endpoint_list.py
@@ -14,27 +14,27 @@
     """Regression: the ban counted as the response to the poll, and discovery was never polled again."""
     harness = CoreHarness(polls_endpoint_list=True)
     harness.core.endpoint_list_failed()
-    harness.watches.clear()
+    harness.watch_calls.clear()
     assert harness.core.set_banned("w0", True)
-    harness.pass_time(SECOND)
-    assert harness.watches == [True]
+    harness.advance_time(SECOND)
+    assert harness.watch_calls == [True]
 
 
 def test_the_balancer_polls_the_list_again_after_a_failure() -> None:
     harness = CoreHarness(polls_endpoint_list=True)
-    assert harness.watches == [True]
+    assert harness.watch_calls == [True]
     harness.core.endpoint_list_failed()
-    harness.pass_time(2000 * MILLISECOND)
-    assert harness.watches == [True, True]
+    harness.advance_time(2000 * MILLISECOND)
+    assert harness.watch_calls == [True, True]
 
 
 def test_list_is_watched_if_the_balancer_does_not_poll_it() -> None:
     harness = CoreHarness()
     harness.core.start()
-    assert harness.watches == [True]
+    assert harness.watch_calls == [True]
     harness.core.endpoint_list_failed()
-    harness.pass_time(2 * SECOND)
-    assert harness.watches == [True, True]
+    harness.advance_time(2 * SECOND)
+    assert harness.watch_calls == [True, True]
 
 
 def drain(harness: CoreHarness, replica: Replica) -> None:
@@ -47,7 +47,7 @@
     harness = CoreHarness()
     harness.submit()
     used = harness.started[0].replica
-    harness.pass_time(300 * MILLISECOND)
+    harness.advance_time(300 * MILLISECOND)
     with capture_logs() as lines:
         drain(harness, used)
     (line,) = [line for line in lines if line["event"] == "replicas_left_service"]
--- a/tests/core/test_request_lifecycle.py
+++ b/tests/core/test_request_lifecycle.py
@@ -26,7 +26,7 @@
     _, response = harness.submit()
     harness.started[0].stream_received(b"a")
     harness.started[0].end(Outcome.RESET)
-    harness.pass_time(10 * SECOND)
+    harness.advance_time(10 * SECOND)
     assert response.written == [b"a", "aborted"]
     assert len(harness.started) == 1
 
@@ -60,7 +60,7 @@
     harness.core.client_disconnected(request)
     attempt = harness.started[0]
     attempt.stream_received(b"a")
-    harness.pass_time(2 * SECOND)
+    harness.advance_time(2 * SECOND)
     assert response.written == [] and attempt.outcome is None and harness.core.requests
     attempt.end(Outcome.OK)
     assert response.written == [] and not harness.core.requests
--- a/tests/core/test_send_permission.py
+++ b/tests/core/test_send_permission.py
@@ -62,11 +62,11 @@
     harness = CoreHarness(classes=(idempotent_with_key(window=SECOND),))
     harness.submit()
     harness.connects_at_once = False
-    harness.pass_time(SECOND - 60 * MILLISECOND)
+    harness.advance_time(SECOND - 60 * MILLISECOND)
     harness.started[0].end(Outcome.RESET)
     retry = harness.started[1]
     assert retry.start_by == retry.started_at + 60 * MILLISECOND
-    harness.pass_time(60 * MILLISECOND)
+    harness.advance_time(60 * MILLISECOND)
     assert retry.permission_to_send() is SendPermission.ENDED and retry.outcome is Outcome.NEVER_SENT
 
 
@@ -75,7 +75,7 @@
     harness = CoreHarness(classes=(RequestClass(idempotency=Idempotency.NOT_IDEMPOTENT),))
     harness.connects_at_once = False
     _, response = harness.submit()
-    harness.pass_time(4 * SECOND)
+    harness.advance_time(4 * SECOND)
     assert harness.started[0].outcome is Outcome.NEVER_SENT and response.written == ["rejected"]
 
 
--- a/tests/core/test_stream_supervision.py
+++ b/tests/core/test_stream_supervision.py
@@ -18,9 +18,9 @@
     harness.core.start()
     _, response = harness.submit()
     harness.started[0].stream_received(b"a")
-    harness.pass_time(MAX_STREAM_SILENCE - CHECK_INTERVAL)
+    harness.advance_time(MAX_STREAM_SILENCE - CHECK_INTERVAL)
     assert response.written == [b"a"]
-    harness.pass_time(3 * CHECK_INTERVAL)
+    harness.advance_time(3 * CHECK_INTERVAL)
     assert response.written == [b"a", "aborted"] and harness.cancelled == [harness.started[0]]
 
 
@@ -31,12 +31,12 @@
         _, response = harness.submit()
         response.pending_write = asyncio.get_running_loop().create_future()
         paused = harness.started[0].stream_received(b"a")
-        harness.pass_time(2 * MAX_STREAM_SILENCE)
+        harness.advance_time(2 * MAX_STREAM_SILENCE)
         assert response.written == [b"a"] and paused is not None and not paused.done()
         response.pending_write.set_result(None)
         await asyncio.sleep(0)
         assert paused.done()
-        harness.pass_time(MAX_STREAM_SILENCE // 2)
+        harness.advance_time(MAX_STREAM_SILENCE // 2)
         assert response.written == [b"a"]
 
     asyncio.run(scenario())
@@ -51,7 +51,7 @@
 
     monkeypatch.setattr(harness.core.balancer, "handle", fail)
     _, response = harness.submit(seconds=1)
-    harness.pass_time(SECOND + OVERDUE_GRACE + 2 * CHECK_INTERVAL)
+    harness.advance_time(SECOND + OVERDUE_GRACE + 2 * CHECK_INTERVAL)
     assert response.written == ["failed"] and not harness.core.requests
 
 
@@ -60,8 +60,8 @@
     harness = CoreHarness()
     harness.core.start()
     _, response = harness.submit(seconds=1.1)
-    harness.pass_time(int(0.99 * SECOND))
+    harness.advance_time(int(0.99 * SECOND))
     harness.time += int(0.21 * SECOND)
-    harness.pass_time(0)
+    harness.advance_time(0)
     assert len(response.written) == 1
     assert not harness.core.totals.request_outcomes[RequestOutcome.OVERDUE]
