--- a/lockspoke/balancing/admission.py
+++ b/lockspoke/balancing/admission.py
@@ -17,10 +17,10 @@
 # A tenant is over its quota if its usage, relative to the quota, exceeds the tenants' mean by this factor.
 OVER_QUOTA_FACTOR = 1.5
 MIN_QUOTA = 1e-9
-# Requests of a prompt length are preferred while the share of them that gets sent is below this fraction of
-# the share of all requests.
+# A band of prompt lengths gets less than its fair share, and its requests go first, if the fraction of them
+# that is sent is lower than this multiple of the fraction of all requests that is sent.
 FAIR_SHARE = 0.6
-FAIRNESS_HALF_LIFE = 30 * SECOND  # With this, a burst of a few seconds hardly changes the order.
+FAIRNESS_HALF_LIFE = 30 * SECOND  # Long enough that a burst of a few seconds hardly changes the order.
 
 
 class QueuePosition(NamedTuple):
@@ -41,15 +41,15 @@
         self.waiting: dict[int, TrackedRequest] = {}  # Keyed by request number.
         self.prompt_bands = PromptBands(FAIRNESS_HALF_LIFE)
         # Recently sent work relative to the quota, indexed by tenant.
-        self._tenant_usage = _usage_of_tenants(settings)
+        self._tenant_usage = _empty_tenant_usage(settings)
 
     def reconfigure(self, settings: BalancerSettings) -> None:
         """Switch to new settings; the recorded usage of all tenants is reset."""
         self.settings = settings
-        self._tenant_usage = _usage_of_tenants(settings)
+        self._tenant_usage = _empty_tenant_usage(settings)
 
     def record_sent(self, now: int, request: TrackedRequest, work: float) -> None:
-        """Count an attempt against its tenant's quota, and a first attempt in the share sent by length."""
+        """Count an attempt in its tenant's usage; count a first attempt in its band of prompt lengths."""
         if self._tenant_usage:
             tenant = self._tenant_of(request)
             quota = max(self.settings.tenants[tenant].quota, MIN_QUOTA)
@@ -58,7 +58,7 @@
             self.prompt_bands.record(now, request.arrived.prompt_tokens, sent=True)
 
     def record_answered(self, now: int, request: TrackedRequest) -> None:
-        """Count a request that the gateway itself answered; those sent at least once are already counted."""
+        """Count a request that the gateway answered as not sent, unless an attempt of it was sent before."""
         if not request.attempts:
             self.prompt_bands.record(now, request.arrived.prompt_tokens, sent=False)
 
@@ -94,12 +94,16 @@
         return min(request.arrived.tenant, len(self._tenant_usage) - 1)
 
 
-def _usage_of_tenants(settings: BalancerSettings) -> list[DecayingSum]:
+def _empty_tenant_usage(settings: BalancerSettings) -> list[DecayingSum]:
     return [DecayingSum(TENANT_USAGE_HALF_LIFE) for _ in settings.tenants]
 
 
 def _misses_objective(now: int, request: TrackedRequest) -> bool:
-    """Whether the latency objective cannot be met: for a client's retry, or with too little time left."""
+    """Whether the latency objective is out of reach.
+
+    That is so for a client's retry, for a request that has already waited longer than the objective, and for
+    one whose client gave it less time than the objective.
+    """
     arrived = request.arrived
     waited = now - request.arrived_at
     return arrived.client_retry or not waited <= request.latency_objective <= arrived.time_remaining
--- a/lockspoke/balancing/breaker.py
+++ b/lockspoke/balancing/breaker.py
@@ -77,7 +77,10 @@
         return self.trial
 
     def record_success(self, trial: Trial | None = None) -> None:
-        """Count a first token, or an answer without one; if not closed, only the current trial's counts."""
+        """Count a first token, or an answer without one.
+
+        If the breaker is not closed, only a success of the current trial counts.
+        """
         if self.state is BreakerState.CLOSED:
             self.failures = 0
         elif trial is not None and trial is self.trial:
--- a/lockspoke/balancing/concurrency_control.py
+++ b/lockspoke/balancing/concurrency_control.py
@@ -13,12 +13,12 @@
 from .settings import BalancerSettings
 from .tracked import TrackedAttempt
 
-# Latencies are compared with these shares of the latency objective. A first token is timely up to the first;
-# a later one is a sign of overload, unless it is within the second and a load report shows free capacity.
+# A first token is timely if it comes within `TIMELY_SHARE` of the latency objective. A later one is a sign of
+# overload, unless it comes within `TOLERATED_SHARE` and a load report shows free capacity.
 TIMELY_SHARE = 0.2
 TOLERATED_SHARE = 0.5
-# A timely first token raises a limit by this amount, divided by the number of gateways. It is small because
-# the effect of more load shows only after a delay.
+# A timely first token raises a limit by this many requests, divided by the number of gateways. It is small
+# because the effect of more load shows only after a delay.
 LIMIT_INCREASE = 0.75
 # The increase is not divided by more gateways than this, or limits would take minutes to rise.
 MAX_GATEWAYS_FOR_INCREASE = 16
@@ -44,17 +44,17 @@
         timely = objective_share <= TIMELY_SHARE
         tolerated = not timely and objective_share <= TOLERATED_SHARE and not is_overload
         if tolerated and self._has_reported_capacity(now, attempt):
-            return  # The replica was reading an uncached prompt, or a long one before it.
+            return  # The replica was reading an uncached prompt, or was busy with an earlier long one.
         if not is_overload:
             self._late_share += ((not timely) - self._late_share) / LATE_SHARE_SAMPLES
-        replica = attempt.replica.concurrency
+        replica_limit = attempt.replica.concurrency
         if timely:
             step = LIMIT_INCREASE / min(self.settings.gateway_count, MAX_GATEWAYS_FOR_INCREASE)
-            replica.increase(step)
+            replica_limit.increase(step)
             self.gateway.increase(step)
             return
-        if attempt.sent_at >= replica.lowered_at:
-            replica.decrease(now)
+        if attempt.sent_at >= replica_limit.lowered_at:
+            replica_limit.decrease(now)
         if (
             not is_overload
             and self._late_share > SHARED_OVERLOAD_THRESHOLD
--- a/lockspoke/balancing/discovery_polling.py
+++ b/lockspoke/balancing/discovery_polling.py
@@ -14,11 +14,11 @@
 
 # When all gateways start at once, the first polls of consecutive gateways are this far apart.
 POLL_SPACING = SECOND // 12
-RETRY_BACKOFF = SECOND // 2  # The backoff after a failed poll, and the minimum of the jitter added to it.
-# A gateway must know of a change 6 s after its publication, and a poll may take 1.5 s of these.
-LONGEST_START_DELAY = 9 * SECOND // 2
+RETRY_BACKOFF = SECOND // 2  # The backoff after a failed poll; also the minimum range of the added jitter.
+# A gateway must know of a change within 6 s of its publication; the poll itself may take 1.5 s of the 6 s.
+MAX_FIRST_POLL_DELAY = 9 * SECOND // 2
 # After a failure, a poll on a new connection may take 2.5 s of the 6 s.
-LONGEST_RETRY_DELAY = 7 * SECOND // 2
+MAX_RETRY_DELAY = 7 * SECOND // 2
 
 
 class DiscoveryPolling:
@@ -30,7 +30,7 @@
         self._rng = rng
 
     def record_poll_result(self, now: int, kind: EndpointListKind) -> None:
-        """Schedule the poll that follows a result; after a list that discovery itself sent there is none."""
+        """Schedule another poll after a failure or a cached list; after any other list, none is needed."""
         if kind is EndpointListKind.FAILED:
             self.next_poll_at = now + self._retry_delay()
         elif kind is EndpointListKind.CACHED:
@@ -50,13 +50,13 @@
     def _spacing(self) -> int:
         gateways = self.settings.gateway_count
         return min(
-            POLL_SPACING, LONGEST_START_DELAY // gateways, self.settings.poll_interval // (2 * gateways)
+            POLL_SPACING, MAX_FIRST_POLL_DELAY // gateways, self.settings.poll_interval // (2 * gateways)
         )
 
     def _retry_delay(self) -> int:
         """Return a backoff with jitter: gateways whose polls failed together must not retry together."""
         backoff = min(RETRY_BACKOFF, self.settings.poll_interval // 4)
-        jitter = min(
-            max(self._spacing() * self.settings.gateway_count, backoff), LONGEST_RETRY_DELAY - backoff
+        max_jitter = min(
+            max(self._spacing() * self.settings.gateway_count, backoff), MAX_RETRY_DELAY - backoff
         )
-        return backoff + int(self._rng.random() * jitter)
+        return backoff + int(self._rng.random() * max_jitter)
--- a/lockspoke/balancing/events.py
+++ b/lockspoke/balancing/events.py
@@ -54,7 +54,7 @@
     zone: int = 0
     cell: int = 0  # The number of the replica's cell; see `DeduplicationScope.CELL`.
     weight: float = 1.0  # The capacity relative to other replicas.
-    started_at: int = 0  # When the process started; 0 means so long ago that it is warm.
+    started_at: int = 0  # When the process started; 0 means long ago: slow start is over.
     machine_kind: int = 0  # Machines of the same kind have about equal capacity.
 
 
--- a/lockspoke/balancing/moving_statistics.py
+++ b/lockspoke/balancing/moving_statistics.py
@@ -10,7 +10,7 @@
 
 from lockspoke.units import SECOND
 
-# The weights of observations double with each half-life; after this many, the current weight is reset to one.
+# The weight of new requests doubles with each half-life; after this many half-lives it is reset to one.
 MAX_AGE_IN_HALF_LIVES = 300
 NEGLIGIBLE_COUNT = 1e-9  # When weights are reset, bands with fewer requests than this are dropped.
 ALL_LENGTHS = -1  # The band in which every request is counted.
@@ -63,9 +63,9 @@
         self._latest.append(key)
         self._counts[key] += 1
 
-    def share(self, key: int, at_least: int) -> float:
-        """Return the key's share of the latest requests, taken of at least `at_least` requests."""
-        return self._counts[key] / max(at_least, len(self._latest))
+    def share(self, key: int, min_requests: int) -> float:
+        """Return the key's share of the latest requests; fewer than `min_requests` count as that many."""
+        return self._counts[key] / max(min_requests, len(self._latest))
 
 
 class PromptBands:
--- a/lockspoke/balancing/settings.py
+++ b/lockspoke/balancing/settings.py
@@ -31,7 +31,7 @@
     deduplication_scope: DeduplicationScope = DeduplicationScope.ALL
     deduplication_window: int = 0  # How long replicas remember a key after the first attempt.
     latency_objective: int = 1_000_000_000  # From the arrival to the first token.
-    latency_objective_per_token: float = 0.0  # Added to it for each prompt token.
+    latency_objective_per_token: float = 0.0  # Added to `latency_objective` for each prompt token.
 
 
 @dataclass(frozen=True, slots=True)
--- a/lockspoke/balancing/settings_reader.py
+++ b/lockspoke/balancing/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads balancer settings from a parsed JSON document, as the gateway's configuration file holds it.
+"""Reads balancer settings from a parsed JSON document, such as the gateway's configuration file.
 
 Keys are given by their path, as in `limits.attemptsCap`. Unknown keys are ignored.
 """
@@ -11,12 +11,12 @@
 
 from .settings import BalancerSettings, DeduplicationScope, Idempotency, RequestClass, Tenant
 
-IDEMPOTENCY_BY_KEY = {
+IDEMPOTENCY_BY_SETTING = {
     "free": Idempotency.IDEMPOTENT,
     "guarded": Idempotency.IDEMPOTENT_WITH_KEY,
     "single_shot": Idempotency.NOT_IDEMPOTENT,
 }
-SCOPE_BY_KEY = {
+SCOPE_BY_SETTING = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
@@ -35,7 +35,7 @@
 
 
 def read_settings(document: object) -> BalancerSettings:
-    """Return the settings that a parsed JSON document holds.
+    """Return the settings in a parsed JSON document.
 
     Raises:
         SettingsError: A required key is missing, or a value is of the wrong type or out of range.
@@ -72,14 +72,14 @@
     path = f"profiles[{index}]"
     if not isinstance(profile, dict):
         raise SettingsError(f"settings: {path} is {profile!r}, want an object")
-    idempotency = _choice(profile, "effect", path, IDEMPOTENCY_BY_KEY)
+    idempotency = _choice(profile, "effect", path, IDEMPOTENCY_BY_SETTING)
     has_key = idempotency is Idempotency.IDEMPOTENT_WITH_KEY
     # Microseconds per 1000 tokens equal nanoseconds per token.
     per_1000_tokens = _list(document, "familyInfo.aimUsPer1000PromptTokens")
     default_scope = None if has_key else DeduplicationScope.ALL
     return RequestClass(
         idempotency=idempotency,
-        deduplication_scope=_choice(profile, "dedupScope", path, SCOPE_BY_KEY, default_scope),
+        deduplication_scope=_choice(profile, "dedupScope", path, SCOPE_BY_SETTING, default_scope),
         deduplication_window=int(_number(profile, "window", None if has_key else 0)),
         latency_objective=int(_number(profile, "aim", DEFAULT_LATENCY_OBJECTIVE)),
         latency_objective_per_token=float(per_1000_tokens[index]) if index < len(per_1000_tokens) else 0.0,
--- a/lockspoke/balancing/weighted_sampling.py
+++ b/lockspoke/balancing/weighted_sampling.py
@@ -8,7 +8,7 @@
 from .tracked import TrackedReplica
 
 SAMPLE_SIZE = 2
-# The weight of a local replica is multiplied by 1 plus this times the cost of crossing zones.
+# The weight of a replica in the local zone is multiplied by 1 + LOCAL_ZONE_PREFERENCE * cross_zone_cost.
 LOCAL_ZONE_PREFERENCE = 20.0
 
 
--- a/tests/balancing/test_moving_statistics.py
+++ b/tests/balancing/test_moving_statistics.py
@@ -55,10 +55,10 @@
 def test_share_of_a_key_among_recent_requests() -> None:
     recent = RecentKeys(4)
     recent.add(7)
-    assert recent.share(7, at_least=16) == pytest.approx(1 / 16)
+    assert recent.share(7, min_requests=16) == pytest.approx(1 / 16)
     for key in (7, 8, 9, 8):
         recent.add(key)
-    assert [recent.share(key, at_least=1) for key in (7, 8, 9, 5)] == [0.25, 0.5, 0.25, 0.0]
+    assert [recent.share(key, min_requests=1) for key in (7, 8, 9, 5)] == [0.25, 0.5, 0.25, 0.0]
     for _ in range(4):
         recent.add(5)
     assert len(recent._counts) == 1, "forgotten keys take no memory"
