--- a/lockspoke/balancing/attempt_results.py
+++ b/lockspoke/balancing/attempt_results.py
@@ -14,10 +14,10 @@
 from .slow_start_budget import SlowStartBudget
 from .tracked import ANSWER_TOKENS, TrackedAttempt, TrackedReplica, TrackedRequest
 
-# Failures other than failed connections open breakers of at most this share of the ready replicas. If more
+# Failures other than connection failures open breakers of at most this share of the ready replicas. If more
 # replicas fail, the cause is a shared one, such as an overload.
 MAX_OPEN_SHARE = 0.5
-# A failed connection counts as this many failures, because each of many gateways sees only few of them.
+# A connection failure counts as this many failures, because each of many gateways sees only few of them.
 CONNECTION_FAILURE_WEIGHT = 3
 FAILURES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET)
 CONNECTION_FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET)
@@ -41,7 +41,7 @@
         self._limits = limits
         self._budget = budget
 
-    def first_token(
+    def apply_first_token(
         self, now: int, request: TrackedRequest, attempt: TrackedAttempt, event: FirstToken
     ) -> None:
         """Apply the first token of an attempt in progress."""
@@ -50,11 +50,13 @@
         replica = attempt.replica
         replica.backoff.record_accepted(request.arrived.request_class)
         for other in request.attempts:
-            if other.outcome is Outcome.INVALID_REQUEST:  # It was wrong: this replica accepted the request.
-                other.replica.breaker.record_failure(now, may_open=self._another_may_open())
-        # Reading an uncached prompt takes time: a wholly uncached one may take twice as long.
-        allowance = 1.0 + attempt.uncached_tokens / max(1.0, request.arrived.prompt_tokens)
-        objective_share = event.elapsed / request.latency_objective / allowance
+            # Another replica that rejected the request as invalid was wrong: this replica accepted it.
+            if other.outcome is Outcome.INVALID_REQUEST:
+                other.replica.breaker.record_failure(now, may_open=self._another_breaker_may_open())
+        # Reading an uncached prompt takes time. The objective is extended in proportion to the uncached part;
+        # it is doubled if the whole prompt is uncached.
+        objective_factor = 1.0 + attempt.uncached_tokens / max(1.0, request.arrived.prompt_tokens)
+        objective_share = event.elapsed / request.latency_objective / objective_factor
         self._limits.record_latency(now, attempt, objective_share)
         if self.settings.utilization_field is None:
             is_late = objective_share > TIMELY_SHARE
@@ -63,7 +65,9 @@
         replica.work_in_flight -= attempt.work - ANSWER_TOKENS  # Only the answer remains.
         attempt.work = ANSWER_TOKENS
 
-    def ended(self, now: int, request: TrackedRequest, attempt: TrackedAttempt, event: AttemptEnded) -> bool:
+    def apply_outcome(
+        self, now: int, request: TrackedRequest, attempt: TrackedAttempt, event: AttemptEnded
+    ) -> bool:
         """Apply the outcome of an attempt in progress; return whether it opened a closed breaker."""
         attempt.outcome = event.outcome
         replica = attempt.replica
@@ -100,14 +104,14 @@
         if event.outcome in CONNECTION_FAILURES and not event.connection_reused:
             breaker.record_failure(now, may_open=True, weight=CONNECTION_FAILURE_WEIGHT)
         else:
-            breaker.record_failure(now, may_open=self._another_may_open())
+            breaker.record_failure(now, may_open=self._another_breaker_may_open())
         if state_before is not BreakerState.CLOSED or breaker.state is not BreakerState.OPEN:
             return False
         # When it recovers, all gateways find it idle at the same time, so each starts with few requests.
         replica.concurrency.reset(limited=True)
         return True
 
-    def _another_may_open(self) -> bool:
+    def _another_breaker_may_open(self) -> bool:
         """Whether one more breaker may open; a slowdown of the whole fleet must not open most breakers."""
         ready = self._endpoints.ready
         not_closed = sum([replica.breaker.state is not BreakerState.CLOSED for replica in ready])
@@ -123,7 +127,7 @@
     def _update_utilization(self, now: int, replica: TrackedReplica, utilization: float) -> None:
         replica.reported_load.update(now, utilization)
         if now >= replica.slow_start.ends_at:
-            replica.kind.record_utilization(utilization)
-        self._endpoints.machine_kinds.estimate_capacity(
+            replica.machine_statistics.record_utilization(utilization)
+        self._endpoints.machine_kinds.update_capacity_factors(
             reports_utilization=self.settings.utilization_field is not None
         )
--- a/lockspoke/balancing/balancer.py
+++ b/lockspoke/balancing/balancer.py
@@ -41,7 +41,7 @@
 MAX_UNPLACED = 4
 # A request fails once this many replicas have rejected it as invalid; a single one may be faulty itself.
 INVALID_REQUEST_THRESHOLD = 2
-TIMER_TOKEN = 0  # All timers share one token, because every call checks everything that may be due.
+TIMER_TOKEN = 0  # All timers share one token: when any of them fires, everything that may be due is checked.
 
 _NEVER = 1 << 80  # This is later than any clock reading.
 
@@ -91,7 +91,7 @@
     def handle(self, now: int, events: list[Event]) -> list[Action]:
         """Apply the events received at `now` (nanoseconds); return the actions to carry out in order."""
         self.latest_actions = []
-        self._budget.begin(now)
+        self._budget.record_first_event(now)
         if self._timer_fires_at <= now:
             self._timer_fires_at = _NEVER
         for event in events:
@@ -128,8 +128,8 @@
         self.requests[event.request] = request
         self.queue.waiting[event.request] = request
         self.deadlines.add(request.deadline, event.request)
-        recent_requests = self.affinity.record_request(event)
-        self._budget.record_request(event.prompt_tokens, recent_requests)
+        recent_request_count = self.affinity.record_request(event)
+        self._budget.record_request(event.prompt_tokens, recent_request_count)
 
     def _apply_first_token(self, now: int, event: FirstToken) -> None:
         request = self.requests.get(event.request)
@@ -137,7 +137,7 @@
             return
         attempt = request.attempts[event.attempt]
         if attempt.in_progress and not attempt.streaming:
-            self._results.first_token(now, request, attempt, event)
+            self._results.apply_first_token(now, request, attempt, event)
 
     def _apply_outcome(self, now: int, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
@@ -146,7 +146,7 @@
         attempt = request.attempts[event.attempt]
         if not attempt.in_progress:
             return
-        if self._results.ended(now, request, attempt, event):
+        if self._results.apply_outcome(now, request, attempt, event):
             self.latest_actions.append(
                 Log(f"breaker open: replica {event.replica}, last {event.outcome.name}")
             )
@@ -252,9 +252,9 @@
 
 
 def _time_left_to_start(now: int, request: TrackedRequest) -> int:
-    """Return within what time a repeated attempt must be sent for its key to be recognized; 0 means no limit.
+    """Return for how many nanoseconds a repeated attempt may still be sent; 0 means no limit.
 
-    Replicas recognize an idempotency key only for a limited time after the first attempt.
+    Replicas recognize an idempotency key only for a limited time after the first attempt that may have run.
     """
     if request.request_class.idempotency is not Idempotency.IDEMPOTENT_WITH_KEY:
         return 0
--- a/lockspoke/balancing/load_reports.py
+++ b/lockspoke/balancing/load_reports.py
@@ -14,7 +14,8 @@
 MIN_REPORTED_UTILIZATION = 0.1
 REPORT_LIFETIME = 4 * SECOND  # An older report no longer overrides the latency of first tokens.
 MACHINE_KIND_SAMPLES = 64  # The statistics of a machine kind are moving averages over this many reports.
-MACHINE_KIND_PRIOR = 1.5  # The listed capacity counts like this many reports, until there are enough.
+# In estimates, the listed capacity weighs as much as this many reports; it matters while reports are few.
+MACHINE_KIND_PRIOR = 1.5
 MIN_COUNTED_UTILIZATION = 0.02  # Lower reports are raised to this, or they would dominate a kind's mean.
 MIN_CAPACITY_FACTOR = 0.25
 MAX_CAPACITY_FACTOR = 4.0
@@ -28,7 +29,7 @@
     def __init__(self) -> None:
         self.utilization = 0.0
         self.updated_at = 0
-        self.supported_in_flight = 0.0  # How many own requests in flight the last report leaves capacity for.
+        self.supported_in_flight = 0.0  # The gateway's requests in flight that the last report allows.
         # The fewest own requests in flight since that report; the next report may describe any moment since.
         self.lowest_in_flight = 0
 
@@ -42,7 +43,7 @@
         self.lowest_in_flight = min(self.lowest_in_flight, in_flight)
 
     def estimate_capacity(self, utilization: float, in_flight: int) -> float:
-        """Return how many own requests in flight a report leaves capacity for, and remember it."""
+        """Store and return how many of the gateway's requests in flight the utilization allows."""
         utilization = max(utilization, MIN_REPORTED_UTILIZATION)
         self.supported_in_flight = max(1, self.lowest_in_flight) * TARGET_UTILIZATION / utilization
         self.lowest_in_flight = in_flight
@@ -92,7 +93,7 @@
         """Return the kind with this number, and add it if it is unknown."""
         return self.by_number.setdefault(number, MachineKind())
 
-    def update_listed(self, ready: Iterable[tuple[MachineKind, float]]) -> None:
+    def update_listed_capacity(self, ready: Iterable[tuple[MachineKind, float]]) -> None:
         """Sum the listed capacity of the ready replicas by kind; remove kinds without ready replicas."""
         for kind in self.by_number.values():
             kind.listed_capacity = 0.0
@@ -100,7 +101,7 @@
             kind.listed_capacity += listed_capacity
         self.by_number = {number: kind for number, kind in self.by_number.items() if kind.listed_capacity}
 
-    def estimate_capacity(self, *, reports_utilization: bool) -> None:
+    def update_capacity_factors(self, *, reports_utilization: bool) -> None:
         """Estimate the capacity factor of each kind from its number of reports and its mean utilization.
 
         A kind that gives more answers at a lower utilization than the others has more capacity. Kinds are
@@ -110,15 +111,17 @@
         """
         kinds = self.by_number.values()
         report_count = sum(kind.report_count for kind in kinds)
-        listed = sum(kind.listed_capacity for kind in kinds)
+        total_listed = sum(kind.listed_capacity for kind in kinds)
         mean = sum(kind.utilization_sum for kind in kinds) / max(report_count, 1e-9)
         for kind in kinds:
-            prior = MACHINE_KIND_PRIOR * kind.listed_capacity / listed
+            prior = MACHINE_KIND_PRIOR * kind.listed_capacity / total_listed
             count = kind.report_count + prior
             kind.mean_utilization = (kind.utilization_sum + prior * mean) / count
             relative_rate = 1.0
             if reports_utilization:
-                relative_rate = count / kind.listed_capacity * listed / (report_count + MACHINE_KIND_PRIOR)
+                relative_rate = (
+                    count / kind.listed_capacity * total_listed / (report_count + MACHINE_KIND_PRIOR)
+                )
             factor = relative_rate * mean / max(kind.mean_utilization, 1e-9)
             kind.capacity_factor = min(MAX_CAPACITY_FACTOR, max(MIN_CAPACITY_FACTOR, factor))
             kind.decay()
--- a/lockspoke/balancing/prefix_affinity.py
+++ b/lockspoke/balancing/prefix_affinity.py
@@ -15,11 +15,11 @@
 from .tracked import TrackedReplica
 from .weighted_sampling import SAMPLE_SIZE, WeightedSampler, local_zone_weight
 
-# The requests with one prefix are spread over so many replicas that they make up at most this share of the
-# requests of an average replica.
+# Requests with the same prefix are distributed over enough replicas that they make up at most this share of
+# an average replica's requests.
 MAX_PREFIX_SHARE = 0.5
 MAX_CACHED_RANKINGS = 512
-# The share of a prefix is taken of this many requests, since there may be hundreds of prefixes.
+# The share of a prefix is computed over this many recent requests, since there may be hundreds of prefixes.
 RECENT_REQUESTS = 256
 MIN_REQUESTS_FOR_SHARE = 16  # With fewer, a single request would count as a large share.
 
@@ -29,7 +29,7 @@
 
 
 def rendezvous_score(replica: TrackedReplica, key: int) -> float:
-    """Return the replica's score for a key; the replica with the lowest score should hold the key.
+    """Return the replica's score for a key; the replica with the lowest score is preferred.
 
     Scores are exponentially distributed, so that the probability of being first is proportional to the
     replica's listed capacity.
@@ -40,7 +40,7 @@
 
 
 class PrefixAffinity:
-    """Finds the preferred replicas of a request. The more requests share its prefix, the more there are."""
+    """Finds the preferred replicas of a request; a prefix that more requests share has more of them."""
 
     def __init__(self, settings: BalancerSettings, endpoints: EndpointList, sampler: WeightedSampler) -> None:
         self.settings = settings
@@ -50,7 +50,7 @@
         self._rankings: dict[int, list[TrackedReplica]] = {}  # Keyed by prefix or session.
 
     def record_request(self, arrived: RequestArrived) -> int:
-        """Add a request's key to the recent ones; return how many recent requests are known."""
+        """Add a request's key to the recent ones; return the number of recent requests."""
         self._recent.add(arrived.prefix or arrived.session)
         return len(self._recent)
 
@@ -61,7 +61,7 @@
     def preferred_replicas(
         self, arrived: RequestArrived, candidates: list[TrackedReplica]
     ) -> list[TrackedReplica]:
-        """Return up to `SAMPLE_SIZE` of the candidates that should hold the request's prefix.
+        """Return up to `SAMPLE_SIZE` of the candidates that should have the request's prefix cached.
 
         For a session, all gateways of a zone choose the same ones, since the session's next request may
         arrive at any of these gateways.
@@ -69,16 +69,16 @@
         key = arrived.prefix or arrived.session
         share = self._recent.share(key, MIN_REQUESTS_FOR_SHARE)
         count = 1 + int(share * len(candidates) / MAX_PREFIX_SHARE)
-        holders = list(islice((replica for replica in self.ranking(key) if replica in candidates), count))
+        preferred = list(islice((replica for replica in self.ranking(key) if replica in candidates), count))
         if not arrived.session:
-            return self._sampler.sample(holders)
+            return self._sampler.sample(preferred)
         zone, local_weight = self.settings.zone, local_zone_weight(self.settings)
-        holders.sort(
+        preferred.sort(
             key=lambda replica: (
                 rendezvous_score(replica, arrived.session) / (local_weight if replica.zone == zone else 1.0)
             )
         )
-        return holders[:SAMPLE_SIZE]
+        return preferred[:SAMPLE_SIZE]
 
     def ranking(self, key: int) -> list[TrackedReplica]:
         """Return the ready replicas for a key, the most preferred first."""
--- a/lockspoke/balancing/replica_selection.py
+++ b/lockspoke/balancing/replica_selection.py
@@ -21,15 +21,16 @@
 from .tracked import ANSWER_TOKENS, TrackedAttempt, TrackedReplica, TrackedRequest
 from .weighted_sampling import WeightedSampler
 
-UNCACHED_TOKEN_COST = 4.0  # Reading an uncached token also evicts cached ones that later requests would use.
-# This, times the cost of crossing zones, is the load in tokens that is accepted to stay in the local zone.
+# The cost of reading an uncached token, in tokens: it also evicts cached ones that later requests would use.
+UNCACHED_TOKEN_COST = 4.0
+# A replica in another zone costs this many tokens more, times the setting `cross_zone_cost`.
 CROSS_ZONE_TOKENS = 200_000.0
-# The weight of a replica's own report halves in this time, in favour of the mean of its machine kind.
+# The weight of a replica's own report halves within this time; the rest goes to the mean of its machine kind.
 REPORT_HALF_LIFE = 10 * SECOND
 
 
 class Selection(NamedTuple):
-    """The replica for the next attempt, or None and whether it is worth waiting for one."""
+    """The replica for the next attempt; if there is none, whether the request may wait for one."""
 
     replica: TrackedReplica | None
     may_wait: bool = False
@@ -39,8 +40,8 @@
     """The replicas that could get the next attempt."""
 
     trial: TrackedReplica | None  # A replica whose half-open breaker accepts a trial.
-    closed: list[TrackedReplica]  # Replicas with a closed breaker and free capacity.
-    any_busy: bool  # Other replicas could take the request, but have no capacity now.
+    available: list[TrackedReplica]  # Replicas with a closed breaker and free capacity.
+    any_limited: bool  # Another replica could get it once its concurrency limit or backoff allows.
 
 
 class ReplicaSelector:
@@ -61,7 +62,7 @@
         self._sampler = sampler
         self._affinity = affinity
         self._gateway_limit = gateway_limit
-        self._last_winner: TrackedReplica | None = None
+        self._last_selected: TrackedReplica | None = None
 
     def select(self, now: int, request: TrackedRequest) -> Selection:
         """Select the replica for the next attempt; callers must have refreshed all breakers at `now`."""
@@ -70,11 +71,13 @@
         candidates = self._find_candidates(now, request)
         if candidates.trial is not None:
             return Selection(candidates.trial)
-        closed = candidates.closed
-        if not closed or not self._gateway_limit.has_capacity():
-            return Selection(None, may_wait=candidates.any_busy or bool(closed))
-        self._last_winner = self._select_warming_up(now, closed) or self._select_sampled(now, request, closed)
-        return Selection(self._last_winner)
+        available = candidates.available
+        if not available or not self._gateway_limit.has_capacity():
+            return Selection(None, may_wait=candidates.any_limited or bool(available))
+        self._last_selected = self._select_in_slow_start(now, available) or self._select_sampled(
+            now, request, available
+        )
+        return Selection(self._last_selected)
 
     def _may_repeat(self, now: int, request: TrackedRequest) -> bool:
         """Whether hedging and the request's idempotency allow a further attempt at any replica."""
@@ -90,28 +93,28 @@
     def _find_candidates(self, now: int, request: TrackedRequest) -> _Candidates:
         request_class = request.arrived.request_class
         work = request.arrived.prompt_tokens + ANSWER_TOKENS
-        closed: list[TrackedReplica] = []
-        any_busy = False
+        available: list[TrackedReplica] = []
+        any_limited = False
         for replica in self._eligible_replicas(request):
             breaker = replica.breaker
             if breaker.state is BreakerState.OPEN:
                 continue
             backoff = replica.backoff
             if now < backoff.class_until.get(request_class, 0):
-                any_busy = True
+                any_limited = True
                 continue
             if now < replica.slow_start.ends_at and not self._budget.allows(now, replica, work):
                 continue
             if breaker.state is BreakerState.HALF_OPEN:
-                # If an overloaded replica rejects the trial, the next one could start at once. Without the
+                # If an overloaded replica rejects the trial, the next trial could start at once. Without the
                 # backoff, every request would go there.
                 if breaker.trial is None and now >= backoff.until:
-                    return _Candidates(replica, closed, any_busy)
+                    return _Candidates(replica, available, any_limited)
             elif replica.has_capacity(now):
-                closed.append(replica)
+                available.append(replica)
             else:
-                any_busy = True
-        return _Candidates(None, closed, any_busy)
+                any_limited = True
+        return _Candidates(None, available, any_limited)
 
     def _eligible_replicas(self, request: TrackedRequest) -> list[TrackedReplica]:
         """Return the ready replicas that the request's earlier attempts do not exclude."""
@@ -120,59 +123,65 @@
             return ready
         # A replica that could not be reached is excluded too: it looks idle, so it would be selected again.
         tried = [a.replica for a in request.attempts if a.outcome is not Outcome.OVERLOADED]
-        runs: list[TrackedAttempt] = []
+        possible_runs: list[TrackedAttempt] = []
         if request.request_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-            runs = request.attempts_that_may_have_run
+            possible_runs = request.attempts_that_may_have_run
         scope = request.request_class.deduplication_scope
-        return [replica for replica in ready if replica not in tried and _deduplicates(scope, replica, runs)]
+        return [
+            replica
+            for replica in ready
+            if replica not in tried and _deduplicates(scope, replica, possible_runs)
+        ]
 
-    def _select_warming_up(self, now: int, closed: list[TrackedReplica]) -> TrackedReplica | None:
-        """Return the least loaded replica in slow start, or None if all are warm.
+    def _select_in_slow_start(self, now: int, available: list[TrackedReplica]) -> TrackedReplica | None:
+        """Return the least loaded replica in slow start, or None if there is none.
 
         Random samples would contain such a replica too seldom to use up its slow-start budget, and the other
         replicas would have to carry its load.
         """
         if now >= self._endpoints.slow_starts_end_at:
             return None
-        warming_up = [replica for replica in closed if now < replica.slow_start.ends_at]
-        if not warming_up:
+        in_slow_start = [replica for replica in available if now < replica.slow_start.ends_at]
+        if not in_slow_start:
             return None
         return min(
-            warming_up,
+            in_slow_start,
             key=lambda r: r.concurrency.in_flight / r.slow_start.capacity_share(now, self.settings),
         )
 
     def _select_sampled(
-        self, now: int, request: TrackedRequest, closed: list[TrackedReplica]
+        self, now: int, request: TrackedRequest, available: list[TrackedReplica]
     ) -> TrackedReplica:
-        sample = self._sampler.sample(closed)
-        if self._last_winner is not None and self._last_winner in closed:
-            sample.append(self._last_winner)
+        sample = self._sampler.sample(available)
+        if self._last_selected is not None and self._last_selected in available:
+            sample.append(self._last_selected)
         arrived = request.arrived
         if arrived.session or arrived.prefix:
-            sample += self._cache_holders(arrived, closed)
-        mean_capacity = sum([replica.capacity for replica in closed]) / len(closed)
+            sample += self._cache_candidates(arrived, available)
+        mean_capacity = sum([replica.capacity for replica in available]) / len(available)
         return min(sample, key=lambda replica: self._cost(now, replica, arrived, mean_capacity))
 
-    def _cache_holders(self, arrived: RequestArrived, closed: list[TrackedReplica]) -> list[TrackedReplica]:
+    def _cache_candidates(
+        self, arrived: RequestArrived, available: list[TrackedReplica]
+    ) -> list[TrackedReplica]:
         """Return the replicas that should have the prompt cached, and the one with the least work for it."""
-        preferred = self._affinity.preferred_replicas(arrived, closed)
+        preferred = self._affinity.preferred_replicas(arrived, available)
         for replica in preferred:
             # Other gateways have sent the prefix there.
             replica.cached.setdefault(arrived.prefix, arrived.prefix_tokens)
-        return [*preferred, min(closed, key=lambda replica: replica.work_for(arrived))]
+        return [*preferred, min(available, key=lambda replica: replica.work_for(arrived))]
 
     def _cost(
         self, now: int, replica: TrackedReplica, arrived: RequestArrived, mean_capacity: float
     ) -> float:
-        """Return the load ahead of the request plus the work for it, in tokens of a mean replica.
+        """Return the load ahead of the request plus the work for it, in tokens at a mean replica.
 
         The load of all gateways is extrapolated from the gateway's own work in flight. A fully utilized
         replica counts as if it had one more own request.
         """
         settings = self.settings
         capacity = replica.capacity / mean_capacity * replica.slow_start.capacity_share(now, settings)
-        report, kind_mean = replica.reported_load, replica.kind.mean_utilization
+        report, kind_mean = replica.reported_load, replica.machine_statistics.mean_utilization
         freshness: float = 0.5 ** ((now - report.updated_at) / REPORT_HALF_LIFE)
         utilization = kind_mean + (report.utilization - kind_mean) * freshness
         excess = max(0.0, utilization - TARGET_UTILIZATION)
@@ -183,10 +192,12 @@
         return cost
 
 
-def _deduplicates(scope: DeduplicationScope, replica: TrackedReplica, runs: list[TrackedAttempt]) -> bool:
+def _deduplicates(
+    scope: DeduplicationScope, replica: TrackedReplica, possible_runs: list[TrackedAttempt]
+) -> bool:
     """Whether the replica would recognize and discard a repetition of each of these attempts."""
     if scope is DeduplicationScope.ZONE:
-        return all(run.replica.zone == replica.zone for run in runs)
+        return all(attempt.replica.zone == replica.zone for attempt in possible_runs)
     if scope is DeduplicationScope.CELL:
-        return all(run.replica.cell == replica.cell for run in runs)
+        return all(attempt.replica.cell == replica.cell for attempt in possible_runs)
     return True
--- a/lockspoke/balancing/tracked.py
+++ b/lockspoke/balancing/tracked.py
@@ -31,8 +31,8 @@
         "cached",
         "cell",
         "concurrency",
-        "kind",
         "listed_capacity",
+        "machine_statistics",
         "max_listed_capacity",
         "number",
         "reported_load",
@@ -46,12 +46,12 @@
     def __init__(self, number: int) -> None:
         self.number = number
         self.state = ReplicaState.REMOVED
-        self.state_updated_at = 0  # When an update last listed or removed it.
+        self.state_updated_at = 0  # The time of the last update that listed or removed it.
         self.zone = 0
         self.cell = 0
-        self.kind = MachineKind()
+        self.machine_statistics = MachineKind()
         self.listed_capacity = 1.0
-        self.max_listed_capacity = MIN_CAPACITY  # The highest so far, since live weights fall under load.
+        self.max_listed_capacity = MIN_CAPACITY  # The highest so far, as listed weights may fall under load.
         self.breaker = Breaker()
         self.concurrency = ConcurrencyLimit()
         self.backoff = OverloadBackoff()
@@ -62,8 +62,8 @@
 
     @property
     def capacity(self) -> float:
-        """The capacity that it has when warm, in the unit of the endpoint list's weights."""
-        return self.listed_capacity * self.kind.capacity_factor
+        """The capacity that it has after its slow start, in the unit of the endpoint list's weights."""
+        return self.listed_capacity * self.machine_statistics.capacity_factor
 
     def has_capacity(self, now: int) -> bool:
         """Whether its backoff and its concurrency limit allow one more request."""
--- a/tests/balancing/test_load_reports.py
+++ b/tests/balancing/test_load_reports.py
@@ -180,7 +180,10 @@
     harness = harness_with_two_machine_kinds(utilization_field=0)
     share_sent_to_large(harness, range(1, 31), 1.0)
     assert share_sent_to_large(harness, range(31, 231), 1.0) < 0.25
-    assert all(harness.balancer.replicas[number].kind.capacity_factor >= 0.25 for number in range(1, 41))
+    assert all(
+        harness.balancer.replicas[number].machine_statistics.capacity_factor >= 0.25
+        for number in range(1, 41)
+    )
 
 
 def test_without_reports_late_first_tokens_lower_a_kinds_capacity() -> None:
