--- a/lockspoke/balancing/slow_start_budget.py
+++ b/lockspoke/balancing/slow_start_budget.py
@@ -60,10 +60,8 @@
         """
         if now < replica.slow_start.ends_at:
             return
-        full_capacity_count = sum(now >= ready.slow_start.ends_at for ready in self._endpoints.ready)
-        self._work_per_replica.add(
-            now, (max(0.0, uncached_tokens) + ANSWER_TOKENS) / max(1, full_capacity_count)
-        )
+        past_slow_start = sum(now >= ready.slow_start.ends_at for ready in self._endpoints.ready)
+        self._work_per_replica.add(now, (max(0.0, uncached_tokens) + ANSWER_TOKENS) / max(1, past_slow_start))
 
     def allows(self, now: int, replica: TrackedReplica, work: float) -> bool:
         """Whether the replica may get a request now; `work` is in tokens, with nothing cached."""
--- a/tests/balancing/helpers.py
+++ b/tests/balancing/helpers.py
@@ -85,14 +85,14 @@
         self.requests: dict[int, ClientRequest] = {}
         self.entries: dict[int, EndpointListEntry] = {}
         self.timers: list[tuple[int, int]] = []
-        self.actions_taken: list[Action] = []
+        self.all_actions: list[Action] = []
         self.update_endpoint_list(EndpointListKind.CACHED, ready_entries(*replicas))
 
     def step(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             self._check_action(action)
-        self.actions_taken.extend(actions)
+        self.all_actions.extend(actions)
         return actions
 
     def _check_action(self, action: Action) -> None:
--- a/tests/balancing/test_discovery_polling.py
+++ b/tests/balancing/test_discovery_polling.py
@@ -20,18 +20,18 @@
 def time_until_poll(harness: BalancerHarness, step: int = 20 * MS) -> int:
     """Return the time from now until the gateway polls the endpoint list."""
     start = harness.now
-    while WatchEndpointList(True) not in harness.actions_taken:
+    while WatchEndpointList(True) not in harness.all_actions:
         harness.advance_time(step)
     return harness.now - start
 
 
 def test_endpoint_list_is_polled_until_it_arrives() -> None:
     harness = BalancerHarness(settings(polls_endpoint_list=True))
-    assert WatchEndpointList(True) in harness.actions_taken
+    assert WatchEndpointList(True) in harness.all_actions
     harness.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2))
-    harness.actions_taken.clear()
+    harness.all_actions.clear()
     harness.advance_time(60 * SECOND)
-    assert WatchEndpointList(True) not in harness.actions_taken
+    assert WatchEndpointList(True) not in harness.all_actions
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 6])
@@ -44,7 +44,7 @@
     """
     harness = BalancerHarness(settings(polls_endpoint_list=True, gateway_count=gateways))
     for _ in range(8):
-        harness.actions_taken.clear()
+        harness.all_actions.clear()
         harness.update_endpoint_list(EndpointListKind.FAILED, ())
         assert 500 * MS <= time_until_poll(harness) <= SECOND
 
@@ -84,7 +84,7 @@
             settings(polls_endpoint_list=True, gateway_count=40, gateway_index=index), seed=index
         )
         harness.advance_time(5 * SECOND)
-        harness.actions_taken.clear()
+        harness.all_actions.clear()
         harness.update_endpoint_list(EndpointListKind.FAILED, ())
         retry_delays.append(time_until_poll(harness))
     assert max(sum(when <= other < when + SECOND for other in retry_delays) for when in retry_delays) <= 24
@@ -102,13 +102,13 @@
         harness = BalancerHarness(given, seed=index)
         harness.advance_time(5 * SECOND)
         for _ in range(8):
-            harness.actions_taken.clear()
+            harness.all_actions.clear()
             harness.update_endpoint_list(EndpointListKind.FAILED, ())
             assert time_until_poll(harness) <= 6 * SECOND - MAX_CONNECT_AND_REQUEST_TIME
 
 
 def test_an_unanswered_poll_is_repeated() -> None:
     harness = BalancerHarness(settings(polls_endpoint_list=True))
-    harness.actions_taken.clear()
+    harness.all_actions.clear()
     harness.advance_time(6 * SECOND)
-    assert WatchEndpointList(True) in harness.actions_taken
+    assert WatchEndpointList(True) in harness.all_actions
--- a/tests/balancing/test_invariants.py
+++ b/tests/balancing/test_invariants.py
@@ -336,8 +336,8 @@
     """If a replica's clock is ahead, its start is in the future; without slow start, this divided by zero."""
     harness = BalancerHarness(settings(**overrides), replicas=())
     starting = ready_entries(1, 2, started_at=harness.now + clock_skew)
-    warm = ready_entries(3, zone=9, weight=0.0)
-    for entries in (starting + warm, starting):
+    long_running = ready_entries(3, zone=9, weight=0.0)
+    for entries in (starting + long_running, starting):
         harness.update_endpoint_list(EndpointListKind.FULL, entries)
         for number in range(len(harness.requests), len(harness.requests) + 12):
             harness.arrive(number, prompt_tokens=100.0 * number)
--- a/tests/balancing/test_load_reports.py
+++ b/tests/balancing/test_load_reports.py
@@ -194,23 +194,26 @@
     assert share_sent_to_large(harness, range(161, 261), 0.0, first_token_after=500 * MS) < 0.4
 
 
-def test_fully_utilized_cache_holder_is_avoided_until_its_report_is_old() -> None:
-    """Guards against overloaded cache holders, which got more requests with first tokens after 4 s."""
+def test_fully_utilized_replica_with_cached_prompt_is_avoided_until_its_report_is_old() -> None:
+    """Guards against further requests to overloaded replicas because they have the prompts cached.
+
+    The first tokens of such requests came after 4 s.
+    """
     harness = BalancerHarness(settings(gateway_count=100, utilization_field=0), replicas=range(1, 21))
     for number in range(101, 111):
         harness.arrive(number)
         harness.first_token(number)
         harness.end_attempt(number, Outcome.OK, load_report=(0.2,))
     harness.arrive(1, session=8, prompt_tokens=4000.0)
-    cache_holder = harness.requests[1].attempts[0].replica
+    cached_replica = harness.requests[1].attempts[0].replica
     harness.first_token(1)
     harness.end_attempt(1, Outcome.OK, load_report=(1.0,))
     harness.arrive(2, session=8, prompt_tokens=4200.0)
-    assert harness.requests[2].attempts[0].replica != cache_holder
+    assert harness.requests[2].attempts[0].replica != cached_replica
     harness.advance_time(60 * SECOND)
     harness.balancer.replicas[harness.requests[2].attempts[0].replica].cached.clear()
     harness.arrive(3, session=8, prompt_tokens=4200.0)
-    assert harness.requests[3].attempts[0].replica == cache_holder
+    assert harness.requests[3].attempts[0].replica == cached_replica
 
 
 def test_machine_kinds_missing_from_the_list_are_removed() -> None:
--- a/tests/balancing/test_replica_selection.py
+++ b/tests/balancing/test_replica_selection.py
@@ -40,31 +40,33 @@
 
 def test_session_goes_to_the_replica_with_its_prompt_cached() -> None:
     harness = BalancerHarness(replicas=range(1, 11))
-    holders = {}
+    replica_of_session = {}
     for session in range(1, 21):
-        holders[session] = harness.sent_to(harness.arrive(session, session=session, prompt_tokens=4000.0))[0]
+        replica_of_session[session] = harness.sent_to(
+            harness.arrive(session, session=session, prompt_tokens=4000.0)
+        )[0]
         harness.first_token(session)
         harness.end_attempt(session, Outcome.OK)
-    for session, holder in holders.items():
+    for session, chosen in replica_of_session.items():
         number = 100 + session
-        assert harness.sent_to(harness.arrive(number, session=session, prompt_tokens=4300.0)) == [holder]
+        assert harness.sent_to(harness.arrive(number, session=session, prompt_tokens=4300.0)) == [chosen]
         harness.first_token(number)
         harness.end_attempt(number, Outcome.OK)
 
 
 def replicas_chosen_for(prefix: int, seeds: range, earlier_prefixes: Iterable[int]) -> Counter[int]:
     """Return the replicas to which gateways with the same earlier requests send one more request."""
-    holders: Counter[int] = Counter()
+    replicas_sent_to: Counter[int] = Counter()
     for seed in seeds:
         harness = BalancerHarness(replicas=range(1, 11), seed=seed)
         for number, other in enumerate(earlier_prefixes):
             harness.arrive(number, prefix=other, prefix_tokens=3000.0, prompt_tokens=3500.0)
             harness.first_token(number)
             harness.end_attempt(number, Outcome.OK)
-        holders.update(
+        replicas_sent_to.update(
             harness.sent_to(harness.arrive(999, prefix=prefix, prefix_tokens=3000.0, prompt_tokens=3500.0))
         )
-    return holders
+    return replicas_sent_to
 
 
 def test_gateways_choose_the_same_replica_for_a_prefix() -> None:
@@ -73,16 +75,17 @@
         assert len(replicas_chosen_for(prefix, range(6), range(100, 130))) == 1
 
 
-def test_frequent_prefix_is_spread_over_several_replicas() -> None:
+def test_frequent_prefix_is_distributed_over_several_replicas() -> None:
     """When all gateways preferred a single replica, it got seven times the mean load of the fleet."""
-    holders = replicas_chosen_for(70, range(40), [70, 71, 70, 72] * 8)
-    assert len(holders) >= 6 and max(holders.values()) <= 16
+    replicas_sent_to = replicas_chosen_for(70, range(40), [70, 71, 70, 72] * 8)
+    assert len(replicas_sent_to) >= 6 and max(replicas_sent_to.values()) <= 16
 
 
 def test_all_gateways_choose_the_same_replica_for_a_session() -> None:
     """The requests of a session arrive at different gateways.
 
-    If each gateway chose another holder of the prefix, the conversation would be read again every time.
+    If each gateway chose another of the prefix's preferred replicas, the conversation would be read again
+    every time.
     """
     replicas, same_replica = range(1, 92), 0
     for session in range(1, 11):
@@ -105,7 +108,7 @@
     assert same_replica >= 0.7 * 10 * 12
 
 
-def test_sessions_of_a_prefix_are_spread_over_its_holders() -> None:
+def test_sessions_of_a_prefix_are_distributed_over_its_preferred_replicas() -> None:
     sent: Counter[int] = Counter()
     for session in range(1, 201):
         harness = BalancerHarness(settings(gateway_count=200), replicas=range(1, 92), seed=session)
@@ -134,18 +137,18 @@
     assert stayed_local >= 145
 
 
-def test_prefix_of_a_gateways_first_request_is_not_spread() -> None:
+def test_prefix_of_a_gateways_first_request_is_not_distributed() -> None:
     """One request is a large share of the few that a new gateway has seen.
 
     When it counted as a frequent prefix, the whole fleet read each prefix.
     """
-    holders = Counter[int]()
+    replicas_sent_to = Counter[int]()
     for seed in range(200):
         harness = BalancerHarness(settings(gateway_count=200), replicas=range(1, 92), seed=seed)
-        holders.update(
+        replicas_sent_to.update(
             harness.sent_to(harness.arrive(1, prefix=100, prefix_tokens=3000.0, prompt_tokens=3500.0))
         )
-    assert len(holders) <= 15
+    assert len(replicas_sent_to) <= 15
 
 
 def test_idle_replicas_are_sampled_by_listed_capacity() -> None:
@@ -185,10 +188,10 @@
 
 def test_a_restart_of_a_replica_clears_its_cache_records() -> None:
     harness = BalancerHarness(replicas=(1, 2))
-    holder = harness.sent_to(harness.arrive(1, session=5))[0]
-    assert harness.balancer.replicas[holder].cached
-    harness.update_endpoint_list(EndpointListKind.DELTA, ready_entries(holder, started_at=harness.now))
-    assert not harness.balancer.replicas[holder].cached
+    chosen = harness.sent_to(harness.arrive(1, session=5))[0]
+    assert harness.balancer.replicas[chosen].cached
+    harness.update_endpoint_list(EndpointListKind.DELTA, ready_entries(chosen, started_at=harness.now))
+    assert not harness.balancer.replicas[chosen].cached
 
 
 def local_share(local_weight: float) -> float:
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 3, 8, 40])
 def test_sum_of_all_gateways_does_not_overload_a_starting_replica(gateways: int) -> None:
-    """The gateways do not communicate; each uses only its own part of the budget."""
+    """The gateways do not communicate; each uses only its own share of the budget."""
     given_settings = settings(gateway_count=gateways)
     harnesses = [
         BalancerHarness(settings(gateway_count=gateways, gateway_index=n), replicas=range(1, 6), seed=n)
@@ -41,7 +41,8 @@
             for request, _ in harness.attempts_in_progress():
                 if harness.now - harness.requests[request].attempts[0].sent_at >= SECOND:
                     harness.end_attempt(request, Outcome.OK)
-    warm_rate = request_rate / 5  # Requests per second of a warm replica, from all gateways together.
+    # Requests per second of a replica past slow start, from all gateways together.
+    rate_per_replica = request_rate / 5
     assert sent_times, "a replica in slow start must get some work"
     for when in sent_times:
         window = [time for time in sent_times if when <= time < when + given_settings.overload_duration]
@@ -49,7 +50,7 @@
         allowed = (
             given_settings.overload_multiple
             * capacity_share
-            * warm_rate
+            * rate_per_replica
             * given_settings.overload_duration
             / SECOND
         )
@@ -60,7 +61,7 @@
 def test_replaced_replicas_use_their_capacity_during_slow_start(
     gateways: int, requests_per_tick: int
 ) -> None:
-    """Guards against unused budgets: with many gateways, each one's part may be less than one request."""
+    """Guards against unused budgets: with many gateways, the share of each may be less than one request."""
     fleet = settings(
         slow_start_initial_share=0.13,
         slow_start_duration=24 * SECOND,
@@ -88,20 +89,22 @@
                     sends[replica].append(harness.now)
             harness.first_token(number)
             harness.end_attempt(number, Outcome.OK)
-    warm_rate = requests_per_tick * 10 / 16  # Requests per second of a warm replica.
-    expected = sum(warm_rate * (0.13 + 0.87 * second / 24) for second in range(6))
+    rate_per_replica = requests_per_tick * 10 / 16  # Requests per second of a replica past slow start.
+    expected = sum(rate_per_replica * (0.13 + 0.87 * second / 24) for second in range(6))
     assert sum(map(len, sends.values())) >= 0.4 * expected * len(sends), (
         "replicas must use the capacity that they have during slow start"
     )
     for times in sends.values():
         for when in times:
             capacity_share = 0.13 + 0.87 * (when - started) / fleet.slow_start_duration
-            allowed = fleet.overload_multiple * capacity_share * warm_rate * fleet.overload_duration / SECOND
+            allowed = (
+                fleet.overload_multiple * capacity_share * rate_per_replica * fleet.overload_duration / SECOND
+            )
             assert sum(when <= other < when + fleet.overload_duration for other in times) <= allowed + 1
 
 
 def test_restarted_gateways_send_little_to_a_zone_in_slow_start() -> None:
-    """They do not know the throughput of warm replicas, but must serve requests without an overload."""
+    """The throughput past slow start is unknown to them, but they must serve requests without an overload."""
     fleet = settings(
         slow_start_initial_share=0.13,
         slow_start_duration=24 * SECOND,
@@ -125,7 +128,7 @@
                 sends.setdefault(replica, []).append(harness.now)
                 harness.first_token(number)
                 harness.end_attempt(number, Outcome.OK)
-    assert len(sends) >= 10, "nearly all replicas must get work, though no gateway knows a warm one"
+    assert len(sends) >= 10, "nearly all replicas must get work, though none is past slow start"
     for times in sends.values():
         most_in_window = max(
             sum(when <= other < when + fleet.overload_duration for other in times) for when in times
@@ -165,7 +168,7 @@
 
 
 def sent_during_slow_start(cached_tokens: int, weight: float) -> int:
-    """Return how many requests a replica that has just started gets while the others are warm."""
+    """Return how many requests a replica that has just started gets while the others are past slow start."""
     harness = BalancerHarness(replicas=())
     harness.update_endpoint_list(EndpointListKind.FULL, ready_entries(1, 2, 3, weight=4.0))
     number = 0
@@ -193,7 +196,7 @@
 
 
 def test_the_slow_start_budget_follows_completed_uncached_work() -> None:
-    """Warm replicas read only uncached tokens.
+    """Replicas past slow start read only uncached tokens.
 
     When budgets followed the throughput of whole prompts, they overloaded a replica without a cache.
     """
@@ -203,7 +206,7 @@
 
 
 def test_a_small_replica_in_slow_start_gets_less_than_a_large_one() -> None:
-    """The mean warm replica may be several times larger than the one in slow start."""
+    """The mean replica past slow start may be several times larger than the one in slow start."""
     large = sent_during_slow_start(cached_tokens=0, weight=4.0)
     small = sent_during_slow_start(cached_tokens=0, weight=1.0)
     assert large > 2 * small
--- a/tests/balancing/test_slow_start_fleet.py
+++ b/tests/balancing/test_slow_start_fleet.py
@@ -150,8 +150,8 @@
 
     def _allowed_work(self, when: int) -> float:
         capacity_share = 0.13 + 0.87 * (when - START - REPLICA_START) / self.settings.slow_start_duration
-        warm_requests = REQUEST_RATE / len(REPLICAS) * self.settings.overload_duration / SECOND
-        allowed = self.settings.overload_multiple * capacity_share * warm_requests
+        requests_per_replica = REQUEST_RATE / len(REPLICAS) * self.settings.overload_duration / SECOND
+        allowed = self.settings.overload_multiple * capacity_share * requests_per_replica
         return allowed + 2 * math.sqrt(allowed) + 2
 
 
