--- a/lockspoke/balancing/admission.py
+++ b/lockspoke/balancing/admission.py
@@ -17,8 +17,8 @@
 # A tenant is over its quota if its usage, relative to the quota, exceeds the tenants' mean by this factor.
 OVER_QUOTA_FACTOR = 1.5
 MIN_QUOTA = 1e-9
-# A band of prompt lengths gets less than its fair share, and its requests go first, if the fraction of them
-# that is sent is lower than this multiple of the fraction of all requests that is sent.
+# A band of prompt lengths gets less than its fair share if the fraction of its requests that is sent is below
+# this value times the fraction of all requests that is sent. The requests of such a band go first.
 FAIR_SHARE = 0.6
 FAIRNESS_HALF_LIFE = 30 * SECOND  # Long enough that a burst of a few seconds hardly changes the order.
 
--- a/lockspoke/balancing/discovery_polling.py
+++ b/lockspoke/balancing/discovery_polling.py
@@ -30,7 +30,7 @@
         self._rng = rng
 
     def record_poll_result(self, now: int, kind: EndpointListKind) -> None:
-        """Schedule another poll after a failure or a cached list; after any other list, none is needed."""
+        """Schedule another poll after a failure or a cached list; a list from discovery itself needs none."""
         if kind is EndpointListKind.FAILED:
             self.next_poll_at = now + self._retry_delay()
         elif kind is EndpointListKind.CACHED:
