--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -26,7 +26,7 @@
 
 from lockspoke.inventory.parse_cache import ReadOptions
 from lockspoke.inventory.snapshot import take_snapshot
-from lockspoke.inventory.source_file import FileText
+from lockspoke.inventory.source_file import FileContent
 from lockspoke.inventory.writing import FORMATS, write_inventory
 from tests.inventory.test_source import Load, RecordingReplica, csv_text, gateway_options, replace_file
 from tests.standins import Client, Program, until
@@ -147,7 +147,7 @@
         for path, changed in zip(paths, (-1, size // 2), strict=True):
             text = big_rows(size, changed)
             if form != "csv":
-                files = [FileText("a.csv", text.encode())]
+                files = [FileContent("a.csv", text.encode())]
                 text = write_inventory(take_snapshot(files, ReadOptions()).snapshot.replicas.values(), form)
             path.write_text(text)
         command = [sys.executable, "-c", READING, *map(str, paths)]
--- a/lockspoke/inventory/files.py
+++ b/lockspoke/inventory/files.py
@@ -10,7 +10,7 @@
 
 from .file_signature import FileSignature, read_signature
 from .limits import MAX_FILE_BYTES, MAX_FILES
-from .source_file import FileText
+from .source_file import FileContent
 
 # What Ansible ignores in a folder of sources, and temporary files of editors.
 _IGNORED_NAMES = re.compile(
@@ -20,26 +20,26 @@
 _VARIABLE_SUFFIXES = ("", ".yml", ".yaml", ".json")
 
 
-def read_files(paths: Sequence[Path]) -> list[FileText]:
+def read_files(paths: Sequence[Path]) -> list[FileContent]:
     """Read all files of an inventory, in the order in which they are merged.
 
     A folder means the sources in it, sorted by name. The folders `group_vars` and `host_vars` beside a source
     are read too. A file that can't be read is in the result with its error; nothing is raised.
     """
-    found: list[FileText] = []
+    found: list[FileContent] = []
     beside: dict[Path, None] = {}
     for path in paths:
         for source in _source_paths(path):
             found.append(_read_file(source, "source"))
             if len(found) > MAX_FILES:
-                return [*found, FileText(str(path), None, f"more than {MAX_FILES} files")]
+                return [*found, FileContent(str(path), None, f"more than {MAX_FILES} files")]
         beside.setdefault(path if path.is_dir() else path.parent)
     for folder in beside:
         for role in _VARIABLE_FOLDERS:
             for subject, file in _variable_files(folder / role):
                 found.append(_read_file(file, role, subject))
                 if len(found) > MAX_FILES:
-                    return [*found, FileText(str(folder), None, f"more than {MAX_FILES} files")]
+                    return [*found, FileContent(str(folder), None, f"more than {MAX_FILES} files")]
     return found
 
 
@@ -127,16 +127,16 @@
             yield name, inner  # the name of a host may have dots
 
 
-def _read_file(path: Path, role: str, subject: str = "") -> FileText:
+def _read_file(path: Path, role: str, subject: str = "") -> FileContent:
     try:
         # Only regular files are read, as a pipe or a device could block forever.
         handle = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
         with open(handle, "rb") as file:
             status = os.fstat(file.fileno())
             if not stat.S_ISREG(status.st_mode):
-                return FileText(str(path), None, "not a regular file", role, subject)
+                return FileContent(str(path), None, "not a regular file", role, subject)
             data = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        return FileText(str(path), None, error.strerror or type(error).__name__, role, subject)
+        return FileContent(str(path), None, error.strerror or type(error).__name__, role, subject)
     script = role == "source" and bool(status.st_mode & 0o111) and data.startswith(b"#!")
-    return FileText(str(path), data, "", role, subject, script)
+    return FileContent(str(path), data, "", role, subject, script)
--- a/lockspoke/inventory/merging.py
+++ b/lockspoke/inventory/merging.py
@@ -30,20 +30,20 @@
 
 
 @dataclass(slots=True)
-class HostVariables:
+class FileVariables:
     """The variables that files in group_vars or host_vars give to one group or host."""
 
     values: dict[str, Value] = field(default_factory=dict)
     malformed_at: Place | None = None  # where one of the files can't be read
     place: Place = field(default_factory=lambda: Place(""))
 
-    def merge(self, other: HostVariables) -> None:
+    def merge(self, other: FileVariables) -> None:
         """Add the variables of another file; they override those of the files before it."""
         self.values.update(other.values)
         self.malformed_at = self.malformed_at or other.malformed_at
 
 
-VariablesByName = Mapping[str, HostVariables]
+VariablesByName = Mapping[str, FileVariables]
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
         self.values: dict[str, Value] = {}
         self.problems: list[Problem] = []
 
-    def merge(self, host_variables: HostVariables | None) -> Row:
+    def merge(self, host_variables: FileVariables | None) -> Row:
         """The row of the host, with the problems of merging it."""
         self._merge_group_variables()
         group_values = {key: self.values[key] for key in _CONFLICT_CODES if key in self.values}
@@ -248,7 +248,7 @@
                     Problem(CONTRADICTS_GROUP, own.place, message, "keep one of them", value.place, self.name)
                 )
 
-    def _report_malformed_variables(self, host_variables: HostVariables | None) -> None:
+    def _report_malformed_variables(self, host_variables: FileVariables | None) -> None:
         """Note that some variables of the host could not be read, so that its values are not known."""
         places = [node.malformed_at for node in self.groups]
         places += [given.malformed_at for node in self.groups if (given := self.group_vars.get(node.name))]
--- a/lockspoke/inventory/parse_cache.py
+++ b/lockspoke/inventory/parse_cache.py
@@ -11,7 +11,7 @@
 from .problems import Problem, ProblemCollector
 from .row_checker import CheckedRow, check_row
 from .schema import FIELDS, Rules
-from .source_file import FileText
+from .source_file import FileContent
 from .source_reader import read_source
 
 DIGEST_BYTES = 16
@@ -76,7 +76,7 @@
         self._rows = {key: self._rows[key] for key in self._used_rows if key in self._rows}
 
     def read(
-        self, file: FileText, options: ReadOptions, names: dict[str, str], problems: ProblemCollector
+        self, file: FileContent, options: ReadOptions, names: dict[str, str], problems: ProblemCollector
     ) -> Source | None:
         """Read a file of hosts, or return its cached source; None for a file that is skipped."""
         content = file.data or file.error.encode()
--- a/lockspoke/inventory/snapshot.py
+++ b/lockspoke/inventory/snapshot.py
@@ -6,14 +6,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from .merging import HostVariables, MergeRules, merge_sources
+from .merging import FileVariables, MergeRules, merge_sources
 from .model import Row, Snapshot, Source
 from .parse_cache import ParseCache, ReadOptions
 from .patterns import Pattern
 from .problems import NOTHING_SELECTED, Place, ProblemCollector
 from .row_checker import CheckedRow, reject_duplicate_addresses
 from .schema import more_restrictive
-from .source_file import FileText
+from .source_file import FileContent
 from .source_reader import read_variables
 
 FINGERPRINT_BYTES = 8
@@ -33,11 +33,11 @@
     """The parsed contents of all files."""
 
     sources: list[Source] = field(default_factory=list)
-    group_vars: dict[str, HostVariables] = field(default_factory=dict)
-    host_vars: dict[str, HostVariables] = field(default_factory=dict)
+    group_vars: dict[str, FileVariables] = field(default_factory=dict)
+    host_vars: dict[str, FileVariables] = field(default_factory=dict)
 
 
-def fingerprint(files: Iterable[FileText]) -> str:
+def fingerprint(files: Iterable[FileContent]) -> str:
     """A short digest of the paths, roles and contents of all files."""
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for file in files:
@@ -48,7 +48,7 @@
 
 
 def take_snapshot(
-    files: list[FileText], options: ReadOptions, cache: ParseCache | None = None
+    files: list[FileContent], options: ReadOptions, cache: ParseCache | None = None
 ) -> SnapshotReport:
     """Read, merge, select and check all files. Errors in their content are reported, never raised.
 
@@ -74,7 +74,7 @@
 
 
 def _read_files(
-    files: list[FileText], options: ReadOptions, cache: ParseCache, problems: ProblemCollector
+    files: list[FileContent], options: ReadOptions, cache: ParseCache, problems: ProblemCollector
 ) -> _Input:
     names = {key.lower(): value for key, value in options.rules.names.items()}
     read = _Input()
@@ -85,7 +85,7 @@
                 read.sources.append(source)
             continue
         by_subject = read.group_vars if file.role == "group_vars" else read.host_vars
-        variables = by_subject.setdefault(file.subject, HostVariables(place=Place(file.path)))
+        variables = by_subject.setdefault(file.subject, FileVariables(place=Place(file.path)))
         variables.merge(read_variables(file, problems))
     return read
 
@@ -130,7 +130,7 @@
 
 
 def _build_snapshot(
-    files: list[FileText],
+    files: list[FileContent],
     sources: list[Source],
     checked: list[CheckedRow],
     by_host: dict[str, str],
--- a/lockspoke/inventory/snapshot_loader.py
+++ b/lockspoke/inventory/snapshot_loader.py
@@ -19,7 +19,7 @@
 from .parser_process import ParserProcess, ParserProcessError
 from .settings import InventorySettings
 from .snapshot import take_snapshot
-from .source_file import FileText
+from .source_file import FileContent
 
 log = structlog.get_logger()
 
@@ -87,5 +87,5 @@
     return [Path(path) for path in settings.paths]
 
 
-def _parse(files: Sequence[FileText], options: ReadOptions) -> Snapshot:
+def _parse(files: Sequence[FileContent], options: ReadOptions) -> Snapshot:
     return take_snapshot(list(files), options).snapshot
--- a/lockspoke/inventory/source_file.py
+++ b/lockspoke/inventory/source_file.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FileText:
+class FileContent:
     """A file as it was read: its bytes, or the reason why there are none.
 
     `role` is source, group_vars or host_vars; `subject` is the group or host that a file of variables is for.
@@ -47,7 +47,7 @@
         self.code, self.place, self.suggestion = code, place, suggestion
 
 
-def decode_text(file: FileText, problems: ProblemCollector) -> str | None:
+def decode_text(file: FileContent, problems: ProblemCollector) -> str | None:
     """The text of a file with LF line ends; None, with the problem reported, where it has none."""
     try:
         text = _decode_utf8(file).replace("\r\n", "\n")
@@ -58,7 +58,7 @@
     return text
 
 
-def _decode_utf8(file: FileText) -> str:
+def _decode_utf8(file: FileContent) -> str:
     place = Place(file.path)
     if file.data is None:
         message = f"the file can't be read: {file.error}"
@@ -77,7 +77,7 @@
         raise _DecodeError(NOT_UTF8, place, "this byte is not UTF-8", "save the file as UTF-8") from None
 
 
-def _check_text(file: FileText, text: str) -> None:
+def _check_text(file: FileContent, text: str) -> None:
     longest = max(map(len, text.split("\n")))
     if longest > MAX_LINE_CHARS:
         message = f"a line of {longest} characters"
--- a/lockspoke/inventory/source_reader.py
+++ b/lockspoke/inventory/source_reader.py
@@ -11,7 +11,7 @@
 from .ini_reader import read_ini
 from .json_document import read_json
 from .limits import LimitError
-from .merging import HostVariables
+from .merging import FileVariables
 from .model import Group, Source
 from .problems import (
     INVENTORY_SCRIPT,
@@ -22,13 +22,13 @@
     Place,
     ProblemCollector,
 )
-from .source_file import FileText, decode_text
+from .source_file import FileContent, decode_text
 from .tree_walker import TreeWalker, read_group_variables
 from .yaml_document import read_yaml
 
 
 def read_source(
-    file: FileText,
+    file: FileContent,
     file_format: str,
     names: Mapping[str, str],
     known: frozenset[str],
@@ -97,12 +97,12 @@
     return read_json(text, path) if file_format == "json" else read_yaml(text, path)
 
 
-def read_variables(file: FileText, problems: ProblemCollector) -> HostVariables:
+def read_variables(file: FileContent, problems: ProblemCollector) -> FileVariables:
     """Read a file of group_vars or host_vars; what can't be read has its place in `malformed_at`."""
     place = Place(file.path)
     text = decode_text(file, problems)
     if text is None:
-        return HostVariables(malformed_at=None if file.is_encrypted else place, place=place)
+        return FileVariables(malformed_at=None if file.is_encrypted else place, place=place)
     holder = Group(file.subject, place)
     try:
         root = _parse_document(text, file.path, "json" if file.path.endswith(".json") else "yaml")
@@ -111,8 +111,8 @@
     except DocumentError as error:
         suggestion = "mend it; until then the hosts concerned stay as they are"
         problems.add(SYNTAX_ERROR, error.place, str(error), suggestion)
-        return HostVariables(malformed_at=error.place, place=place)
+        return FileVariables(malformed_at=error.place, place=place)
     except LimitError as error:
         problems.add(TOO_DEEP, place, str(error), "make it flatter")
-        return HostVariables(malformed_at=place, place=place)
-    return HostVariables(holder.variables, holder.malformed_at, place)
+        return FileVariables(malformed_at=place, place=place)
+    return FileVariables(holder.variables, holder.malformed_at, place)
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -19,7 +19,7 @@
 from lockspoke.inventory.ranges import RangeError, expand_range
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import SnapshotReport, take_snapshot
-from lockspoke.inventory.source_file import FileText
+from lockspoke.inventory.source_file import FileContent
 from lockspoke.inventory.writing import FORMATS, write_inventory
 from tests.properties import reproducible
 
@@ -28,7 +28,7 @@
 
 def read(text: str | bytes, name: str, rules: Rules = RULES, **more: Any) -> SnapshotReport:
     data = text.encode() if isinstance(text, str) else text
-    return take_snapshot([FileText(name, data)], ReadOptions(rules, **more))
+    return take_snapshot([FileContent(name, data)], ReadOptions(rules, **more))
 
 
 def codes(report: SnapshotReport) -> list[tuple[str, int]]:
@@ -272,7 +272,10 @@
             and problem.message
             and 0 <= problem.place.line <= data.count(b"\n") + 2
         )
-    files = [FileText("hosts", b"w1 host=10.0.0.1"), FileText(name, data, role="host_vars", subject="w1")]
+    files = [
+        FileContent("hosts", b"w1 host=10.0.0.1"),
+        FileContent(name, data, role="host_vars", subject="w1"),
+    ]
     take_snapshot(files, ReadOptions(RULES))
 
 
@@ -314,5 +317,5 @@
     rows = [f"w{n},10.0.0.{n}\n" for n in range(1, 9)]
     for changed in ("w3,10.0.0.99\n", "w3,10.0.0.4\n", "w3,nowhere\n", rows[2]):
         rows[2] = changed
-        files = [FileText("a.csv", ("name,host\n" + "".join(rows)).encode())]
+        files = [FileContent("a.csv", ("name,host\n" + "".join(rows)).encode())]
         assert take_snapshot(files, reading, memory).snapshot == take_snapshot(files, reading).snapshot
--- a/tests/inventory/test_reconciler.py
+++ b/tests/inventory/test_reconciler.py
@@ -15,7 +15,7 @@
 from lockspoke.inventory.reconciler import Reconciler
 from lockspoke.inventory.schema import Rules
 from lockspoke.inventory.snapshot import take_snapshot
-from lockspoke.inventory.source_file import FileText
+from lockspoke.inventory.source_file import FileContent
 from tests.properties import reproducible
 
 READ_OPTIONS = ReadOptions(Rules(zones=("lis-1",), kinds={"gen-a": 0.7, "gen-b": 1.0}, port=5000))
@@ -24,7 +24,7 @@
 def snapshot(
     *rows: str, header: str = "name,host,kind,state", end: str = "\n", file: str = "a.csv"
 ) -> Snapshot:
-    return take_snapshot([FileText(file, ("\n".join([header, *rows]) + end).encode())], READ_OPTIONS).snapshot
+    return take_snapshot([FileContent(file, ("\n".join([header, *rows]) + end).encode())], READ_OPTIONS).snapshot
 
 
 def rows(count: int, *without: int) -> list[str]:
@@ -80,7 +80,7 @@
     for text in file_contents:
         reconciler = started_reconciler(12)
         result = reconciler.reconcile(
-            take_snapshot([FileText("a.csv", text.encode())], READ_OPTIONS).snapshot, 10
+            take_snapshot([FileContent("a.csv", text.encode())], READ_OPTIONS).snapshot, 10
         )
         removed = {entry.uid for entry in result.entries if entry.state == ReplicaState.REMOVED}
         # Truncation at the end of a line looks like a removal: a few hosts are removed, many are held.
@@ -89,7 +89,7 @@
             assert not removed, text
         assert {one.record.kind for one in reconciler.known.values()} == {"gen-a"}, text
         result = reconciler.reconcile(
-            take_snapshot([FileText("a.csv", before.encode())], READ_OPTIONS).snapshot, 200
+            take_snapshot([FileContent("a.csv", before.encode())], READ_OPTIONS).snapshot, 200
         )
         assert {name: one.record.host for name, one in reconciler.known.items()} == {
             f"w{n}": f"10.0.0.{n}" for n in range(1, 13)
@@ -134,10 +134,10 @@
     reconciler = started_reconciler(2, removal_settle_ms=5_000)
     for text in (b"", b"name,host,kind,state\n", b"[", b"# gone\n"):
         assert not reconciler.reconcile(
-            take_snapshot([FileText("a.csv", text)], READ_OPTIONS).snapshot, 10
+            take_snapshot([FileContent("a.csv", text)], READ_OPTIONS).snapshot, 10
         ).entries
         assert not reconciler.reconcile(
-            take_snapshot([FileText("a.csv", text)], READ_OPTIONS).snapshot, 60_000
+            take_snapshot([FileContent("a.csv", text)], READ_OPTIONS).snapshot, 60_000
         ).entries
     reconciler = started_reconciler(10, removal_settle_ms=5_000)
     half_of_hosts = snapshot(*rows(5))
@@ -161,7 +161,7 @@
     assert [entry.uid for entry in reconciler.reconcile(truncated, 5_010).entries] == ["w10"]
     reconciler = started_reconciler(10)
     malformed = take_snapshot(
-        [FileText("a.csv", ("name,host,kind\n" + "w1,10.0.0.1,gen-a\n" + '"w2,').encode())], READ_OPTIONS
+        [FileContent("a.csv", ("name,host,kind\n" + "w1,10.0.0.1,gen-a\n" + '"w2,').encode())], READ_OPTIONS
     ).snapshot
     assert (
         not reconciler.reconcile(malformed, 10).entries
@@ -231,9 +231,9 @@
 
 def test_conflicting_and_missing_files_hold_their_hosts() -> None:
     def snapshot_of_two_files(second: bytes | None) -> Snapshot:
-        first = FileText("a.csv", b"name,host,kind\nw1,10.0.0.1,gen-a\nw2,10.0.0.2,gen-a\n")
+        first = FileContent("a.csv", b"name,host,kind\nw1,10.0.0.1,gen-a\nw2,10.0.0.2,gen-a\n")
         return take_snapshot(
-            [first, FileText("b.csv", second, "gone" if second is None else "")], READ_OPTIONS
+            [first, FileContent("b.csv", second, "gone" if second is None else "")], READ_OPTIONS
         ).snapshot
 
     reconciler = Reconciler()
