--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -108,7 +108,7 @@
 from pathlib import Path
 from lockspoke.inventory.files import read_files
 from lockspoke.inventory.reconciler import Reconciler
-from lockspoke.inventory.schema import Rules
+from lockspoke.inventory.schema import ReplicaRules
 from lockspoke.inventory.parse_cache import ParseCache, ReadOptions
 from lockspoke.inventory.snapshot import take_snapshot
 
@@ -119,7 +119,7 @@
     lines = Path("/proc/self/status").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("VmHWM")) / 1024
 
-options, cache, reconciler = ReadOptions(Rules(("lis-1",), {"gen-a": 0.7})), ParseCache(), Reconciler()
+options, cache, reconciler = ReadOptions(ReplicaRules(("lis-1",), {"gen-a": 0.7})), ParseCache(), Reconciler()
 before, figures = peak(), {}
 for name, path in (("whole", sys.argv[1]), ("one_row_changed", sys.argv[2])):
     began = time.perf_counter()
--- a/lockspoke/inventory/parse_cache.py
+++ b/lockspoke/inventory/parse_cache.py
@@ -10,7 +10,7 @@
 from .patterns import Pattern
 from .problems import Problem, ProblemCollector
 from .row_checker import CheckedRow, check_row
-from .schema import FIELDS, Rules
+from .schema import FIELDS, ReplicaRules
 from .source_file import FileContent
 from .source_reader import read_source
 
@@ -25,7 +25,7 @@
     the hosts to use; None for all hosts.
     """
 
-    rules: Rules = field(default_factory=Rules)
+    rules: ReplicaRules = field(default_factory=ReplicaRules)
     file_format: str = ""
     select: Pattern | None = None
     # Whether the later of two sources with different values takes precedence, as in Ansible.
@@ -91,7 +91,7 @@
             problems.found.setdefault(problem)
         return parsed.source
 
-    def check(self, row: Row, rules: Rules) -> CheckedRow:
+    def check(self, row: Row, rules: ReplicaRules) -> CheckedRow:
         """Check a row against the schema, or return the cached result."""
         key = (
             row.name,
--- a/lockspoke/inventory/row_checker.py
+++ b/lockspoke/inventory/row_checker.py
@@ -35,7 +35,7 @@
     Place,
     Problem,
 )
-from .schema import FALLBACKS, FIELDS, LABEL_PREFIXES, Rules, is_ip
+from .schema import FALLBACKS, FIELDS, LABEL_PREFIXES, ReplicaRules, is_ip
 
 T = TypeVar("T")
 
@@ -65,7 +65,7 @@
         return "; ".join(f"{one.code.id} {one.message}" for one in self.problems if one.is_error)
 
 
-def check_row(row: Row, rules: Rules) -> CheckedRow:
+def check_row(row: Row, rules: ReplicaRules) -> CheckedRow:
     """Check one row alone."""
     return _RowChecker(row, rules).check()
 
@@ -79,7 +79,7 @@
 
 
 class _RowChecker:
-    def __init__(self, row: Row, rules: Rules) -> None:
+    def __init__(self, row: Row, rules: ReplicaRules) -> None:
         self.row, self.rules = row, rules
         self.problems: list[Problem] = list(row.problems)
         self.values: dict[str, Value] = {}
--- a/lockspoke/inventory/schema.py
+++ b/lockspoke/inventory/schema.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class ReplicaRules:
     """The settings that concern replicas; empty `zones` or `kinds` allow any."""
 
     zones: tuple[str, ...] = ()
--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -9,7 +9,7 @@
 from .decisions import ReconcilePolicy
 from .parse_cache import ReadOptions
 from .patterns import PatternError, parse_pattern
-from .schema import FIELDS, Rules
+from .schema import FIELDS, ReplicaRules
 
 Fraction = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=7 * 86400.0)]
@@ -80,7 +80,7 @@
 
     def read_options(self, zones: tuple[str, ...] = ()) -> ReadOptions:
         """The options for reading sources; `zones` are the gateway's, used if none are set here."""
-        rules = Rules(
+        rules = ReplicaRules(
             zones=tuple(self.zones) or zones,
             kinds=self.kinds,
             lookups=self.lookups,
--- a/tests/inventory/test_problems.py
+++ b/tests/inventory/test_problems.py
@@ -12,11 +12,11 @@
 from lockspoke.inventory.patterns import parse_pattern
 from lockspoke.inventory.problems import CODES, Severity
 from lockspoke.inventory.reports import as_json, as_sarif, as_text, summary
-from lockspoke.inventory.schema import Rules
+from lockspoke.inventory.schema import ReplicaRules
 from lockspoke.inventory.snapshot import take_snapshot
 
 KINDS = {"gen-a": 0.7, "gen-b": 1.0, "gen-c": 1.3}
-RULES = Rules(zones=("lis-1", "lis-2"), kinds=KINDS, require=("zone",), port=5000)
+RULES = ReplicaRules(zones=("lis-1", "lis-2"), kinds=KINDS, require=("zone",), port=5000)
 GOOD = [f"w{n:02},10.0.0.{n},5000,lis-1,gen-a,1,up,," for n in range(1, 23)]
 HEADER = "name,host,port,zone,kind,weight,state,labels,endpoint"
 
@@ -118,7 +118,7 @@
     (folder / "run.sh").chmod(0o755)
     os.symlink("nowhere", folder / "gone.csv")
     report = take_snapshot(
-        read_files([folder]), ReadOptions(Rules(zones=RULES.zones, kinds=KINDS, port=5000))
+        read_files([folder]), ReadOptions(ReplicaRules(zones=RULES.zones, kinds=KINDS, port=5000))
     )
     got: dict[str, set[tuple[str, int]]] = {}
     for one in report.snapshot.problems:
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -17,16 +17,16 @@
 from lockspoke.inventory.parse_cache import ParseCache, ReadOptions
 from lockspoke.inventory.patterns import PatternError, parse_pattern
 from lockspoke.inventory.ranges import RangeError, expand_range
-from lockspoke.inventory.schema import Rules
+from lockspoke.inventory.schema import ReplicaRules
 from lockspoke.inventory.snapshot import SnapshotReport, take_snapshot
 from lockspoke.inventory.source_file import FileContent
 from lockspoke.inventory.writing import FORMATS, write_inventory
 from tests.properties import reproducible
 
-RULES = Rules(zones=("lis-1", "lis-2"), kinds={"gen-a": 0.7, "gen-b": 1.0, "gen-c": 1.3}, port=5000)
+RULES = ReplicaRules(zones=("lis-1", "lis-2"), kinds={"gen-a": 0.7, "gen-b": 1.0, "gen-c": 1.3}, port=5000)
 
 
-def read(text: str | bytes, name: str, rules: Rules = RULES, **more: Any) -> SnapshotReport:
+def read(text: str | bytes, name: str, rules: ReplicaRules = RULES, **more: Any) -> SnapshotReport:
     data = text.encode() if isinstance(text, str) else text
     return take_snapshot([FileContent(name, data)], ReadOptions(rules, **more))
 
@@ -75,7 +75,7 @@
     text = "\ufeff# ours\r\nName,Address,Port,zone,kind,notes\r\n"
     text += 'w1,10.0.0.1,5001,lis-1,gen-a,"two\r\nlines, one ""cell"""\r\n\r\n'
     text += "w[2:3],10.0.0.2,5001,lis-2,gen-c,\r\n"
-    rules = Rules(RULES.zones, RULES.kinds, names={"address": "host"})
+    rules = ReplicaRules(RULES.zones, RULES.kinds, names={"address": "host"})
     report = read(text.replace(",", mark) if mark != "," else text, "a.csv", rules)
     one = report.snapshot.replicas["w1"]
     assert (one.address, one.zone, one.kind, one.weight) == (("10.0.0.1", 5001), "lis-1", "gen-a", 0.7)
@@ -307,7 +307,7 @@
 @reproducible
 @given(REPLICAS, st.sampled_from(FORMATS))
 def test_written_inventories_read_back_equal(replicas: list[ReplicaRecord], form: str) -> None:
-    report = read(write_inventory(replicas, form), f"a.{form}", Rules())
+    report = read(write_inventory(replicas, form), f"a.{form}", ReplicaRules())
     assert not [one for one in report.snapshot.problems if one.is_error]
     assert list(report.snapshot.replicas.values()) == replicas
 
--- a/tests/inventory/test_reconciler.py
+++ b/tests/inventory/test_reconciler.py
@@ -13,12 +13,12 @@
 from lockspoke.inventory.model import ReplicaRecord, Snapshot
 from lockspoke.inventory.parse_cache import ReadOptions
 from lockspoke.inventory.reconciler import Reconciler
-from lockspoke.inventory.schema import Rules
+from lockspoke.inventory.schema import ReplicaRules
 from lockspoke.inventory.snapshot import take_snapshot
 from lockspoke.inventory.source_file import FileContent
 from tests.properties import reproducible
 
-READ_OPTIONS = ReadOptions(Rules(zones=("lis-1",), kinds={"gen-a": 0.7, "gen-b": 1.0}, port=5000))
+READ_OPTIONS = ReadOptions(ReplicaRules(zones=("lis-1",), kinds={"gen-a": 0.7, "gen-b": 1.0}, port=5000))
 
 
 def snapshot(
