--- a/lockspoke/inventory/field_parsers.py
+++ b/lockspoke/inventory/field_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers of single values of a replica. Each raises InvalidValueError for a text that it can't accept."""
+"""Parsers for the fields of a replica. Each raises InvalidValueError for a value that is not valid."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
     BAD_PORT,
     UNKNOWN_STATE,
     UNUSABLE_HOST,
-    Code,
+    ProblemCode,
 )
-from .schema import STATES
+from .schema import STATE_SYNONYMS
 
 MAX_QUOTED_CHARS = 60
 MAX_PORT = 65535
 MAX_WEIGHT = 1000
-SIMILARITY = 0.5  # least similarity of a known name that is suggested for an unknown one
+MIN_SIMILARITY = 0.5  # A known name is suggested for an unknown one from this difflib ratio on.
 BROADCAST = "255.255.255.255"
 
 _DNS_NAME = re.compile(
@@ -30,24 +30,24 @@
 
 
 class InvalidValueError(Exception):
-    """A value that can't be accepted: the code of the problem, and what to write instead."""
+    """A value is not valid; has the code of the problem and a suggestion how to fix it."""
 
-    def __init__(self, code: Code, message: str, suggestion: str = "") -> None:
+    def __init__(self, code: ProblemCode, message: str, suggestion: str = "") -> None:
         super().__init__(message)
         self.code, self.suggestion = code, suggestion
 
 
 def quoted(text: str) -> str:
-    """A text in quotes, shortened where it is long."""
+    """Return a text in quotes, truncated to MAX_QUOTED_CHARS."""
     return repr(text if len(text) <= MAX_QUOTED_CHARS else text[: MAX_QUOTED_CHARS - 3] + "...")
 
 
 def parse_host(text: str, allow_names: bool) -> str:
-    """An IP address in its normal form, or a DNS name in lower case."""
+    """Parse an IP address or, if allowed, a DNS name; returns the canonical form."""
     try:
         address = ipaddress.ip_address(text)
     except ValueError:
-        return _parse_name(text, allow_names)
+        return _parse_dns_name(text, allow_names)
     if address.is_unspecified or address.is_multicast or str(address) == BROADCAST:
         raise InvalidValueError(
             UNUSABLE_HOST, f"nothing can be sent to {address}", "write the worker's own address"
@@ -55,8 +55,8 @@
     return str(address)
 
 
-def _parse_name(text: str, allow_names: bool) -> str:
-    # A text of digits and dots is a mistyped address: no name looks like that.
+def _parse_dns_name(text: str, allow_names: bool) -> str:
+    # A text of digits and dots is a mistyped address rather than a DNS name.
     is_numeric = re.fullmatch(r"[0-9.]+", text) is not None
     if allow_names and not is_numeric and _DNS_NAME.fullmatch(text):
         return text.lower()
@@ -68,7 +68,7 @@
 
 
 def parse_port(text: str) -> int:
-    """A port from 1 on."""
+    """Parse a port, which must not be 0."""
     if not (text.isascii() and text.isdigit() and len(text) <= 5 and 0 < int(text) <= MAX_PORT):
         raise InvalidValueError(
             BAD_PORT, f"the port is {quoted(text)}", "write a whole number from 1 to 65535"
@@ -77,7 +77,7 @@
 
 
 def parse_cell(text: str) -> int:
-    """The number of a cell."""
+    """Parse the number of a cell, which has at most six digits."""
     if not (text.isascii() and text.isdigit() and len(text) <= 6):
         raise InvalidValueError(
             BAD_NUMBER, f"the cell is {quoted(text)}", "write a whole number from 0 to 999999"
@@ -86,7 +86,7 @@
 
 
 def parse_weight(text: str) -> float:
-    """A weight above 0."""
+    """Parse a weight, which must be above 0."""
     if not _NUMBER.fullmatch(text) or not 0 < float(text) <= MAX_WEIGHT:
         suggestion = "write a number above 0, at most 1000, as 1.25"
         raise InvalidValueError(BAD_NUMBER, f"the weight is {quoted(text)}", suggestion)
@@ -94,18 +94,18 @@
 
 
 def parse_state(text: str) -> str:
-    """One of the states up, draining and removed, from any of its synonyms."""
-    state = STATES.get(text.lower())
+    """Parse a state or a synonym of it; returns up, draining or removed."""
+    state = STATE_SYNONYMS.get(text.lower())
     if state is None:
         suggestion = "write up, draining or removed"
         raise InvalidValueError(UNKNOWN_STATE, f"the state is {quoted(text)}", suggestion)
     return state
 
 
-def parse_known_name(text: str, field: str, known: tuple[str, ...], code: Code) -> str:
-    """One of the known names; any name where none are known."""
+def parse_known_name(text: str, field: str, known: tuple[str, ...], code: ProblemCode) -> str:
+    """Check that a name is one of the known names; if there are none, any name is valid."""
     if known and text not in known:
-        similar = difflib.get_close_matches(text, known, 1, SIMILARITY)
+        similar = difflib.get_close_matches(text, known, 1, MIN_SIMILARITY)
         hint = f"did you mean {similar[0]}? " if similar else ""
         raise InvalidValueError(
             code, f"{field} {quoted(text)} is not known", f"{hint}known are {', '.join(known)}"
--- a/lockspoke/inventory/ini_reader.py
+++ b/lockspoke/inventory/ini_reader.py
@@ -16,8 +16,8 @@
     TOO_DEEP,
     TOO_LARGE,
     WRONG_TYPE,
-    Code,
     Place,
+    ProblemCode,
     ProblemCollector,
 )
 from .ranges import RangeError, expand_range
@@ -132,7 +132,7 @@
         source.hosts = list(self.hosts.values())
         return source
 
-    def _give_up(self, code: Code, place: Place, message: str, suggestion: str) -> Source:
+    def _give_up(self, code: ProblemCode, place: Place, message: str, suggestion: str) -> Source:
         self.problems.add(code, place, message, suggestion)
         self.source.complete = False
         return self.source
--- a/lockspoke/inventory/merging.py
+++ b/lockspoke/inventory/merging.py
@@ -1,8 +1,13 @@
 """Merges sources into rows by Ansible's order of precedence, and finds the conflicts between them.
 
-The order, from weakest to strongest, is the one that Ansible documents: variables of `all` in the sources,
-of other groups in the sources (by depth, then `ansible_group_priority`, then name), of `group_vars/all`, of
-`group_vars/GROUP`, of the host in the sources, of `host_vars/HOST`.
+Ansible documents this order of precedence, from lowest to highest:
+
+1. variables of the group `all` in the sources
+2. variables of other groups in the sources, by depth, then `ansible_group_priority`, then name
+3. `group_vars/all`
+4. `group_vars/GROUP`, for the other groups in the same order
+5. variables of the host in the sources
+6. `host_vars/HOST`
 """
 
 from __future__ import annotations
@@ -31,14 +36,14 @@
 
 @dataclass(slots=True)
 class FileVariables:
-    """The variables that files in group_vars or host_vars give to one group or host."""
+    """The variables of one group or host from its files in group_vars or host_vars."""
 
     values: dict[str, Value] = field(default_factory=dict)
-    malformed_at: Place | None = None  # where one of the files can't be read
+    malformed_at: Place | None = None  # The place in one of the files that can't be read, if there is any.
     place: Place = field(default_factory=lambda: Place(""))
 
     def merge(self, other: FileVariables) -> None:
-        """Add the variables of another file; they override those of the files before it."""
+        """Add the variables of another file; they override those of earlier files."""
         self.values.update(other.values)
         self.malformed_at = self.malformed_at or other.malformed_at
 
@@ -50,8 +55,9 @@
 class MergeRules:
     """How sources are merged.
 
-    `canonical_names` gives the schema's name of a variable, `implied_values` by the name of a group the
-    field and value that it implies. With `later_wins` sources may give different values.
+    `canonical_names` maps the name of a variable to that of a schema field. `implied_values` maps the name of
+    a group to the field and value that it implies for its hosts. With `later_wins`, different values in two
+    sources are no conflict: the later source overrides the earlier one.
     """
 
     canonical_names: Mapping[str, str]
@@ -60,7 +66,7 @@
 
 
 class _Occurrence(NamedTuple):
-    """A host in one source."""
+    """The definition of a host in one source."""
 
     source: Source
     host: Host
@@ -73,7 +79,7 @@
     rules: MergeRules,
     problems: ProblemCollector,
 ) -> list[Row]:
-    """All hosts of all sources with their values, in the order in which they are first named."""
+    """Return a row for each host of all sources, in the order in which the hosts first appear."""
     graph = GroupGraph(sources, problems)
     hosts: dict[str, list[_Occurrence]] = {}
     for source in sources:
@@ -91,17 +97,17 @@
 
 
 def _report_stray_variables(
-    kind: str, variables: VariablesByName, known: Iterable[str], problems: ProblemCollector
+    kind: str, variables: VariablesByName, known_names: Iterable[str], problems: ProblemCollector
 ) -> None:
-    known = frozenset(known)
-    for name, given in variables.items():
-        if name not in known:
+    known_names = frozenset(known_names)
+    for name, file_variables in variables.items():
+        if name not in known_names:
             message = f"variables for the {kind} {name!r}, which no source names"
-            problems.add(STRAY_VARS, given.place, message, "name it, or take the file out")
+            problems.add(STRAY_VARS, file_variables.place, message, "name it, or take the file out")
 
 
 class _HostMerger:
-    """Merges the values that sources give for one host."""
+    """Merges the values of one host from all sources."""
 
     __slots__ = ("graph", "group_vars", "groups", "name", "occurrences", "problems", "rules", "values")
 
@@ -123,7 +129,7 @@
         self.problems: list[Problem] = []
 
     def merge(self, host_variables: FileVariables | None) -> Row:
-        """The row of the host, with the problems of merging it."""
+        """Return the row of the host, with the problems found while merging."""
         self._merge_group_variables()
         group_values = {key: self.values[key] for key in _CONFLICT_CODES if key in self.values}
         self._merge_own_variables()
@@ -139,17 +145,17 @@
     def _place(self) -> Place:
         return self.occurrences[0].host.place
 
-    # Values of groups
+    # Values from groups
 
     def _merge_group_variables(self) -> None:
         for node in self.groups:
             self.values.update(node.variables)
         for node in self.groups:
-            if given := self.group_vars.get(node.name):
-                self.values.update(given.values)
+            if file_variables := self.group_vars.get(node.name):
+                self.values.update(file_variables.values)
         for node in self.groups:
-            for key, before, value in node.conflicts:
-                self._report_conflict(key, before, value)
+            for key, previous, value in node.conflicts:
+                self._report_conflict(key, previous, value)
         for key in _CONFLICT_CODES:
             candidates = self._strongest_group_values(key)
             if candidates:
@@ -157,24 +163,24 @@
                 self.values[key] = candidates[-1][1]
 
     def _strongest_group_values(self, key: str) -> list[tuple[GroupNode, Value]]:
-        """The groups that give or imply a value and are not overridden by another one that does.
+        """Return the groups that set or imply a value and are not overridden by another such group.
 
-        More than one of them means that the inventory is ambiguous, as in the middle of an edit.
+        If there are several, the inventory is ambiguous, for example because it is being edited.
         """
         candidates: list[tuple[GroupNode, Value]] = []
         for node in self.groups:
             value = self._group_value(node, key)
             if value is None:
                 continue
-            candidates = [one for one in candidates if not one[0].is_overridden_by(node)]
+            candidates = [candidate for candidate in candidates if not candidate[0].is_overridden_by(node)]
             if not any(node.is_overridden_by(other) for other, _ in candidates):
                 candidates.append((node, value))
         return candidates
 
     def _group_value(self, node: GroupNode, key: str) -> Value | None:
-        given = self.group_vars.get(node.name)
-        if given is not None and key in given.values:
-            return given.values[key]
+        file_variables = self.group_vars.get(node.name)
+        if file_variables is not None and key in file_variables.values:
+            return file_variables.values[key]
         if key in node.variables:
             return node.variables[key]
         implied_key, implied_value = self.rules.implied_values.get(node.name, ("", ""))
@@ -196,14 +202,14 @@
                 )
                 return
 
-    # Values of the host itself
+    # Values from the host itself
 
     def _merge_own_variables(self) -> None:
         own: dict[str, Value] = {}
         first_by_file: dict[str, Host] = {}
         for source, host in self.occurrences:
-            for key, before, value in host.conflicts:
-                self._report_conflict(key, before, value)
+            for key, previous, value in host.conflicts:
+                self._report_conflict(key, previous, value)
             first = first_by_file.get(source.file)
             if source.format == "csv" and first is not None:
                 self._report_duplicate(first, host)
@@ -218,28 +224,34 @@
     def _report_duplicate(self, first: Host, second: Host) -> None:
         code, message = DUPLICATE_NAME, f"{self.name} stands twice"
         for key, conflict_code in _CONFLICT_CODES.items():
-            one, other = first.variables.get(key), second.variables.get(key)
-            if one is not None and other is not None and one.text != other.text:
+            former, latter = first.variables.get(key), second.variables.get(key)
+            if former is not None and latter is not None and former.text != latter.text:
                 code = conflict_code
-                message = f"{self.name} stands twice, under the {key}s {one.text!r} and {other.text!r}"
+                message = f"{self.name} stands twice, under the {key}s {former.text!r} and {latter.text!r}"
                 break
         self.problems.append(
             Problem(code, second.place, message, "keep one of the rows", first.place, self.name)
         )
 
-    def _report_conflict(self, variable: str, one: Value, other: Value) -> None:
-        """Note two values for a field, unless the later one, or the more restrictive state, counts."""
+    def _report_conflict(self, variable: str, former: Value, latter: Value) -> None:
+        """Report two values for a schema field.
+
+        Two states are no conflict, as the more restrictive one is used, nor are values of two files if the
+        later source overrides the earlier one.
+        """
         field_name = self.rules.canonical_names.get(variable, "")
         if not field_name or field_name == "state":
             return
-        if self.rules.later_wins and one.place.file != other.place.file:
+        if self.rules.later_wins and former.place.file != latter.place.file:
             return
         code = _CONFLICT_CODES.get(field_name, SOURCES_DISAGREE)
-        message = f"{self.name} has two values for {field_name}: {one.text!r} and {other.text!r}"
-        self.problems.append(Problem(code, other.place, message, "keep one of them", one.place, self.name))
+        message = f"{self.name} has two values for {field_name}: {former.text!r} and {latter.text!r}"
+        self.problems.append(
+            Problem(code, latter.place, message, "keep one of them", former.place, self.name)
+        )
 
     def _report_contradictions(self, group_values: Mapping[str, Value]) -> None:
-        """Note where the host's own value differs from that of its groups."""
+        """Report values of the host itself that differ from those of its groups."""
         for key, value in group_values.items():
             own = self.values[key]
             if own.text != value.text:
@@ -249,9 +261,13 @@
                 )
 
     def _report_malformed_variables(self, host_variables: FileVariables | None) -> None:
-        """Note that some variables of the host could not be read, so that its values are not known."""
+        """Report that some variables of the host could not be read, so its values are unknown."""
         places = [node.malformed_at for node in self.groups]
-        places += [given.malformed_at for node in self.groups if (given := self.group_vars.get(node.name))]
+        places += [
+            file_variables.malformed_at
+            for node in self.groups
+            if (file_variables := self.group_vars.get(node.name))
+        ]
         if host_variables is not None:
             places.append(host_variables.malformed_at)
         malformed_at = next((place for place in places if place is not None), None)
--- a/lockspoke/inventory/model.py
+++ b/lockspoke/inventory/model.py
@@ -1,4 +1,4 @@
-"""The model of an inventory: values with their places, hosts, groups, rows, replica records and snapshots."""
+"""The data model of an inventory: values with their places, hosts, groups, rows, replicas and snapshots."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """A value as it is written in a source: a text, a mapping or a list of texts; None for a null.
+    """A value as written in a source: a string, a mapping, a list, or None for a null.
 
-    `encrypted` marks a value that only a vault key opens.
+    `encrypted` marks a value that is encrypted with Ansible Vault.
     """
 
     raw: Any
@@ -21,12 +21,12 @@
 
     @property
     def text(self) -> str:
-        """The value as text; empty for a null."""
+        """The value as a string; empty for a null."""
         return "" if self.raw is None else self.raw if isinstance(self.raw, str) else str(self.raw)
 
 
 class ValueConflict(NamedTuple):
-    """A variable that is given twice, with two values."""
+    """Two different values for the same variable."""
 
     key: str
     first: Value
@@ -35,57 +35,57 @@
 
 @dataclass(slots=True)
 class Host:
-    """A host in one source, before groups and schema have been applied."""
+    """A host as one source defines it, before group variables and the schema are applied."""
 
     name: str
     place: Place
     variables: dict[str, Value] = field(default_factory=dict)
     conflicts: list[ValueConflict] = field(default_factory=list)
 
-    def add_variables(self, given: dict[str, Value]) -> None:
-        """Add variables from another place that names the host; they override those before."""
-        for key, value in given.items():
-            before = self.variables.get(key)
-            if before is not None and before.raw != value.raw:
-                self.conflicts.append(ValueConflict(key, before, value))
+    def add_variables(self, new_variables: dict[str, Value]) -> None:
+        """Add variables from another definition of the host; they override earlier ones."""
+        for key, value in new_variables.items():
+            previous = self.variables.get(key)
+            if previous is not None and previous.raw != value.raw:
+                self.conflicts.append(ValueConflict(key, previous, value))
             self.variables[key] = value
 
 
 @dataclass(slots=True)
 class Group:
-    """A group in one source."""
+    """A group as one source defines it."""
 
     name: str
     place: Place
     hosts: dict[str, Place] = field(default_factory=dict)
     children: dict[str, Place] = field(default_factory=dict)
     variables: dict[str, Value] = field(default_factory=dict)
-    malformed_at: Place | None = None  # where its variables can't be read
+    malformed_at: Place | None = None  # The place of variables that can't be read, if there are any.
 
 
 @dataclass(slots=True)
 class Source:
-    """The content of one file, as far as it can be read.
+    """The hosts and groups of one file, as far as it can be read.
 
-    `format` is csv, ini, yaml or json. In all of them but CSV a host may be named in several places, whose
-    variables are merged.
+    `format` is csv, ini, yaml or json. In all formats except CSV, a host may be defined in several places of
+    a file, and their variables are merged.
     """
 
     file: str
     format: str
-    complete: bool = True  # read to its end: a host that is not in it has been removed
-    ends_with_newline: bool = True  # as complete text files do
+    complete: bool = True  # It was read to its end, so a host that is not in it has been removed.
+    ends_with_newline: bool = True  # A missing newline may mean that the file is still being written.
     hosts: list[Host] = field(default_factory=list)
     groups: dict[str, Group] = field(default_factory=dict)
 
     def get_or_add_group(self, name: str, place: Place) -> Group:
-        """The group with this name, created if it is new."""
+        """Return the group with this name; create it if it does not exist."""
         return self.groups.setdefault(name, Group(name, place))
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A host with its merged values: one row for each name, or for each line of a CSV file."""
+    """A host with the values merged from all sources; there is one row for each host name."""
 
     name: str
     place: Place
@@ -97,10 +97,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaRecord:
-    """A replica with a valid row.
+    """A replica whose row is valid.
 
     `weight` is relative to a replica of the reference speed, `cell` counts from 0, and `state` is up,
-    draining or removed. Equal records mean the same, wherever they were read.
+    draining or removed. A record does not say which file it was read from, so equal records are
+    interchangeable.
     """
 
     name: str
@@ -115,31 +116,38 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """The host and port that it listens on."""
+        """The host and port that the replica listens on."""
         return self.host, self.port
 
     def as_json(self) -> dict[str, Any]:
-        """The record as a plain object. Its keys are those of the stored list and of `check --json`."""
+        """Return the record as a dict with the keys of the stored list and of `check --json`."""
         names = ("name", "host", "port", "zone", "kind", "cell", "weight", "state")
         return {name: getattr(self, name) for name in names} | {"labels": dict(self.labels)}
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All sources at one moment, as far as they could be read.
-
-    `replicas` are the hosts with valid rows. `invalid_hosts` have rows that are not valid, with the reason;
-    `requested_states` holds the states of those among them that are draining or removed according to their
-    rows. `incomplete_sources` were not read to their end, with the reason; `invalid_row_addresses` are the
-    addresses in rows that are not valid. Either may explain why a host is missing, so it is not removed then.
+    """The content of all sources at one moment, as far as they could be read.
+
+    Attributes:
+        replicas: The hosts with valid rows.
+        files: For each host, the files that define it.
+        invalid_hosts: The hosts with invalid rows, and the reasons.
+        requested_states: The states of the invalid hosts whose rows say that they are draining or removed.
+        incomplete_sources: The sources that were not read to their end, and the reasons.
+        invalid_row_addresses: The addresses in invalid rows. These rows and the incomplete sources may be
+            the reason why a known host is missing from the snapshot, so it is not removed then.
+        unterminated_sources: The sources without a final newline.
+        problems: All problems found, sorted by file, line and column.
+        fingerprint: A digest of the names and contents of all files.
     """
 
     replicas: dict[str, ReplicaRecord]
-    files: dict[str, tuple[str, ...]] = field(default_factory=dict)  # by host, the files that name it
+    files: dict[str, tuple[str, ...]] = field(default_factory=dict)
     invalid_hosts: dict[str, str] = field(default_factory=dict)
     requested_states: dict[str, str] = field(default_factory=dict)
     incomplete_sources: dict[str, str] = field(default_factory=dict)
     invalid_row_addresses: frozenset[tuple[str, int]] = frozenset()
-    unterminated_sources: frozenset[str] = frozenset()  # sources without a final newline
+    unterminated_sources: frozenset[str] = frozenset()
     problems: tuple[Problem, ...] = ()
     fingerprint: str = ""
--- a/lockspoke/inventory/row_checker.py
+++ b/lockspoke/inventory/row_checker.py
@@ -1,4 +1,4 @@
-"""Checks the rows of an inventory against the schema. All problems of a row are found, not only the first."""
+"""Checks the rows of an inventory against the schema, and reports all problems of each row."""
 
 from __future__ import annotations
 
@@ -31,47 +31,54 @@
     UNKNOWN_KIND,
     UNKNOWN_ZONE,
     VAULT_VALUE,
-    Code,
     Place,
     Problem,
+    ProblemCode,
 )
-from .schema import FALLBACKS, FIELDS, LABEL_PREFIXES, ReplicaRules, is_ip
+from .schema import ANSIBLE_VARIABLES, FIELDS, LABEL_PREFIXES, ReplicaRules, is_ip
 
 T = TypeVar("T")
 
-MAX_LABEL_CHARS = 256  # of a label's value
+MAX_LABEL_VALUE_CHARS = 256
 MAX_NAMES_SHOWN = 3
 
 _NAME = re.compile(r"[A-Za-z0-9_](?:[A-Za-z0-9._-]{0,251}[A-Za-z0-9_])?")
 _TEMPLATE = re.compile(r"\{\{|\{%")
 _LABEL_NAME = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9._/-]{0,61}[A-Za-z0-9])?")
 _VAULT_PREFIX = "$ANSIBLE_VAULT;"
-_CODES_OF_COMPOUND_VALUES = {"weight": BAD_NUMBER, "cell": BAD_NUMBER, "labels": BAD_LABEL}
+_COMPOUND_VALUE_CODES = {"weight": BAD_NUMBER, "cell": BAD_NUMBER, "labels": BAD_LABEL}
 
 
 @dataclass(slots=True)
 class CheckedRow:
-    """A row after the check: its record if it is valid, and its problems."""
+    """A row after the check: its record if it is valid, and its problems.
+
+    `state` and `address` are also set for an invalid row, if they can be read.
+    """
 
     row: Row
     record: ReplicaRecord | None
     problems: list[Problem]
-    state: str = "up"  # as far as it can be read, also where the row is invalid
-    address: tuple[str, int] | None = None  # the same
+    state: str = "up"
+    address: tuple[str, int] | None = None
 
     @property
     def reason(self) -> str:
-        """Why it is invalid, in a few words."""
-        return "; ".join(f"{one.code.id} {one.message}" for one in self.problems if one.is_error)
+        """The errors of the row as one line of text; empty if it is valid."""
+        return "; ".join(
+            f"{row_problem.code.id} {row_problem.message}"
+            for row_problem in self.problems
+            if row_problem.is_error
+        )
 
 
 def check_row(row: Row, rules: ReplicaRules) -> CheckedRow:
-    """Check one row alone."""
+    """Check one row by itself, without comparing it to other rows."""
     return _RowChecker(row, rules).check()
 
 
 class _Label(NamedTuple):
-    """A label as it is written; `text` may be any plain value of a document."""
+    """A label as written in a source; `text` may be a list or a mapping, which is not valid."""
 
     name: str
     text: object
@@ -103,23 +110,27 @@
             record = ReplicaRecord(name, *address, zone, kind, cell, weight, state, labels)
         return CheckedRow(row, record, self.problems, state, address)
 
-    def _add(self, code: Code, place: Place, message: str, suggestion: str = "") -> None:
+    def _report(self, code: ProblemCode, place: Place, message: str, suggestion: str = "") -> None:
         self.problems.append(Problem(code, place, message, suggestion, None, self.row.name))
 
-    def _add_invalid(self, error: InvalidValueError, place: Place) -> None:
-        self._add(error.code, place, str(error), error.suggestion)
+    def _report_invalid_value(self, error: InvalidValueError, place: Place) -> None:
+        self._report(error.code, place, str(error), error.suggestion)
 
     def _collect_values(self) -> None:
-        """Find the value of each field; a mapped or own name goes before Ansible's."""
+        """Find the value of each field.
+
+        A name that the settings map to the field takes precedence over the field's own name, and that one
+        over Ansible's.
+        """
         for key, value in self.row.values.items():
-            ours = self.rules.names.get(key, key)
-            if ours in FIELDS and (ours not in self.values or key != ours):
-                self.values[ours] = value
-            elif ours.startswith(LABEL_PREFIXES):
-                self.labels[ours[len(LABEL_PREFIXES[0]) :]] = value
-        for ours, theirs in FALLBACKS.items():
-            if ours not in self.values and theirs in self.row.values:
-                self.values[ours] = self.row.values[theirs]
+            canonical_name = self.rules.names.get(key, key)
+            if canonical_name in FIELDS and (canonical_name not in self.values or key != canonical_name):
+                self.values[canonical_name] = value
+            elif canonical_name.startswith(LABEL_PREFIXES):
+                self.labels[canonical_name[len(LABEL_PREFIXES[0]) :]] = value
+        for canonical_name, ansible_variable in ANSIBLE_VARIABLES.items():
+            if canonical_name not in self.values and ansible_variable in self.row.values:
+                self.values[canonical_name] = self.row.values[ansible_variable]
 
     def _text(self, field_name: str) -> str:
         value = self.values.get(field_name)
@@ -130,7 +141,7 @@
         return value.place if value is not None else self.row.place
 
     def _parse_field(self, field_name: str, parse: Callable[[str], T], default: T) -> T:
-        """Parse the value of a field; the default stands in for a missing or an invalid one."""
+        """Parse the value of a field; return the default for a missing or invalid one."""
         value = self.values.get(field_name)
         if value is None or not self._is_plain(field_name, value):
             return default
@@ -141,21 +152,24 @@
         try:
             return parse(text)
         except InvalidValueError as error:
-            self._add_invalid(error, place)
+            self._report_invalid_value(error, place)
             return default
 
     def _is_plain(self, field_name: str, value: Value) -> bool:
-        """Whether a value can be used as it is; templates and encrypted values are never evaluated."""
+        """Return whether a value can be used literally; report it if it is a template, encrypted or compound.
+
+        Templates are never evaluated, and encrypted values are never decrypted.
+        """
         if value.encrypted or value.text.startswith(_VAULT_PREFIX):
             message = f"{field_name} is under a vault key"
-            self._add(VAULT_VALUE, value.place, message, "keep it in the open")
+            self._report(VAULT_VALUE, value.place, message, "keep it in the open")
         elif _TEMPLATE.search(value.text):
             message = f"{field_name} is a template, {quoted(value.text)}"
-            self._add(TEMPLATE_VALUE, value.place, message, "write the value itself")
+            self._report(TEMPLATE_VALUE, value.place, message, "write the value itself")
         elif isinstance(value.raw, list | dict):
-            code = _CODES_OF_COMPOUND_VALUES.get(field_name, MISSING_VALUE)
-            what = "a list" if isinstance(value.raw, list) else "a mapping"
-            self._add(code, value.place, f"{field_name} is {what}", "write one plain value")
+            code = _COMPOUND_VALUE_CODES.get(field_name, MISSING_VALUE)
+            value_type = "a list" if isinstance(value.raw, list) else "a mapping"
+            self._report(code, value.place, f"{field_name} is {value_type}", "write one plain value")
         else:
             return True
         return False
@@ -164,11 +178,11 @@
         row = self.row
         if row.name and not _NAME.fullmatch(row.name) and not is_ip(row.name):
             suggestion = "use letters, digits, dot, dash and underscore"
-            self._add(BAD_NAME, row.place, f"{quoted(row.name)} is no name for a worker", suggestion)
+            self._report(BAD_NAME, row.place, f"{quoted(row.name)} is no name for a worker", suggestion)
         return row.name
 
     def _check_address(self) -> tuple[str, int]:
-        """The host and port; an empty host and port 0 for those that can't be read."""
+        """Return the host and port; an empty host or port 0 means that it can't be read."""
         problems_before = len(self.problems)
         endpoint = self._parse_field("endpoint", str, "")
         if endpoint:
@@ -183,62 +197,66 @@
             host = host.strip("[]")
             port = self._parse_field("port", parse_port, self.rules.port)
             if not port and len(self.problems) == problems_before:
-                self._add_missing_address("port", self.row.place)
+                self._report_missing_address("port", self.row.place)
         if host:
             parse = partial(parse_host, allow_names=self.rules.lookups)
             return self._parse_text(host, place, parse, ""), port
         if len(self.problems) == problems_before:
-            self._add_missing_address("host", place)
+            self._report_missing_address("host", place)
         return "", port
 
     def _split_endpoint(self, endpoint: str, place: Place) -> tuple[str, int] | None:
-        """The host and port of `host:port`; None, with a problem noted, for anything else."""
+        """Return the host and port of `host:port`; report anything else and return None."""
         host, colon, port_text = endpoint.rpartition(":")
         message = f"the endpoint is {quoted(endpoint)}"
         if not colon or not host:
-            self._add(NO_ADDRESS, place, message, "write host:port, an IPv6 address in brackets")
+            self._report(NO_ADDRESS, place, message, "write host:port, an IPv6 address in brackets")
             return None
         if ":" in host and not (host.startswith("[") and host.endswith("]")):
-            self._add(BAD_HOST, place, message, "write [address]:port for IPv6")
+            self._report(BAD_HOST, place, message, "write [address]:port for IPv6")
             return None
         return host.strip("[]"), self._parse_text(port_text.strip(), place, parse_port, 0)
 
-    def _add_missing_address(self, field_name: str, place: Place) -> None:
+    def _report_missing_address(self, field_name: str, place: Place) -> None:
         message = f"{self.row.name or 'the row'} has no {field_name}"
-        self._add(NO_ADDRESS, place, message, f"give it {field_name} or endpoint")
+        self._report(NO_ADDRESS, place, message, f"give it {field_name} or endpoint")
 
-    def _check_known_name(self, field_name: str, known: tuple[str, ...], code: Code) -> str:
+    def _check_known_name(self, field_name: str, known: tuple[str, ...], code: ProblemCode) -> str:
         parse = partial(parse_known_name, field=field_name, known=known, code=code)
         return self._parse_field(field_name, parse, "")
 
     def _check_required_fields(self) -> None:
         row = self.row
-        for need in self.rules.require:
-            if need in FIELDS and not self._text(need) and need not in ("name", "host", "port"):
-                message = f"{row.name or 'the row'} has no {need}"
-                self._add(MISSING_VALUE, row.place, message, f"give it a {need}")
+        for required in self.rules.require:
+            if required in FIELDS and not self._text(required) and required not in ("name", "host", "port"):
+                message = f"{row.name or 'the row'} has no {required}"
+                self._report(MISSING_VALUE, row.place, message, f"give it a {required}")
 
     # Labels
 
     def _check_labels(self) -> tuple[tuple[str, str], ...]:
-        """The labels in the order of their names."""
-        found: dict[str, str] = {}
-        written = self._labels_of_field()
-        written += [_Label(key, one.text, one.place) for key, one in self.labels.items() if one.text]
-        for name, text, place in written:
+        """Return the valid labels, sorted by name."""
+        valid_labels: dict[str, str] = {}
+        given_labels = self._labels_of_field()
+        given_labels += [
+            _Label(key, label_value.text, label_value.place)
+            for key, label_value in self.labels.items()
+            if label_value.text
+        ]
+        for name, text, place in given_labels:
             is_valid_name = _LABEL_NAME.fullmatch(name) is not None
-            if not is_valid_name or not isinstance(text, str) or len(text) > MAX_LABEL_CHARS:
+            if not is_valid_name or not isinstance(text, str) or len(text) > MAX_LABEL_VALUE_CHARS:
                 message = f"label {quoted(name)} is no short name with a plain value"
-                self._add(BAD_LABEL, place, message, "use letters, digits, and . _ / - within")
+                self._report(BAD_LABEL, place, message, "use letters, digits, and . _ / - within")
             elif _TEMPLATE.search(text):
                 message = f"label {name} is a template, {quoted(text)}"
-                self._add(TEMPLATE_VALUE, place, message, "write the value itself")
+                self._report(TEMPLATE_VALUE, place, message, "write the value itself")
             else:
-                found[name] = text
-        return tuple(sorted(found.items()))
+                valid_labels[name] = text
+        return tuple(sorted(valid_labels.items()))
 
     def _labels_of_field(self) -> list[_Label]:
-        """The labels of the field `labels`, which is a mapping or a text such as `a=1;b=2`."""
+        """Return the labels in the field `labels`, which is a mapping or a string such as `a=1;b=2`."""
         value = self.values.get("labels")
         if value is None:
             return []
@@ -253,38 +271,38 @@
             name, equals, text = part.partition("=")
             if not equals:
                 message = f"label {quoted(part)} has no value"
-                self._add(BAD_LABEL, value.place, message, "write name=value;name=value")
+                self._report(BAD_LABEL, value.place, message, "write name=value;name=value")
             labels.append(_Label(name.strip(), text.strip(), value.place))
         return labels
 
 
-def reject_duplicate_addresses(checked: Iterable[CheckedRow]) -> None:
-    """Take their records from all replicas that share an address, as any of them may be the right one.
+def reject_duplicate_addresses(checked_rows: Iterable[CheckedRow]) -> None:
+    """Make all rows with the same address invalid, as there is no telling which of them is correct.
 
-    Replicas that are removed have no address and don't count.
+    The address of a removed replica is free, so its row is ignored.
     """
     rows_by_address: dict[tuple[str, int], list[CheckedRow]] = {}
-    for one in checked:
-        if one.record is not None and one.state != "removed":
-            rows_by_address.setdefault(one.record.address, []).append(one)
-    for address, sharing in rows_by_address.items():
-        if len(sharing) > 1:
-            _reject_sharing(address, sharing)
+    for checked in checked_rows:
+        if checked.record is not None and checked.state != "removed":
+            rows_by_address.setdefault(checked.record.address, []).append(checked)
+    for address, duplicates in rows_by_address.items():
+        if len(duplicates) > 1:
+            _reject_rows(address, duplicates)
 
 
-def _reject_sharing(address: tuple[str, int], sharing: list[CheckedRow]) -> None:
-    names = sorted({one.row.name for one in sharing})
+def _reject_rows(address: tuple[str, int], duplicates: list[CheckedRow]) -> None:
+    names = sorted({checked.row.name for checked in duplicates})
     shown = " and ".join(names[:MAX_NAMES_SHOWN]) + (" and others" if len(names) > MAX_NAMES_SHOWN else "")
     host = f"[{address[0]}]" if ":" in address[0] else address[0]
     message = f"{shown} have one address, {host}:{address[1]}"
     suggestion = "give each its own, or take one of them out"
-    for one in sharing:
-        other = sharing[0] if one is not sharing[0] else sharing[1]
-        place, related_place = _address_place(one.row), _address_place(other.row)
-        one.problems.append(
-            Problem(DUPLICATE_ADDRESS, place, message, suggestion, related_place, one.row.name)
+    for checked in duplicates:
+        other = duplicates[0] if checked is not duplicates[0] else duplicates[1]
+        place, related_place = _address_place(checked.row), _address_place(other.row)
+        checked.problems.append(
+            Problem(DUPLICATE_ADDRESS, place, message, suggestion, related_place, checked.row.name)
         )
-        one.record = None
+        checked.record = None
 
 
 def _address_place(row: Row) -> Place:
--- a/lockspoke/inventory/schema.py
+++ b/lockspoke/inventory/schema.py
@@ -1,4 +1,4 @@
-"""The schema of a replica in an inventory: its fields, their synonyms, and the rules from the settings."""
+"""The schema of a replica in an inventory: its fields, their synonyms, and the rules of the settings."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 FIELDS = frozenset(
     {"name", "endpoint", "host", "port", "zone", "kind", "cell", "weight", "state", "labels", "groups"}
 )
-# Ansible's names of a host's address and port: used where the schema's own are not given.
-FALLBACKS = MappingProxyType({"host": "ansible_host", "port": "ansible_port"})
+# Ansible's variables for the address and port of a host, used if the fields themselves are not set.
+ANSIBLE_VARIABLES = MappingProxyType({"host": "ansible_host", "port": "ansible_port"})
 LABEL_PREFIXES = ("label.", "label_")
-STATES = MappingProxyType(
+STATE_SYNONYMS = MappingProxyType(
     {
         "": "up",
         "up": "up",
@@ -26,32 +26,46 @@
         "down": "removed",
     }
 )
-_STATES_BY_CAUTION = ("up", "draining", "removed")
+_STATES_BY_RESTRICTIVENESS = ("up", "draining", "removed")
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaRules:
-    """The settings that concern replicas; empty `zones` or `kinds` allow any."""
+    """What the settings require of the fields of a replica.
+
+    Attributes:
+        zones: The allowed zones; empty allows any.
+        kinds: The allowed kinds and their default weights; empty allows any kind.
+        lookups: Whether host names are allowed, to be resolved later, and not only IP addresses.
+        port: The port of rows without one; 0 means that each row must have one.
+        require: The fields that each row must set.
+        names: Maps the name of a column or variable to that of a field.
+        implied_groups: Whether a group named after a kind or zone sets it for its hosts.
+    """
 
     zones: tuple[str, ...] = ()
-    kinds: Mapping[str, float] = field(default_factory=dict)  # the weight of each kind
-    lookups: bool = False  # host names are allowed and will be resolved
-    port: int = 0  # the port of rows that give none; 0: each row must give one
-    require: tuple[str, ...] = ()  # fields that each row must give
-    names: Mapping[str, str] = field(default_factory=dict)  # by column or variable, the schema's name
-    implied_groups: bool = True  # a group named like a kind or zone implies it for its hosts
+    kinds: Mapping[str, float] = field(default_factory=dict)
+    lookups: bool = False
+    port: int = 0
+    require: tuple[str, ...] = ()
+    names: Mapping[str, str] = field(default_factory=dict)
+    implied_groups: bool = True
 
     @property
     def canonical_names(self) -> dict[str, str]:
-        """By the name of a variable, the schema's name for it."""
-        own = {name: name for name in FIELDS - {"name", "groups"}}
-        return own | {theirs: ours for ours, theirs in FALLBACKS.items()} | dict(self.names)
+        """Maps the name of a variable to that of the field that it sets."""
+        own_names = {name: name for name in FIELDS - {"name", "groups"}}
+        return (
+            own_names
+            | {variable: schema_name for schema_name, variable in ANSIBLE_VARIABLES.items()}
+            | dict(self.names)
+        )
 
     @property
     def implied_values(self) -> dict[str, tuple[str, str]]:
-        """By the name of a group, the field and value that it implies.
+        """Maps the name of a group to the field and value that it implies for its hosts.
 
-        Names of groups have `_` where those of kinds and zones have `-`.
+        The zone `lis-1` is implied by groups named `lis-1`, `lis_1` and `zone_lis_1`, and likewise for kinds.
         """
         implied: dict[str, tuple[str, str]] = {}
         if not self.implied_groups:
@@ -64,13 +78,13 @@
         return implied
 
 
-def more_restrictive(one: str, other: str) -> str:
-    """Of two states of a host, the one with less traffic."""
-    return max(one, other, key=_STATES_BY_CAUTION.index)
+def more_restrictive(first: str, second: str) -> str:
+    """Return the state in which a host gets less traffic."""
+    return max(first, second, key=_STATES_BY_RESTRICTIVENESS.index)
 
 
 def is_ip(text: str) -> bool:
-    """Whether a text is an IP address, of either version."""
+    """Return whether a text is an IPv4 or IPv6 address."""
     try:
         ipaddress.ip_address(text)
     except ValueError:
--- a/lockspoke/inventory/source_file.py
+++ b/lockspoke/inventory/source_file.py
@@ -11,8 +11,8 @@
     SYNTAX_ERROR,
     TOO_LARGE,
     UNREADABLE,
-    Code,
     Place,
+    ProblemCode,
     ProblemCollector,
 )
 
@@ -42,7 +42,7 @@
 class _DecodeError(Exception):
     """A file that has no text: the problem to report."""
 
-    def __init__(self, code: Code, place: Place, message: str, suggestion: str) -> None:
+    def __init__(self, code: ProblemCode, place: Place, message: str, suggestion: str) -> None:
         super().__init__(message)
         self.code, self.place, self.suggestion = code, place, suggestion
 
