--- a/lockspoke/inventory/address_conflicts.py
+++ b/lockspoke/inventory/address_conflicts.py
@@ -1,4 +1,4 @@
-"""Ensures that no two hosts get one address, also where one of them is held at its last valid state."""
+"""Ensures that no two hosts get the same address, even if one of them is held at its last valid state."""
 
 from __future__ import annotations
 
@@ -9,33 +9,38 @@
 
 
 class _Conflict(NamedTuple):
-    """Two hosts that are to have one address."""
+    """Two hosts with the same target address."""
 
     first: str
     second: str
 
 
 def resolve_address_conflicts(targets: dict[str, Target], known: Mapping[str, KnownReplica]) -> None:
-    """Change targets until no two hosts have one address.
+    """Change targets until no two hosts have the same address.
 
-    Of two hosts the one that would move to the address gives way. It then stays where another host may want
-    to move to, so this is repeated until there is no conflict; each round holds one more host.
+    Of two hosts in conflict, the one that would change to the address is held at its own address, or kept out
+    if it is new. Another host may be about to take that address, so this is repeated until no conflict is
+    left. It ends, as each round holds or keeps out one more host.
     """
     if not any(
-        _changes_address(name, targets, known) for name, one in targets.items() if one.record is not None
+        _changes_address(name, targets, known)
+        for name, planned in targets.items()
+        if planned.record is not None
     ):
         return
-    unchanged = {one.record.address: name for name, one in known.items() if name not in targets}
+    unchanged = {
+        known_replica.record.address: name for name, known_replica in known.items() if name not in targets
+    }
     while (conflict := _find_conflict(targets, unchanged)) is not None:
-        newcomer, occupant = conflict
-        if not _changes_address(newcomer, targets, known):
-            occupant, newcomer = conflict
-        reason = f"its address is still held by {occupant}"
-        replica = known.get(newcomer)
+        moving_host, current_host = conflict
+        if not _changes_address(moving_host, targets, known):
+            current_host, moving_host = conflict
+        reason = f"its address is still held by {current_host}"
+        replica = known.get(moving_host)
         if replica is None:
-            targets[newcomer] = Target(Action.KEEP_OUT, None, reason)
+            targets[moving_host] = Target(Action.KEEP_OUT, None, reason)
         else:
-            targets[newcomer] = Target.hold(replica.record, reason)
+            targets[moving_host] = Target.hold(replica.record, reason)
 
 
 def _find_conflict(
@@ -55,6 +60,6 @@
 def _changes_address(name: str, targets: Mapping[str, Target], known: Mapping[str, KnownReplica]) -> bool:
     target = targets.get(name)
     if target is None:
-        return False  # an unchanged host
+        return False  # The host has no target because it does not change.
     replica, record = known.get(name), target.record
     return replica is None or record is None or record.address != replica.record.address
--- a/lockspoke/inventory/files.py
+++ b/lockspoke/inventory/files.py
@@ -1,4 +1,4 @@
-"""The files of an inventory on disk: which they are, their contents and their signature."""
+"""Finds and reads the files of an inventory, computes their signature, and names the folders to watch."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from .limits import MAX_FILE_BYTES, MAX_FILES
 from .source_file import FileContent
 
-# What Ansible ignores in a folder of sources, and temporary files of editors.
+# Files that Ansible ignores in a folder of sources, and temporary files of editors.
 _IGNORED_NAMES = re.compile(
     r"^\.|~$|^#.*#$|\.(pyc|pyo|swp|swx|bak|rpm|md|txt|rst|orig|cfg|retry|tmp|part)$|^__pycache__$"
 )
@@ -23,18 +23,18 @@
 def read_files(paths: Sequence[Path]) -> list[FileContent]:
     """Read all files of an inventory, in the order in which they are merged.
 
-    A folder means the sources in it, sorted by name. The folders `group_vars` and `host_vars` beside a source
-    are read too. A file that can't be read is in the result with its error; nothing is raised.
+    A folder stands for the sources in it, sorted by name. The folders `group_vars` and `host_vars` in the
+    same folder as a source are read too. Never raises: a file that can't be read is returned with its error.
     """
     found: list[FileContent] = []
-    beside: dict[Path, None] = {}
+    base_folders: dict[Path, None] = {}
     for path in paths:
         for source in _source_paths(path):
             found.append(_read_file(source, "source"))
             if len(found) > MAX_FILES:
                 return [*found, FileContent(str(path), None, f"more than {MAX_FILES} files")]
-        beside.setdefault(path if path.is_dir() else path.parent)
-    for folder in beside:
+        base_folders.setdefault(path if path.is_dir() else path.parent)
+    for folder in base_folders:
         for role in _VARIABLE_FOLDERS:
             for subject, file in _variable_files(folder / role):
                 found.append(_read_file(file, role, subject))
@@ -44,9 +44,9 @@
 
 
 def file_signature(paths: Sequence[Path]) -> FileSignature:
-    """The signature of all files of an inventory; it differs once one is written, replaced or removed.
+    """Return the signature of the files of an inventory; it changes if one is written, replaced or removed.
 
-    Costs a `stat` call for each file and reads none of them.
+    Takes one `stat` call for each file and reads none of them.
     """
     return read_signature(_all_files(paths))
 
@@ -61,7 +61,7 @@
 
 
 def watched_folders(paths: Sequence[Path]) -> list[Path]:
-    """The folders to watch: those of the sources, of the targets of links, and of variables."""
+    """Return the folders to watch: those of sources, of the targets of symbolic links, and of variables."""
     found: dict[Path, None] = {}
     for path in paths:
         base = path if path.is_dir() else path.parent
@@ -88,7 +88,7 @@
             return
         names = sorted(os.listdir(path))
     except OSError:
-        yield path  # reading it will report the error
+        yield path  # Reading the path reports the error.
         return
     for name in names:
         if _IGNORED_NAMES.search(name) or name in _VARIABLE_FOLDERS:
@@ -101,7 +101,10 @@
 
 
 def _variable_files(folder: Path) -> Iterator[tuple[str, Path]]:
-    """The files of variables with their subjects: NAME, NAME.yml, or a folder NAME with files in it."""
+    """Yield the group or host and the path of each file of variables.
+
+    The variables of NAME are in a file NAME, NAME.yml, NAME.yaml or NAME.json, or in a folder NAME of files.
+    """
     try:
         names = sorted(os.listdir(folder))
     except OSError:
@@ -112,26 +115,29 @@
         inner = folder / name
         if inner.is_dir():
             try:
-                parts = sorted(os.listdir(inner))
+                inner_names = sorted(os.listdir(inner))
             except OSError:
                 yield name, inner
                 continue
-            for part in parts:
-                if not _IGNORED_NAMES.search(part) and os.path.splitext(part)[1] in _VARIABLE_SUFFIXES:
-                    yield name, inner / part
+            for inner_name in inner_names:
+                if (
+                    not _IGNORED_NAMES.search(inner_name)
+                    and os.path.splitext(inner_name)[1] in _VARIABLE_SUFFIXES
+                ):
+                    yield name, inner / inner_name
             continue
-        stem, ending = os.path.splitext(name)
-        if ending in _VARIABLE_SUFFIXES[1:]:
+        stem, suffix = os.path.splitext(name)
+        if suffix in _VARIABLE_SUFFIXES[1:]:
             yield stem, inner
         else:
-            yield name, inner  # the name of a host may have dots
+            yield name, inner  # The rest is no suffix, as the name of a host may contain dots.
 
 
 def _read_file(path: Path, role: str, subject: str = "") -> FileContent:
     try:
-        # Only regular files are read, as a pipe or a device could block forever.
-        handle = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
-        with open(handle, "rb") as file:
+        # Only regular files are read, as reading a pipe or a device could block forever.
+        descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
+        with open(descriptor, "rb") as file:
             status = os.fstat(file.fileno())
             if not stat.S_ISREG(status.st_mode):
                 return FileContent(str(path), None, "not a regular file", role, subject)
--- a/lockspoke/inventory/group_graph.py
+++ b/lockspoke/inventory/group_graph.py
@@ -1,4 +1,4 @@
-"""The graph of the groups of all sources: depths, ancestors, priorities, and the groups of each host."""
+"""The graph of the groups of all sources: depths, ancestors and priorities, and the groups of each host."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
 @dataclass(slots=True)
 class GroupNode:
-    """A group over all sources."""
+    """A group with its parents and variables from all sources."""
 
     name: str
     place: Place
     parents: set[str] = field(default_factory=set)
     variables: dict[str, Value] = field(default_factory=dict)
     conflicts: list[ValueConflict] = field(default_factory=list)
-    malformed_at: Place | None = None  # where its variables can't be read
+    malformed_at: Place | None = None  # The place of variables that can't be read, if there are any.
     depth: int = 0
     priority: int = 1
     ancestors: tuple[str, ...] = ()
 
     @property
     def precedence(self) -> tuple[int, int, str]:
-        """Sorts groups from the weakest to the strongest."""
+        """The sort key of groups, from lowest to highest precedence."""
         return self.depth, self.priority, self.name
 
     def is_overridden_by(self, other: GroupNode) -> bool:
-        """Whether another group's values go before those of this one."""
+        """Return whether the values of another group override those of this one."""
         return self.name in other.ancestors or self.priority < other.priority
 
 
 class GroupGraph:
-    """The groups of all sources. A step that would close a loop is left out, with a problem noted."""
+    """The groups of all sources as an acyclic graph; an edge that closes a cycle is reported and removed."""
 
     def __init__(self, sources: Sequence[Source], problems: ProblemCollector) -> None:
         self.nodes: dict[str, GroupNode] = {}
@@ -49,7 +49,7 @@
         self._build(sources)
 
     def groups_of(self, host: str) -> tuple[GroupNode, ...]:
-        """The groups that a host is in, directly or by their children, weakest first."""
+        """Return the groups that contain a host, directly or through a child, by increasing precedence."""
         direct = tuple(self._groups_by_host.get(host, ()))
         groups = self._sorted_groups.get(direct)
         if groups is None:
@@ -61,7 +61,7 @@
         return groups
 
     def member_place(self, host: str, group: str) -> Place | None:
-        """Where a group names a host, if it does."""
+        """Return the place where a group names a host, or None if it does not."""
         return self._member_places.get((group, host))
 
     def _build(self, sources: Sequence[Source]) -> None:
@@ -75,22 +75,22 @@
         for node in self.nodes.values():
             if node.name != ALL and not node.parents:
                 node.parents.add(ALL)
-        self._break_loops()
+        self._remove_cycles()
         for name in self._topological_order():
             node = self.nodes[name]
             parents = [self.nodes[parent] for parent in node.parents]
             node.depth = max((parent.depth + 1 for parent in parents), default=0)
             node.ancestors = tuple(
-                sorted({one for parent in parents for one in (parent.name, *parent.ancestors)})
+                sorted({ancestor for parent in parents for ancestor in (parent.name, *parent.ancestors)})
             )
             self._read_priority(node)
 
     def _add_group(self, group: Group) -> None:
         node = self.nodes.setdefault(group.name, GroupNode(group.name, group.place))
         for key, value in group.variables.items():
-            before = node.variables.get(key)
-            if before is not None and before.raw != value.raw and before.place.file != value.place.file:
-                node.conflicts.append(ValueConflict(key, before, value))
+            previous = node.variables.get(key)
+            if previous is not None and previous.raw != value.raw and previous.place.file != value.place.file:
+                node.conflicts.append(ValueConflict(key, previous, value))
             node.variables[key] = value
         node.malformed_at = node.malformed_at or group.malformed_at
         for host, place in group.hosts.items():
@@ -118,49 +118,54 @@
             message = f"{PRIORITY_KEY} of {node.name!r} is {value.text!r}"
             self._problems.add(BAD_PRIORITY, value.place, message, "write a whole number")
 
-    def _break_loops(self) -> None:
-        """Remove the steps that close loops. Iterative, as groups may nest deeper than the stack."""
-        done: set[str] = set()
+    def _remove_cycles(self) -> None:
+        """Remove the edges that close cycles.
+
+        The depth-first search is iterative, as groups may nest deeper than the limit on recursion.
+        """
+        visited: set[str] = set()
         for start in list(self.nodes):
             path: list[str] = []
-            stack: list[tuple[str, bool]] = [(start, False)]  # a group, and whether its parents are done
+            stack: list[tuple[str, bool]] = [
+                (start, False)
+            ]  # Each group, and whether its parents were visited.
             while stack:
-                name, finished = stack.pop()
-                if finished:
+                name, parents_visited = stack.pop()
+                if parents_visited:
                     path.pop()
-                    done.add(name)
+                    visited.add(name)
                     continue
-                if name in done:
+                if name in visited:
                     continue
                 path.append(name)
                 stack.append((name, True))
                 for parent in sorted(self.nodes[name].parents):
                     if parent in path:
                         self._remove_parent(name, parent, path)
-                    elif parent not in done:
+                    elif parent not in visited:
                         stack.append((parent, False))
 
     def _remove_parent(self, name: str, parent: str, path: Sequence[str]) -> None:
         node = self.nodes[name]
         node.parents.discard(parent)
-        loop = " > ".join([*reversed(path[path.index(parent) :]), name])
-        message = f"group {name!r} is its own ancestor, by {loop}"
+        cycle = " > ".join([*reversed(path[path.index(parent) :]), name])
+        message = f"group {name!r} is its own ancestor, by {cycle}"
         self._problems.add(GROUP_LOOP, node.place, message, "take one of the steps out")
 
     def _topological_order(self) -> list[str]:
-        """The names of all groups, each after its parents."""
+        """Return the names of all groups, each after its parents."""
         order: list[str] = []
         children: dict[str, list[str]] = defaultdict(list)
-        missing = {name: len(node.parents) for name, node in self.nodes.items()}
+        remaining_parents = {name: len(node.parents) for name, node in self.nodes.items()}
         for name, node in self.nodes.items():
             for parent in node.parents:
                 children[parent].append(name)
-        ready = sorted(name for name, count in missing.items() if not count)
+        ready = sorted(name for name, count in remaining_parents.items() if not count)
         while ready:
             name = ready.pop()
             order.append(name)
             for child in children[name]:
-                missing[child] -= 1
-                if not missing[child]:
+                remaining_parents[child] -= 1
+                if not remaining_parents[child]:
                     ready.append(child)
         return order
--- a/lockspoke/inventory/patterns.py
+++ b/lockspoke/inventory/patterns.py
@@ -1,7 +1,8 @@
 """Ansible's host patterns: `lis-1:&gen_c:!w3`, wildcards, `~regex`, `group[0:3]`.
 
-A pattern selects the hosts that a gateway serves. As in Ansible, plain terms are combined first, then the
-intersections, then the exclusions, whatever their order; without a plain term, all hosts are the base.
+A pattern selects the hosts that a gateway serves. As in Ansible, the order of the terms does not matter: the
+union of the terms without a sign is taken first, then the intersections (`&`) are applied, then the
+exclusions (`!`). Without an unsigned term, all hosts are selected at first.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from lark import Lark, Token, Transformer
 from lark.exceptions import UnexpectedInput, VisitError
 
-# Letters in brackets are a wildcard; digits at the end of a term are a subscript.
+# Brackets with letters in them are a wildcard; digits in brackets at the end of a term are a subscript.
 _GLOB = r"\[[^\]\s]+\](?=[^,:\s])|\[[^\]\s0-9:-][^\]\s]*\]"
 GRAMMAR = r"""
 start: _SEPARATOR? (term (_SEPARATOR term)*)? _SEPARATOR?
@@ -30,7 +31,7 @@
 
 
 class PatternError(ValueError):
-    """A text that is no pattern; `column` counts from 1."""
+    """The text is not a valid pattern; `column` is the position of the error, from 1."""
 
     def __init__(self, text: str, column: int) -> None:
         super().__init__(text)
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Term:
-    """One term of a pattern: `sign` is empty, & or !; `subscript` selects from the matching hosts."""
+    """One term of a pattern; `sign` is empty, `&` or `!`, and `subscript` selects from the matching hosts."""
 
     sign: str
     text: str
@@ -48,25 +49,25 @@
 
 
 class _TermBuilder(Transformer[Token, Any]):
-    """Builds terms from the parse tree."""
+    """Turns the parse tree into terms; Lark calls the method with the name of each rule."""
 
     def term(self, parts: list[Any]) -> Term:
         sign = ""
         if isinstance(parts[0], Token) and parts[0].type == "SIGN":
             sign = str(parts.pop(0))
-        text, cut = str(parts[0]), _parse_subscript(str(parts[1])) if len(parts) > 1 else None
+        text, parsed_subscript = str(parts[0]), _parse_subscript(str(parts[1])) if len(parts) > 1 else None
         if text.startswith("~"):
-            return Term(sign, text, re.compile(text[1:]).match, cut)  # type: ignore[arg-type]
-        if any(letter in text for letter in "*?["):
-            return Term(sign, text, re.compile(fnmatch.translate(text)).match, cut)  # type: ignore[arg-type]
-        return Term(sign, text, text.__eq__, cut)
+            return Term(sign, text, re.compile(text[1:]).match, parsed_subscript)  # type: ignore[arg-type]
+        if any(char in text for char in "*?["):
+            return Term(sign, text, re.compile(fnmatch.translate(text)).match, parsed_subscript)  # type: ignore[arg-type]
+        return Term(sign, text, text.__eq__, parsed_subscript)
 
     def start(self, parts: list[Any]) -> tuple[Term, ...]:
         return tuple(parts)
 
 
 def _parse_subscript(text: str) -> slice | int:
-    """The index or slice of a subscript; as in Ansible, the end of a slice is included."""
+    """Return the index or slice of a subscript; as in Ansible, a slice includes its end."""
     first, colon, last = text[1:-1].partition(":") if ":" in text else text[1:-1].rpartition("-")
     if not colon or not (first or ":" in text):
         return int(text[1:-1])
@@ -80,46 +81,53 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """A parsed pattern."""
+    """A parsed pattern and its text."""
 
     text: str
     terms: tuple[Term, ...]
 
     def select(self, hosts: Iterable[str], groups: Mapping[str, list[str]]) -> list[str]:
-        """The hosts that the pattern selects, in the order of `hosts`.
+        """Return the selected hosts, in the order of `hosts`.
 
-        `groups` gives the hosts of each group, those of its children among them; `all` and `*` are all.
+        `groups` holds the hosts of each group, including those of its child groups. The terms `all` and `*`
+        match all hosts.
         """
         order = list(hosts)
-        place = {name: at for at, name in enumerate(order)}
+        position = {name: index for index, name in enumerate(order)}
 
-        def matched(term: Term) -> set[str]:
+        def matching_hosts(term: Term) -> set[str]:
             if term.text in ("all", "*"):
                 found = order
             else:
-                inside = {name for group, names in groups.items() if term.matches(group) for name in names}
-                if not inside or any(letter in term.text for letter in "*?[~"):
-                    inside |= {name for name in order if term.matches(name)}
-                found = sorted((name for name in inside if name in place), key=place.__getitem__)
+                candidates = {
+                    name for group, names in groups.items() if term.matches(group) for name in names
+                }
+                if not candidates or any(char in term.text for char in "*?[~"):
+                    candidates |= {name for name in order if term.matches(name)}
+                found = sorted((name for name in candidates if name in position), key=position.__getitem__)
             if isinstance(term.subscript, slice):
                 return set(found[term.subscript])
             if term.subscript is not None:
                 return {found[term.subscript]} if -len(found) <= term.subscript < len(found) else set()
             return set(found)
 
-        plain = [term for term in self.terms if not term.sign]
-        chosen = set().union(*map(matched, plain)) if plain else set(order)
+        unsigned = [term for term in self.terms if not term.sign]
+        selected = set().union(*map(matching_hosts, unsigned)) if unsigned else set(order)
         for term in self.terms:
             if term.sign == "&":
-                chosen &= matched(term)
+                selected &= matching_hosts(term)
         for term in self.terms:
             if term.sign == "!":
-                chosen -= matched(term)
-        return [name for name in order if name in chosen]
+                selected -= matching_hosts(term)
+        return [name for name in order if name in selected]
 
 
 def parse_pattern(text: str) -> Pattern:
-    """Parse a pattern. Raises PatternError."""
+    """Parse a pattern.
+
+    Raises:
+        PatternError: The text is not a valid pattern or is too long.
+    """
     if len(text) > 4096:
         raise PatternError("the pattern is longer than 4096 characters", 4097)
     try:
--- a/lockspoke/inventory/ranges.py
+++ b/lockspoke/inventory/ranges.py
@@ -1,4 +1,4 @@
-"""Ansible's host ranges: `w[01:20]`, `w[10:20:5]`, `w[a:c]`, also several in one name."""
+"""Expands Ansible's host ranges, such as `w[01:20]`, `w[10:20:5]` and `w[a:c]`; a name may have several."""
 
 from __future__ import annotations
 
@@ -8,37 +8,40 @@
 
 from .limits import MAX_HOSTS
 
-_PART = re.compile(r"\[([^\[\]]*)\]")
-_LETTERS = string.ascii_letters  # in the order of Ansible: a to z, then A to Z
+_RANGE = re.compile(r"\[([^\[\]]*)\]")
+_LETTERS = string.ascii_letters  # Ansible orders them from a to z, then A to Z.
 
 
 class RangeError(ValueError):
-    """A range that can't be expanded; the text says why and what to write."""
+    """A range can't be expanded; the message says why and how to write it."""
 
 
 def expand_range(name: str) -> list[str]:
-    """The hosts that a name denotes, in order; a name without a range denotes itself.
+    """Return the host names that a name stands for, in order; without a range that is the name itself.
 
-    Numeric ranges include their end, keep the width of a start with leading zeros and may have a step;
-    alphabetic ones consist of single letters. Raises RangeError, also for brackets without a colon.
+    A range includes its end and may have a step. Its bounds are two numbers or two single letters; if the
+    first number has leading zeros, all numbers are padded to its width.
+
+    Raises:
+        RangeError: A range is not valid, brackets hold no colon, or there are too many hosts.
     """
     if "[" not in name and "]" not in name:
         return [name]
     parts: list[list[str]] = []
-    at, count = 0, 1
-    for match in _PART.finditer(name):
-        parts.append([name[at : match.start()]])
+    position, count = 0, 1
+    for match in _RANGE.finditer(name):
+        parts.append([name[position : match.start()]])
         if ":" not in match[1]:
             raise RangeError(f"{match[0]!r} is no range; write [first:last] or [first:last:step]")
         parts.append(_expand_bounds(match[1]))
         count *= len(parts[-1])
         if count > MAX_HOSTS:
             raise RangeError(f"{name!r} stands for more than {MAX_HOSTS} hosts; split it")
-        at = match.end()
-    parts.append([name[at:]])
+        position = match.end()
+    parts.append([name[position:]])
     if any(bracket in text for part in parts[::2] for text in part for bracket in "[]"):
         raise RangeError(f"{name!r} has a bracket without its partner; write [first:last]")
-    return ["".join(chosen) for chosen in product(*parts)]
+    return ["".join(combination) for combination in product(*parts)]
 
 
 def _expand_bounds(text: str) -> list[str]:
