--- a/lockspoke/inventory/ansible_reader.py
+++ b/lockspoke/inventory/ansible_reader.py
@@ -1,4 +1,4 @@
-"""Reads Ansible's YAML inventories, and the JSON that `ansible-inventory --list` prints."""
+"""Reads Ansible's YAML inventories, and the JSON output of `ansible-inventory --list`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def read_groups(root: Node | None, source: Source, problems: ProblemCollector) -> None:
-    """Read a YAML inventory from its tree: groups with hosts, children and vars. Raises LimitError."""
+    """Read the groups of an inventory, with hosts, children and vars, from a document. Raises LimitError."""
     if root is None:
         return
     if not isinstance(root, Mapping):
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingGroup:
-    """A group that is still to be read, and the groups around it."""
+    """A group that is still to be read, and the names of the groups that contain it, outermost first."""
 
     key: Scalar
     node: Node
@@ -48,7 +48,7 @@
 
 
 class _GroupsReader:
-    """Reads groups with nested children; without recursion, as they nest as deep as the document."""
+    """Reads groups and their nested children; iteratively, as the nesting can be too deep for recursion."""
 
     def __init__(self, source: Source, problems: ProblemCollector) -> None:
         self.source = source
@@ -71,7 +71,7 @@
             self.source.complete = self.source.complete and self.walker.complete
 
     def _read_group(self, pending: _PendingGroup) -> list[_PendingGroup]:
-        """Read one group; returns its children."""
+        """Read one group and return its children, which are still to be read."""
         key, name = pending.key, pending.key.text or ""
         group = self.source.get_or_add_group(name, key.place)
         path = (*pending.ancestors, name)
@@ -80,18 +80,18 @@
             self.problems.add(GROUP_LOOP, key.place, message, "take one of the steps out")
             return []
         children: list[_PendingGroup] = []
-        for part, value in self.walker.pairs(pending.node, f"group {name!r}"):
-            if part.text == "vars":
+        for entry, value in self.walker.pairs(pending.node, f"group {name!r}"):
+            if entry.text == "vars":
                 read_group_variables(group, value, self.walker)
-            elif part.text == "hosts":
+            elif entry.text == "hosts":
                 self._read_hosts(group, value)
-            elif part.text == "children":
+            elif entry.text == "children":
                 for child, node in self.walker.pairs(value, f"children of {name!r}"):
                     group.children.setdefault(child.text or "", child.place)
                     children.append(_PendingGroup(child, node, path))
             else:
                 suggestion = "write hosts, children or vars; a host's name goes below hosts"
-                _report_unknown_key(self.source, group, part, suggestion, self.problems)
+                _report_unknown_key(self.source, group, entry, suggestion, self.problems)
         return children
 
     def _read_hosts(self, group: Group, node: Node) -> None:
@@ -109,7 +109,7 @@
 
 
 class _ListingReader:
-    """Reads groups with lists of hosts, and the variables of the hosts in `_meta.hostvars`."""
+    """Reads groups with lists of hosts, and the variables of the hosts from `_meta.hostvars`."""
 
     def __init__(self, source: Source, problems: ProblemCollector) -> None:
         self.source = source
@@ -123,7 +123,7 @@
                 self._read_meta(node)
                 continue
             group = self.source.get_or_add_group(key.text or "", key.place)
-            if isinstance(node, Sequence):  # the short form: only a list of hosts
+            if isinstance(node, Sequence):  # The short form of a group is just a list of hosts.
                 self._read_hosts(group, node, f"group {group.name!r}")
             else:
                 self._read_group(group, node)
@@ -131,37 +131,37 @@
         self.source.complete = self.source.complete and self.walker.complete
 
     def _read_meta(self, node: Node) -> None:
-        for part, value in self.walker.pairs(node, "_meta"):
-            if part.text == "hostvars":
+        for entry, value in self.walker.pairs(node, "_meta"):
+            if entry.text == "hostvars":
                 for key, variables in self.walker.pairs(value, "hosts of _meta"):
                     name = key.text or ""
-                    host = self._host(key)
+                    host = self._get_or_add_host(key)
                     host.add_variables(self.walker.variables(variables, f"host {name!r}", name))
 
     def _read_group(self, group: Group, node: Node) -> None:
-        for part, value in self.walker.pairs(node, f"group {group.name!r}"):
-            if part.text == "hosts":
+        for entry, value in self.walker.pairs(node, f"group {group.name!r}"):
+            if entry.text == "hosts":
                 self._read_hosts(group, value, f"hosts of {group.name!r}")
-            elif part.text == "children":
+            elif entry.text == "children":
                 for child in self._names(value, f"children of {group.name!r}"):
                     group.children.setdefault(child.text or "", child.place)
-            elif part.text == "vars":
+            elif entry.text == "vars":
                 read_group_variables(group, value, self.walker)
             else:
                 suggestion = "write hosts, children or vars"
-                _report_unknown_key(self.source, group, part, suggestion, self.problems)
+                _report_unknown_key(self.source, group, entry, suggestion, self.problems)
 
     def _read_hosts(self, group: Group, node: Node, what: str) -> None:
         for item in self._names(node, what):
-            self._host(item)
+            self._get_or_add_host(item)
             group.hosts.setdefault(item.text or "", item.place)
 
-    def _host(self, key: Scalar) -> Host:
+    def _get_or_add_host(self, key: Scalar) -> Host:
         name = key.text or ""
         return self.hosts.setdefault(name, Host(name, key.place))
 
     def _names(self, node: Node, what: str) -> Iterator[Scalar]:
-        """The names in a list; a null counts as an empty list."""
+        """Yield the names in a list; a null counts as an empty list. `what` describes it in messages."""
         self.walker.count_node(node)
         if isinstance(node, Scalar) and node.text is None:
             return
@@ -182,6 +182,6 @@
 def _report_unknown_key(
     source: Source, group: Group, key: Scalar, suggestion: str, problems: ProblemCollector
 ) -> None:
-    """Report a key that a group can't have; it may be a host, so the source is incomplete."""
+    """Report an unknown key of a group; it may be the name of a host, so the source is incomplete."""
     problems.add(GROUP_KEY, key.place, f"group {group.name!r} has a key {key.text!r}", suggestion)
     source.complete = False
--- a/lockspoke/inventory/csv_reader.py
+++ b/lockspoke/inventory/csv_reader.py
@@ -31,11 +31,11 @@
 
 
 class _UnreadableError(Exception):
-    """The rest of the text can't be read."""
+    """The rest of the text can't be read; the problem is already reported."""
 
 
 def detect_separator(text: str) -> str:
-    """The separator of a CSV text: the most frequent one in its header."""
+    """Return the separator of a CSV text, which is the most frequent one in its header."""
     for line in text.split("\n", 200)[:200]:
         if line.strip() and not line.startswith("#"):
             counts = Counter(char for char in _without_quoted_text(line) if char in SEPARATORS)
@@ -48,18 +48,19 @@
 
 
 def read_csv(
-    text: str, file: str, names: Mapping[str, str], known: frozenset[str], problems: ProblemCollector
+    text: str, file: str, names: Mapping[str, str], known_names: frozenset[str], problems: ProblemCollector
 ) -> Source:
     """Read a CSV text into hosts.
 
-    `names` maps the names of columns, in lower case, to those of the schema; `known` are the schema's names.
-    A row with too few or too many cells is reported, but its name is used, so that its host isn't removed.
+    `names` maps the names of columns, in lower case, to those of schema fields; `known_names` are the names
+    of all fields. A row with too few or too many cells is reported, but its host is still added by name, as a
+    missing host would be removed.
     """
-    return _CsvReader(text, file, names, known, problems).read()
+    return _CsvReader(text, file, names, known_names, problems).read()
 
 
 class _Record(NamedTuple):
-    """The cells of one record, the line on which it begins, and the column of each cell."""
+    """The cells of one record, the line on which it begins, and the column of each cell, both from 1."""
 
     line: int
     cells: list[str]
@@ -67,14 +68,14 @@
 
     @property
     def is_skipped(self) -> bool:
-        """Whether it is empty or a comment."""
+        """Whether the record is empty or a comment."""
         return not any(cell.strip() for cell in self.cells) or (
             self.cells[0].startswith("#") and self.columns[0] == 1
         )
 
     @property
     def padded_columns(self) -> Iterator[int]:
-        """The columns of the cells; 0, without end, for cells whose columns aren't known."""
+        """The columns of the cells, followed by an endless series of 0 for cells with an unknown column."""
         return chain(self.columns, repeat(0))
 
 
@@ -84,12 +85,12 @@
         text: str,
         file: str,
         names: Mapping[str, str],
-        known: frozenset[str],
+        known_names: frozenset[str],
         problems: ProblemCollector,
     ) -> None:
         self.text = text
         self.names = names
-        self.known = known
+        self.known_names = known_names
         self.problems = problems
         self.source = Source(file, "csv", ends_with_newline=not text or text.endswith("\n"))
         self.separator = detect_separator(text)
@@ -108,7 +109,7 @@
         return source
 
     def _read_records(self) -> bool:
-        """Read all records; returns whether there is a header. Raises _UnreadableError."""
+        """Read all records and return whether there is a header. Raises _UnreadableError."""
         header: list[str] | None = None
         for record in self._records():
             if record.is_skipped:
@@ -163,7 +164,10 @@
         self.problems.add(code, Place(self.source.file, line), message, suggestion)
 
     def _read_header(self, record: _Record) -> list[str]:
-        """The schema's name of each column, empty for one that is not used. Raises _UnreadableError."""
+        """Return the schema field of each column, empty for an unused column.
+
+        Raises _UnreadableError if a column is repeated or there is none for the name.
+        """
         header: list[str] = []
         places: dict[str, Place] = {}
         is_usable = True
@@ -187,11 +191,11 @@
         return header
 
     def _column_name(self, cell: str, place: Place) -> str:
-        title = cell.strip().lower()
-        name = self.names.get(title, title.replace(" ", "_"))
-        if name in self.known or name.startswith(LABEL_PREFIXES):
+        heading = cell.strip().lower()
+        name = self.names.get(heading, heading.replace(" ", "_"))
+        if name in self.known_names or name.startswith(LABEL_PREFIXES):
             return name
-        suggestion = f"known are {', '.join(sorted(self.known))}; map others under [inventory.names]"
+        suggestion = f"known are {', '.join(sorted(self.known_names))}; map others under [inventory.names]"
         self.problems.add(UNKNOWN_COLUMN, place, f"column {cell.strip()!r} is not used", suggestion)
         return ""
 
@@ -203,13 +207,13 @@
             if name
         }
         name = values.pop("name", Value("", Place(file, record.line, 1)))
-        hosts = self._expand(name)
+        hosts = self._expand_name(name)
         if len(record.cells) != len(header):
             message = f"{len(record.cells)} cells, the header has {len(header)}"
             suggestion = "add or take out separators, or quote a cell that holds one"
             for host in hosts:
                 self.problems.add(CELL_COUNT, name.place, message, suggestion, host=host)
-            # The cells can't be assigned to columns, except for the name.
+            # Only the name is used: the other cells may belong to other columns.
             values = {}
         elif not name.text:
             self.problems.add(NO_NAME, name.place, "the row has no name", "give it one")
@@ -219,7 +223,7 @@
             if groups is not None:
                 self._add_to_groups(host, groups)
 
-    def _expand(self, name: Value) -> list[str]:
+    def _expand_name(self, name: Value) -> list[str]:
         try:
             return expand_range(name.text)
         except RangeError as error:
@@ -234,7 +238,7 @@
 
 
 def _cell_columns(line: str, separator: str) -> list[int]:
-    """The columns at which the cells of a line begin, from 1 on."""
+    """Return the columns at which the cells of a line begin, counted from 1."""
     if '"' not in line:
         columns, index = [1], line.find(separator)
         while index >= 0:
--- a/lockspoke/inventory/document_tree.py
+++ b/lockspoke/inventory/document_tree.py
@@ -1,6 +1,7 @@
-"""Documents as trees of nodes that know their places, whichever format they come from.
+"""YAML and JSON documents as trees of nodes with their places.
 
-Trees are built iteratively, so that nesting costs no stack; no objects are made from tags.
+Trees are built iteratively, so that deep nesting can't overflow the stack. Unlike in YAML loaders, tags never
+create objects.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class DocumentError(ValueError):
-    """A document that can't be read on from `place`."""
+    """A document can't be read beyond `place`."""
 
     def __init__(self, place: Place, text: str) -> None:
         super().__init__(text)
@@ -21,7 +22,7 @@
 
 @dataclass(slots=True)
 class Scalar:
-    """A plain value: its text, None for a null; `encrypted` if it has the tag of a vault."""
+    """A scalar; `text` is None for a null, and `encrypted` marks a value with the tag of Ansible Vault."""
 
     text: str | None
     place: Place
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True)
 class Mapping:
-    """Keys and values in the order of the text, repeated ones too."""
+    """A mapping as its pairs of keys and values in the order of the text; keys may be repeated."""
 
     place: Place
     items: list[tuple[Node, Node]] = field(default_factory=list)
@@ -38,7 +39,7 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """A list."""
+    """A list of nodes."""
 
     place: Place
     items: list[Node] = field(default_factory=list)
@@ -49,14 +50,14 @@
 
 @dataclass(slots=True)
 class _OpenContainer:
-    """A container that is being read, and the key that waits for its value."""
+    """A container whose end has not been read, and the last key if its value has not been read either."""
 
     node: Mapping | Sequence
     key: Node | None = None
 
 
 class TreeBuilder:
-    """Builds a tree from its nodes in the order of the text."""
+    """Builds a tree from nodes that are added in the order of the text."""
 
     def __init__(self) -> None:
         self.root: Node | None = None
@@ -64,7 +65,7 @@
 
     @property
     def container(self) -> Mapping | Sequence | None:
-        """The innermost container that is open."""
+        """The innermost open container, or None at the top level."""
         return self._stack[-1].node if self._stack else None
 
     def add(self, node: Node) -> None:
@@ -83,7 +84,7 @@
             container.key = node
 
     def open(self, node: Mapping | Sequence) -> None:
-        """Add a container and open it. Raises LimitError where too many are nested."""
+        """Add a container and open it. Raises LimitError if it is nested too deeply."""
         self.add(node)
         self._stack.append(_OpenContainer(node))
         if len(self._stack) > MAX_DEPTH:
--- a/lockspoke/inventory/format_detection.py
+++ b/lockspoke/inventory/format_detection.py
@@ -1,4 +1,4 @@
-"""Detects the format of a source from its name and text."""
+"""Detects the format of a source from its file name and text."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def detect_format(path: str, text: str) -> str:
-    """The format of a file, by its suffix or else by its text; empty where neither tells."""
+    """Return the format of a file by its suffix, or else by its text; empty if it can't be detected."""
     _, dot, suffix = path.rpartition("/")[2].rpartition(".")
     if dot and suffix.lower() in _FORMATS_BY_SUFFIX:
         return _FORMATS_BY_SUFFIX[suffix.lower()]
@@ -33,14 +33,14 @@
 
 
 def is_listing(root: Node | None, file_format: str) -> bool:
-    """Whether a tree is the output of `ansible-inventory --list` rather than groups with mappings."""
+    """Return whether a document is the output of `ansible-inventory --list` rather than nested groups."""
     if not isinstance(root, Mapping):
         return False
     for key, node in root.items:
         if isinstance(key, Scalar) and key.text == "_meta":
             return True
         if file_format != "json":
-            continue  # in YAML, a list of hosts is a common mistake
+            continue  # In YAML, a list of hosts is a common mistake and does not identify a listing.
         if isinstance(node, Sequence):
             return True
         if isinstance(node, Mapping):
--- a/lockspoke/inventory/ini_reader.py
+++ b/lockspoke/inventory/ini_reader.py
@@ -1,4 +1,4 @@
-"""Ansible's INI inventories: `[group]`, `[group:vars]`, `[group:children]`, host lines with key=value."""
+"""Reads Ansible's INI inventories: `[group]`, `[group:vars]`, `[group:children]`, hosts with key=value."""
 
 from __future__ import annotations
 
@@ -28,18 +28,18 @@
 
 
 class _UnclosedQuoteError(ValueError):
-    """A quote without its partner."""
+    """A quote is opened and not closed."""
 
 
 class _Word(NamedTuple):
-    """A word of a line with its column, from 1 on."""
+    """A word of a line and the column at which it begins, counted from 1."""
 
     column: int
     text: str
 
 
 class _SectionKind(Enum):
-    """What the lines of a section hold."""
+    """What the lines of a section contain."""
 
     HOSTS = "hosts"
     VARIABLES = "vars"
@@ -54,8 +54,8 @@
         self.line = line
         self.words: list[_Word] = []
         self._chars: list[str] = []
-        self._start: int | None = None  # of the word that is being read
-        self._quote = ""  # the quote that is open
+        self._start: int | None = None  # The index at which the current word begins.
+        self._quote = ""  # The quote character that is open, if any.
         self._index = 0
 
     def split(self) -> list[_Word]:
@@ -105,7 +105,7 @@
 
 
 def read_ini(text: str, file: str, problems: ProblemCollector) -> Source:
-    """Read an INI text. A line that can't be read is reported, and reading goes on with the next one."""
+    """Read an INI text. A line that can't be read is reported, and reading continues with the next line."""
     return _IniReader(text, file, problems).read()
 
 
@@ -125,14 +125,16 @@
             place = Place(source.file, number, len(line) - len(line.lstrip()) + 1)
             if len(line) > MAX_LINE_CHARS:
                 message = f"a line of {len(line)} characters"
-                return self._give_up(TOO_LARGE, place, message, f"keep lines under {MAX_LINE_CHARS}")
+                return self._stop_reading(TOO_LARGE, place, message, f"keep lines under {MAX_LINE_CHARS}")
             self._read_line(line, place)
             if len(self.hosts) > MAX_HOSTS:
-                return self._give_up(TOO_DEEP, place, f"more than {MAX_HOSTS} hosts", "split the inventory")
+                return self._stop_reading(
+                    TOO_DEEP, place, f"more than {MAX_HOSTS} hosts", "split the inventory"
+                )
         source.hosts = list(self.hosts.values())
         return source
 
-    def _give_up(self, code: ProblemCode, place: Place, message: str, suggestion: str) -> Source:
+    def _stop_reading(self, code: ProblemCode, place: Place, message: str, suggestion: str) -> Source:
         self.problems.add(code, place, message, suggestion)
         self.source.complete = False
         return self.source
@@ -165,7 +167,7 @@
             self.source.get_or_add_group(self.section, place)
 
     def _skip_section(self, place: Place, message: str, suggestion: str) -> None:
-        """Skip the lines of a section; hosts may be among them, so the source is incomplete."""
+        """Skip the lines of a section; they may name hosts, so the source is incomplete."""
         self.problems.add(SYNTAX_ERROR, place, message, suggestion)
         self.source.complete = False
         self.kind = _SectionKind.UNKNOWN
@@ -200,7 +202,7 @@
         try:
             return _WordSplitter(line).split()
         except _UnclosedQuoteError as error:
-            # The name usually comes before the quote; with it the host isn't taken for a removed one.
+            # The name usually precedes the quote. Without it, the host would count as removed.
             name = line.split(maxsplit=1)[0]
             suggestion = "close it, or put a quote within quotes"
             self.problems.add(SYNTAX_ERROR, place, str(error), suggestion, host=name)
@@ -228,9 +230,9 @@
 
 
 def parse_literal(text: str) -> object:
-    """A value as Ansible reads it from INI: a Python literal where it is one, or else the text itself.
+    """Parse a value as Ansible does in INI files: as a Python literal if it is one, or else as plain text.
 
-    Numbers stay as they are written, so that `010` and `1e3` reach the schema's own check.
+    Numbers are kept as text, so that the schema checks numbers such as `010` and `1e3` as they are written.
     """
     if _LITERAL.match(text) and len(text) < 4096:
         try:
--- a/lockspoke/inventory/json_document.py
+++ b/lockspoke/inventory/json_document.py
@@ -1,10 +1,10 @@
-"""Reads JSON documents by a scanner that knows the place of each value."""
+"""Builds document trees from JSON; unlike the standard library's parser, it keeps the place of each value."""
 
 from __future__ import annotations
 
 import re
 from bisect import bisect_right
-from json.decoder import JSONDecodeError, scanstring  # type: ignore[attr-defined] # not in the stubs
+from json.decoder import JSONDecodeError, scanstring  # type: ignore[attr-defined] # The type stubs lack it.
 
 from .document_tree import DocumentError, Mapping, Node, Scalar, Sequence, TreeBuilder
 from .problems import Place
@@ -17,20 +17,22 @@
 def read_json(text: str, file: str) -> Node | None:
     """Read a JSON text.
 
-    Raises DocumentError where the syntax is broken and LimitError past a limit.
+    Raises:
+        DocumentError: The syntax is not valid.
+        LimitError: The document exceeds a limit.
     """
     return _JsonReader(text, file).read()
 
 
 class _LineIndex:
-    """Turns positions in a text into lines and columns."""
+    """Converts positions in a text to lines and columns."""
 
     def __init__(self, text: str, file: str) -> None:
         self.file = file
         self.starts = [0, *(match.end() for match in re.finditer("\n", text))]
 
     def place_at(self, index: int) -> Place:
-        """The place of a character."""
+        """Return the place of the character at an index."""
         line = bisect_right(self.starts, index)
         return Place(self.file, line, index - self.starts[line - 1] + 1)
 
@@ -42,7 +44,7 @@
         self.builder = TreeBuilder()
         self.index = 0
         self.expects_value = True
-        self.just_opened = False  # a container that may be closed at once
+        self.just_opened = False  # A container was opened, so its end may follow at once.
 
     def read(self) -> Node | None:
         self._skip_whitespace()
@@ -77,7 +79,7 @@
 
     def _read_comma(self) -> None:
         if self._char() != ",":
-            raise self._error("want a comma here, or the end of what is open")
+            raise self._error("expected a comma, or the end of the enclosing object or array")
         self.index += 1
         self._skip_whitespace()
         if self._char() in ("}", "]"):
@@ -96,7 +98,7 @@
         self._skip_whitespace()
 
     def _read_value(self) -> bool:
-        """Read a plain value or the start of a container; returns whether it was the latter."""
+        """Read a scalar or the start of a container; returns whether it is a container."""
         place, char = self._place(), self._char()
         if char in ("{", "["):
             self.builder.open(Mapping(place) if char == "{" else Sequence(place))
@@ -105,14 +107,14 @@
         if char == '"':
             self.builder.add(Scalar(self._read_string(), place))
             return False
-        for word, meaning in _LITERALS.items():
+        for word, literal_text in _LITERALS.items():
             if self.text.startswith(word, self.index):
-                self.builder.add(Scalar(meaning, place))
+                self.builder.add(Scalar(literal_text, place))
                 self.index += len(word)
                 return False
         number = _NUMBER.match(self.text, self.index)
         if number is None:
-            raise self._error("want a value" if char else "the text ends amid a value")
+            raise self._error("expected a value" if char else "the text ends amid a value")
         self.builder.add(Scalar(number[0], place))
         self.index = number.end()
         return False
@@ -127,7 +129,7 @@
         return str(value)
 
     def _char(self) -> str:
-        """The next character; empty at the end of the text."""
+        """Return the next character; empty at the end of the text."""
         return self.text[self.index : self.index + 1]
 
     def _place(self) -> Place:
--- a/lockspoke/inventory/source_file.py
+++ b/lockspoke/inventory/source_file.py
@@ -1,4 +1,4 @@
-"""A file of an inventory as it was read, and its decoding into text."""
+"""The content of a file of an inventory, and its decoding into text."""
 
 from __future__ import annotations
 
@@ -21,9 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FileContent:
-    """A file as it was read: its bytes, or the reason why there are none.
+    """The bytes of a file, or the error that kept it from being read.
 
-    `role` is source, group_vars or host_vars; `subject` is the group or host that a file of variables is for.
+    `role` is source, group_vars or host_vars. `subject` is the group or host that a file of variables belongs
+    to, and `script` marks an executable inventory script.
     """
 
     path: str
@@ -35,12 +36,12 @@
 
     @property
     def is_encrypted(self) -> bool:
-        """Whether only a vault key opens it."""
+        """Whether the file is encrypted with Ansible Vault."""
         return self.data is not None and self.data.startswith(VAULT_HEADER)
 
 
 class _DecodeError(Exception):
-    """A file that has no text: the problem to report."""
+    """The file can't be decoded; holds the problem to report."""
 
     def __init__(self, code: ProblemCode, place: Place, message: str, suggestion: str) -> None:
         super().__init__(message)
@@ -48,7 +49,7 @@
 
 
 def decode_text(file: FileContent, problems: ProblemCollector) -> str | None:
-    """The text of a file with LF line ends; None, with the problem reported, where it has none."""
+    """Return the text of a file with LF line endings; if it has none, report the problem and return None."""
     try:
         text = _decode_utf8(file).replace("\r\n", "\n")
         _check_text(file, text)
--- a/lockspoke/inventory/source_reader.py
+++ b/lockspoke/inventory/source_reader.py
@@ -1,4 +1,4 @@
-"""Reads one file of an inventory: detects its format and calls the reader for it."""
+"""Reads one file of an inventory: detects its format and calls the reader of that format."""
 
 from __future__ import annotations
 
@@ -31,13 +31,14 @@
     file: FileContent,
     file_format: str,
     names: Mapping[str, str],
-    known: frozenset[str],
+    known_names: frozenset[str],
     problems: ProblemCollector,
 ) -> Source | None:
-    """Read one file of hosts.
+    """Read one file of hosts and groups.
 
-    `file_format` is one of FORMATS, or empty to have it detected; `names` and `known` are as in `read_csv`.
-    Returns None for a file that is skipped. A source that could not be read to its end is not `complete`.
+    `file_format` is one of FORMATS, or empty to detect the format. `names` and `known_names` are as in
+    `read_csv`. Returns None for a file that is skipped. A source that could not be read to its end is not
+    marked `complete`.
     """
     place = Place(file.path)
     if file.script:
@@ -52,7 +53,7 @@
         file.path, file_format or detect_format(file.path, text), ends_with_newline=ends_with_newline
     )
     try:
-        source = _parse_source(source, text, names, known, problems)
+        source = _parse_source(source, text, names, known_names, problems)
     except DocumentError as error:
         suggestion = "mend it; until then no host of this file is changed"
         problems.add(SYNTAX_ERROR, error.place, str(error), suggestion)
@@ -63,7 +64,7 @@
     if source.complete and not source.hosts:
         suggestion = "put hosts in, or take it out of the sources"
         problems.add(NO_REPLICAS, place, "the file names no host", suggestion)
-        # Its writer may have emptied it in order to write it anew, so its hosts are not removed.
+        # A program that rewrites the file may just have truncated it, so its hosts are not removed.
         source.complete = False
     return source
 
@@ -72,12 +73,17 @@
     source: Source,
     text: str,
     names: Mapping[str, str],
-    known: frozenset[str],
+    known_names: frozenset[str],
     problems: ProblemCollector,
 ) -> Source:
-    """Parse a source by its format. Raises DocumentError and LimitError."""
+    """Parse a text in the format of the source.
+
+    Raises:
+        DocumentError: The syntax of a YAML or JSON document is not valid.
+        LimitError: A limit on the size of a document is exceeded.
+    """
     if source.format == "csv":
-        return read_csv(text, source.file, names, known, problems)
+        return read_csv(text, source.file, names, known_names, problems)
     if source.format == "ini":
         return read_ini(text, source.file, problems)
     if source.format in ("yaml", "json"):
@@ -88,7 +94,7 @@
             read_groups(root, source, problems)
         return source
     suggestion = "name it .csv, .yaml, .json or .ini, or set form"
-    problems.add(UNKNOWN_FORMAT, Place(source.file), "its form can't be told", suggestion)
+    problems.add(UNKNOWN_FORMAT, Place(source.file), "its format can't be detected", suggestion)
     source.complete = False
     return source
 
@@ -98,21 +104,21 @@
 
 
 def read_variables(file: FileContent, problems: ProblemCollector) -> FileVariables:
-    """Read a file of group_vars or host_vars; what can't be read has its place in `malformed_at`."""
+    """Read a file of group_vars or host_vars; `malformed_at` is the place of what can't be read, if any."""
     place = Place(file.path)
     text = decode_text(file, problems)
     if text is None:
         return FileVariables(malformed_at=None if file.is_encrypted else place, place=place)
-    holder = Group(file.subject, place)
+    group = Group(file.subject, place)
     try:
         root = _parse_document(text, file.path, "json" if file.path.endswith(".json") else "yaml")
         if root is not None:
-            read_group_variables(holder, root, TreeWalker(problems))
+            read_group_variables(group, root, TreeWalker(problems))
     except DocumentError as error:
-        suggestion = "mend it; until then the hosts concerned stay as they are"
+        suggestion = "fix it; until then the hosts concerned stay as they are"
         problems.add(SYNTAX_ERROR, error.place, str(error), suggestion)
         return FileVariables(malformed_at=error.place, place=place)
     except LimitError as error:
         problems.add(TOO_DEEP, place, str(error), "make it flatter")
         return FileVariables(malformed_at=place, place=place)
-    return FileVariables(holder.variables, holder.malformed_at, place)
+    return FileVariables(group.variables, group.malformed_at, place)
--- a/lockspoke/inventory/yaml_document.py
+++ b/lockspoke/inventory/yaml_document.py
@@ -1,4 +1,4 @@
-"""Reads YAML documents by the events of libyaml."""
+"""Builds document trees from YAML, using the events of PyYAML, with libyaml where it is available."""
 
 from __future__ import annotations
 
@@ -16,10 +16,13 @@
 
 
 def read_yaml(text: str, file: str) -> Node | None:
-    """Read the first document of a YAML text; None where it is empty.
+    """Read the first document of a YAML text; returns None if it is empty.
 
-    Raises DocumentError where the syntax is broken and LimitError past a limit. Nothing is returned of a
-    broken document: half a tree would not show what is missing.
+    A document with a syntax error is rejected as a whole, as a partial tree would not show what is missing.
+
+    Raises:
+        DocumentError: The syntax is not valid.
+        LimitError: The document exceeds a limit.
     """
     reader = _YamlReader(file)
     try:
@@ -32,7 +35,7 @@
         raise DocumentError(place, _error_text(error)) from None
     except DocumentError:
         raise
-    except (ValueError, OverflowError) as error:  # characters that the library doesn't accept
+    except (ValueError, OverflowError) as error:  # PyYAML rejects some characters in this way.
         raise DocumentError(reader.place, str(error)) from None
     return reader.builder.root
 
@@ -40,7 +43,7 @@
 class _YamlReader:
     def __init__(self, file: str) -> None:
         self.file = file
-        self.place = Place(file, 1, 1)  # of the latest event
+        self.place = Place(file, 1, 1)  # The place of the last event.
         self.builder = TreeBuilder()
         self._anchors: dict[str, Node] = {}
 
@@ -50,12 +53,12 @@
             self.place = Place(self.file, start.line + 1, start.column + 1)
             if isinstance(event, yaml.DocumentEndEvent):
                 return
-            self._take(event)
+            self._process_event(event)
 
-    def _take(self, event: yaml.Event) -> None:
+    def _process_event(self, event: yaml.Event) -> None:
         if isinstance(event, yaml.ScalarEvent):
             scalar = self._scalar(event)
-            self._note_anchor(event.anchor, scalar)
+            self._store_anchor(event.anchor, scalar)
             self.builder.add(scalar)
         elif isinstance(event, yaml.AliasEvent):
             if event.anchor not in self._anchors:
@@ -64,7 +67,7 @@
         elif isinstance(event, yaml.MappingStartEvent | yaml.SequenceStartEvent):
             is_mapping = isinstance(event, yaml.MappingStartEvent)
             node = Mapping(self.place) if is_mapping else Sequence(self.place)
-            self._note_anchor(event.anchor, node)
+            self._store_anchor(event.anchor, node)
             self.builder.open(node)
         elif isinstance(event, yaml.MappingEndEvent | yaml.SequenceEndEvent):
             self.builder.close()
@@ -73,13 +76,13 @@
         is_null = not event.style and event.tag is None and event.value in _NULLS
         return Scalar(None if is_null else event.value, self.place, encrypted=event.tag in _VAULT_TAGS)
 
-    def _note_anchor(self, anchor: str | None, node: Node) -> None:
+    def _store_anchor(self, anchor: str | None, node: Node) -> None:
         if anchor is not None:
             self._anchors[anchor] = node
 
 
 def _error_text(error: yaml.YAMLError) -> str:
-    """The library's message without its marks; that for a tab, a common mistake, in plainer words."""
+    """Return the message of PyYAML without positions; for a tab, a common mistake, a more helpful one."""
     problem = getattr(error, "problem", None) or getattr(error, "reason", None) or type(error).__name__
     if "cannot start any token" in str(problem):
         return "a character that no value begins with here (a tab? indent with spaces)"
