--- a/tests/inventory/test_problems.py
+++ b/tests/inventory/test_problems.py
@@ -1,4 +1,4 @@
-"""Every code, caused by planted errors in an inventory of 22 hosts, each reported with its line."""
+"""Problems and their reports: each code is caused by an error in an inventory and reported with its line."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import os
 from pathlib import Path
 
-from lockspoke.inventory import problems as catalogue
+from lockspoke.inventory import problems as problem_catalogue
 from lockspoke.inventory.files import read_files
 from lockspoke.inventory.parse_cache import ReadOptions
 from lockspoke.inventory.patterns import parse_pattern
@@ -17,11 +17,11 @@
 
 KINDS = {"gen-a": 0.7, "gen-b": 1.0, "gen-c": 1.3}
 RULES = ReplicaRules(zones=("lis-1", "lis-2"), kinds=KINDS, require=("zone",), port=5000)
-GOOD = [f"w{n:02},10.0.0.{n},5000,lis-1,gen-a,1,up,," for n in range(1, 23)]
+VALID_ROWS = [f"w{n:02},10.0.0.{n},5000,lis-1,gen-a,1,up,," for n in range(1, 23)]
 HEADER = "name,host,port,zone,kind,weight,state,labels,endpoint"
 
-# Each malformed line of a 22-host file, and the codes that it must cause, with its own line.
-PLANTED = {
+# Replacements for rows of a CSV file with 22 hosts, by number, and the code that each must cause, if any.
+ROWS_WITH_ERRORS = {
     2: ("w02,10.0.0.2,5000,lis-1,gen-a,1", "INV204"),
     3: ("w[9:3],10.0.0.3,5000,lis-1,gen-a,1,up,,", "INV208"),
     4: (",10.0.0.4,5000,lis-1,gen-a,1,up,,", "INV301"),
@@ -46,8 +46,8 @@
 }
 
 
-def planted() -> str:
-    rows = [PLANTED.get(at, (row, None))[0] for at, row in enumerate(GOOD, 1)]
+def csv_with_errors() -> str:
+    rows = [ROWS_WITH_ERRORS.get(number, (row, None))[0] for number, row in enumerate(VALID_ROWS, 1)]
     return (
         "\n".join(
             [HEADER, *rows, "w23,10.0.0.1,5000,lis-1,gen-a,1,up,,", "w24,10.0.0.11,5000,lis-1,gen-a,1,up,,"]
@@ -56,7 +56,7 @@
     )
 
 
-# Other files, each with the codes that it must cause and their lines.
+# The files of a folder, each with the codes that it must cause and their lines.
 FILES: dict[str, tuple[str | bytes, list[tuple[str, int]]]] = {
     "columns.csv": ("name,host,colour,host\nx1,10.1.0.1,red,10.1.0.1\n", [("INV201", 1), ("INV203", 1)]),
     "nameless.csv": ("host,port\n10.1.0.1,5000\n", [("INV202", 1)]),
@@ -101,13 +101,14 @@
 }
 
 
-def test_every_code_is_reported_with_its_line(tmp_path: Path) -> None:
-    (tmp_path / "a.csv").write_text(planted())
+def test_each_code_is_reported_with_its_line(tmp_path: Path) -> None:
+    (tmp_path / "a.csv").write_text(csv_with_errors())
     report = take_snapshot(read_files([tmp_path / "a.csv"]), ReadOptions(RULES))
-    reported = {(one.code.id, one.place.line) for one in report.snapshot.problems}
-    want = {(code, line + 1) for line, (_, code) in PLANTED.items() if code is not None}
-    want |= {("INV402", 23), ("INV402", 25)}  # w22 and w24 share an address; w11's own row is wrong
-    assert reported == want
+    reported = {(problem.code.id, problem.place.line) for problem in report.snapshot.problems}
+    expected = {(code, line + 1) for line, (_, code) in ROWS_WITH_ERRORS.items() if code is not None}
+    # w22 and w24 have the same address. So has w11, but its row is invalid.
+    expected |= {("INV402", 23), ("INV402", 25)}
+    assert reported == expected
     assert list(report.snapshot.replicas) == ["w23"]
     seen = {code for code, _ in reported}
 
@@ -121,8 +122,10 @@
         read_files([folder]), ReadOptions(ReplicaRules(zones=RULES.zones, kinds=KINDS, port=5000))
     )
     got: dict[str, set[tuple[str, int]]] = {}
-    for one in report.snapshot.problems:
-        got.setdefault(os.path.relpath(one.place.file, folder), set()).add((one.code.id, one.place.line))
+    for problem in report.snapshot.problems:
+        got.setdefault(os.path.relpath(problem.place.file, folder), set()).add(
+            (problem.code.id, problem.place.line)
+        )
     for name, (_, lines) in FILES.items():
         assert set(lines) <= got[name], (name, got[name])
     assert got["gone.csv"] == {("INV101", 0)}
@@ -130,13 +133,13 @@
     selected = take_snapshot(
         [*read_files([tmp_path / "a.csv"])], ReadOptions(RULES, select=parse_pattern("nothing"))
     )
-    seen |= {one.code.id for one in selected.snapshot.problems}
+    seen |= {problem.code.id for problem in selected.snapshot.problems}
     assert seen == CODES.keys()
 
 
-def test_reports_show_the_line_the_conflict_and_the_suggestion(tmp_path: Path) -> None:
+def test_reports_contain_the_line_the_conflict_and_the_suggestion(tmp_path: Path) -> None:
     path = tmp_path / "a.csv"
-    path.write_text(planted())
+    path.write_text(csv_with_errors())
     snapshot = take_snapshot(read_files([path]), ReadOptions(RULES)).snapshot
     text = as_text(snapshot.problems, {str(path): path.read_text()})
     block = next(part for part in text.split(f"{path}:") if part.startswith("20:1: error[INV403]"))
@@ -158,9 +161,12 @@
     assert any("relatedLocations" in result for result in run["results"])
 
 
-def test_codes_keep_their_names() -> None:
-    """A published code never changes: entries are only added to this list."""
-    assert catalogue.CODES["INV403"].name == "two-kinds" and catalogue.CODES["INV104"].name == "syntax"
+def test_published_codes_do_not_change() -> None:
+    """Users and tools match published codes, so codes are only added."""
+    assert (
+        problem_catalogue.CODES["INV403"].name == "two-kinds"
+        and problem_catalogue.CODES["INV104"].name == "syntax"
+    )
     assert len({code.name for code in CODES.values()}) == len(CODES) == 43
-    warnings = {ident for ident, code in CODES.items() if code.severity is Severity.WARNING}
+    warnings = {code_id for code_id, code in CODES.items() if code.severity is Severity.WARNING}
     assert warnings == {"INV108", "INV109", "INV201", "INV213", "INV406", "INV501"}
--- a/tests/inventory/test_readers.py
+++ b/tests/inventory/test_readers.py
@@ -1,4 +1,4 @@
-"""Readers: what each format gives, Ansible's precedence and ranges, hostile files, and garbage."""
+"""Readers: formats, ranges, patterns, Ansible's order of precedence, hostile files and random input."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
     return take_snapshot([FileContent(name, data)], ReadOptions(rules, **more))
 
 
-def codes(report: SnapshotReport) -> list[tuple[str, int]]:
-    return [(one.code.id, one.place.line) for one in report.snapshot.problems]
+def codes_and_lines(report: SnapshotReport) -> list[tuple[str, int]]:
+    return [(reported.code.id, reported.place.line) for reported in report.snapshot.problems]
 
 
-def folder(path: Path, files: dict[str, str]) -> Path:
+def write_files(path: Path, files: dict[str, str]) -> Path:
     for name, text in files.items():
         (path / name).parent.mkdir(parents=True, exist_ok=True)
         (path / name).write_text(text)
@@ -55,7 +55,7 @@
         ("w[y:B]", ["wy", "wz", "wA", "wB"]),
     ],
 )
-def test_ranges_expand_as_ansible_documents(name: str, hosts: list[str]) -> None:
+def test_range_expands_as_in_ansible(name: str, hosts: list[str]) -> None:
     assert expand_range(name) == hosts
 
 
@@ -63,24 +63,29 @@
     "name",
     ["w[3:1]", "w[c:a]", "w[1:]", "w[1:2:0]", "w[1", "w]", "w[01:100]", "w[1:a]", "w[x]", "w[0:999999]"],
 )
-def test_an_invalid_range_is_reported(name: str) -> None:
+def test_invalid_range_is_reported(name: str) -> None:
     with pytest.raises(RangeError):
         expand_range(name)
     report = read(f"name,host\n{name},10.0.0.1\n", "a.csv")
-    assert codes(report)[0] == ("INV208", 2) and not report.snapshot.replicas
+    assert codes_and_lines(report)[0] == ("INV208", 2) and not report.snapshot.replicas
 
 
-@pytest.mark.parametrize("mark", [",", ";", "\t"])
-def test_csv_in_every_dialect(mark: str) -> None:
+@pytest.mark.parametrize("separator", [",", ";", "\t"])
+def test_csv_is_read_with_each_separator(separator: str) -> None:
     text = "\ufeff# ours\r\nName,Address,Port,zone,kind,notes\r\n"
     text += 'w1,10.0.0.1,5001,lis-1,gen-a,"two\r\nlines, one ""cell"""\r\n\r\n'
     text += "w[2:3],10.0.0.2,5001,lis-2,gen-c,\r\n"
     rules = ReplicaRules(RULES.zones, RULES.kinds, names={"address": "host"})
-    report = read(text.replace(",", mark) if mark != "," else text, "a.csv", rules)
-    one = report.snapshot.replicas["w1"]
-    assert (one.address, one.zone, one.kind, one.weight) == (("10.0.0.1", 5001), "lis-1", "gen-a", 0.7)
-    # The two hosts of the range share an address: each is reported, on its line after the quoted newline.
-    assert codes(report) == [("INV201", 2), ("INV402", 6)]
+    report = read(text.replace(",", separator) if separator != "," else text, "a.csv", rules)
+    replica = report.snapshot.replicas["w1"]
+    assert (replica.address, replica.zone, replica.kind, replica.weight) == (
+        ("10.0.0.1", 5001),
+        "lis-1",
+        "gen-a",
+        0.7,
+    )
+    # Both hosts of the range have the same address, which is reported; lines count the quoted newline.
+    assert codes_and_lines(report) == [("INV201", 2), ("INV402", 6)]
     assert set(report.snapshot.invalid_hosts) == {"w2", "w3"}
 
 
@@ -110,11 +115,11 @@
 }
 
 
-def test_variables_follow_ansibles_documented_precedence(tmp_path: Path) -> None:
-    report = take_snapshot(read_files([folder(tmp_path, ANSIBLE)]), ReadOptions(RULES))
+def test_variables_are_merged_by_ansible_precedence(tmp_path: Path) -> None:
+    report = take_snapshot(read_files([write_files(tmp_path, ANSIBLE)]), ReadOptions(RULES))
     assert not report.snapshot.problems
     replicas = report.snapshot.replicas
-    # group_vars/all before groups in the source, host_vars before all, a child before its parent.
+    # group_vars/all overrides groups in the source, host_vars overrides everything, a child its parent.
     assert [(replicas[w].cell, replicas[w].weight) for w in ("w1", "w2", "w3")] == [
         (5, 3.0),
         (4, 3.0),
@@ -148,17 +153,23 @@
 """
 
 
-def test_ini_is_read_line_by_line_and_each_fault_reported() -> None:
+def test_ini_errors_are_reported_and_other_lines_read() -> None:
     report = read(INI, "hosts")
     replicas = report.snapshot.replicas
     assert replicas["w1"].port == 5001 and dict(replicas["w1"].labels) == {"rack": "r1", "row": "2"}
     assert (replicas["w4"].zone, replicas["w4"].kind, replicas["w4"].cell) == ("lis-2", "gen-b", 7)
-    assert codes(report) == [("INV402", 5), ("INV211", 7), ("INV104", 8), ("INV210", 12), ("INV104", 18)]
+    assert codes_and_lines(report) == [
+        ("INV402", 5),
+        ("INV211", 7),
+        ("INV104", 8),
+        ("INV210", 12),
+        ("INV104", 18),
+    ]
     assert set(report.snapshot.invalid_hosts) == {"w2", "w3", "w5", "w6"}
-    assert set(report.snapshot.incomplete_sources) == {"hosts"}  # whose hosts [odd:things] names is not known
+    assert set(report.snapshot.incomplete_sources) == {"hosts"}  # [odd:things] may name hosts.
 
 
-def test_the_output_of_ansible_inventory_list_is_read() -> None:
+def test_output_of_ansible_inventory_list_is_read() -> None:
     raw = {
         "_meta": {"hostvars": {"w1": {"host": "10.0.0.1", "cell": 3, "labels": {"a": "\u00e9\ud83d\ude00"}}}},
         "all": {"children": ["ungrouped", "gen_c"]},
@@ -166,9 +177,14 @@
         "short": ["w2"],
     }
     report = read(json.dumps(raw, indent=2), "l.json")
-    one = report.snapshot.replicas["w1"]
-    assert (one.kind, one.zone, one.cell, one.labels) == ("gen-c", "lis-1", 3, (("a", "\u00e9\U0001f600"),))
-    assert report.snapshot.invalid_hosts.keys() == {"w2"}  # it has no host
+    replica = report.snapshot.replicas["w1"]
+    assert (replica.kind, replica.zone, replica.cell, replica.labels) == (
+        "gen-c",
+        "lis-1",
+        3,
+        (("a", "\u00e9\U0001f600"),),
+    )
+    assert report.snapshot.invalid_hosts.keys() == {"w2"}  # It has no address.
     for text, line in (
         ('{"a":\n {"hosts": ["w1",]}}', 2),
         ('{"a":\n\n tru}', 3),
@@ -176,12 +192,12 @@
         ('{"a": 1} x', 1),
         ("[1}", 1),
     ):
-        assert ("INV104", line) in codes(read(text, "l.json")), text
+        assert ("INV104", line) in codes_and_lines(read(text, "l.json")), text
 
 
-def test_formats_are_detected_by_name_or_text() -> None:
-    forms = {"a.yml": "yaml", "a.tsv": "csv", "hosts": "ini"}
-    assert {name: detect_format(name, "w1 host=1\n") for name in forms} == forms
+def test_format_is_detected_by_name_or_text() -> None:
+    formats = {"a.yml": "yaml", "a.tsv": "csv", "hosts": "ini"}
+    assert {name: detect_format(name, "w1 host=1\n") for name in formats} == formats
     texts = {
         "{": "json",
         "---\nall:": "yaml",
@@ -194,14 +210,14 @@
 
 
 @pytest.mark.parametrize(
-    ("pattern", "chosen"),
+    ("pattern", "selected"),
     [
         ("lis-1:&gen_c:!w3", "w1 w2"),
         ("w*", "w0 w1 w2 w3 w4 w5"),
         ("~w[0-2]$,w5", "w0 w1 w2 w5"),
         ("lis-1[0]", "w0"),
         ("lis-1[-1]", "w3"),
-        ("lis-1[1:2]", "w1 w2"),  # both ends count, as in Ansible
+        ("lis-1[1:2]", "w1 w2"),  # The end is included, as in Ansible.
         ("lis-1[2:]", "w2 w3"),
         ("!gen_c", "w0 w5"),
         ("gen_?:&lis*", "w1 w2 w3"),
@@ -209,32 +225,32 @@
         ("nothing", ""),
     ],
 )
-def test_patterns_select_as_ansible_does(pattern: str, chosen: str) -> None:
+def test_pattern_selects_the_same_hosts_as_ansible(pattern: str, selected: str) -> None:
     hosts = [f"w{number}" for number in range(6)]
     groups = {"lis-1": hosts[:4], "gen_c": hosts[1:5]}
-    assert parse_pattern(pattern).select(hosts, groups) == chosen.split()
+    assert parse_pattern(pattern).select(hosts, groups) == selected.split()
 
 
-def test_an_invalid_pattern_is_rejected_and_a_selection_narrows_a_snapshot() -> None:
-    for bad in ("[", "~[", "~(", "w" * 5000, "a:&&b"):
+def test_pattern_limits_a_snapshot_and_an_invalid_one_is_rejected() -> None:
+    for invalid in ("[", "~[", "~(", "w" * 5000, "a:&&b"):
         with pytest.raises(PatternError):
-            parse_pattern(bad)
+            parse_pattern(invalid)
     text = "name,host,groups\nw1,10.0.0.1,north\nw2,10.0.0.2,south\n"
     assert list(read(text, "a.csv", select=parse_pattern("north")).snapshot.replicas) == ["w1"]
-    assert ("INV501", 0) in codes(read(text, "a.csv", select=parse_pattern("east")))
+    assert ("INV501", 0) in codes_and_lines(read(text, "a.csv", select=parse_pattern("east")))
 
 
-def test_hostile_files_cost_little_and_are_reported() -> None:
-    bomb = "a: &a [x,x,x,x,x,x,x,x,x]\n"
-    for before, name in zip("abcdefgh", "bcdefghi", strict=True):
-        bomb += f"{name}: &{name} [{','.join(f'*{before}' for _ in range(9))}]\n"
-    group = "\n".join(
+def test_hostile_files_are_rejected_in_limited_time() -> None:
+    nested_aliases = "a: &a [x,x,x,x,x,x,x,x,x]\n"
+    for previous, name in zip("abcdefgh", "bcdefghi", strict=True):
+        nested_aliases += f"{name}: &{name} [{','.join(f'*{previous}' for _ in range(9))}]\n"
+    group_aliases = "\n".join(
         f"  g{n}: &g{n} {{children: {{x{n}: *g{n - 1}, y{n}: *g{n - 1}}}}}" for n in range(1, 26)
     )
     texts = {
-        "bomb.yaml": bomb + "all: {hosts: {w1: {host: 10.0.0.1, labels: *i}}}\n",
+        "bomb.yaml": nested_aliases + "all: {hosts: {w1: {host: 10.0.0.1, labels: *i}}}\n",
         "groups.yaml": "all: {children: {g0: &g0 {hosts: {w1: {host: 10.0.0.1}}}}}\n"
-        f"z:\n children:\n{group}\n",
+        f"z:\n children:\n{group_aliases}\n",
         "deep.yaml": "[" * 5000,
         "deep.json": "[" * 50_000,
         "line.csv": "name,host\nw1," + "x" * 4_000_000,
@@ -264,7 +280,7 @@
     ).map(lambda parts: "".join(parts).encode()),
     st.sampled_from(["a.csv", "a.yaml", "a.json", "a.ini", "hosts"]),
 )
-def test_garbage_gives_problems_and_no_exception(data: bytes, name: str) -> None:
+def test_random_input_raises_no_exception(data: bytes, name: str) -> None:
     report = read(data, name)
     for problem in report.snapshot.problems:
         assert (
@@ -300,22 +316,22 @@
     ),
     min_size=1,
     max_size=6,
-    unique_by=(lambda one: one.name, lambda one: one.address),
+    unique_by=(lambda record: record.name, lambda record: record.address),
 )
 
 
 @reproducible
 @given(REPLICAS, st.sampled_from(FORMATS))
-def test_written_inventories_read_back_equal(replicas: list[ReplicaRecord], form: str) -> None:
-    report = read(write_inventory(replicas, form), f"a.{form}", ReplicaRules())
-    assert not [one for one in report.snapshot.problems if one.is_error]
+def test_written_inventory_is_read_back_unchanged(replicas: list[ReplicaRecord], file_format: str) -> None:
+    report = read(write_inventory(replicas, file_format), f"a.{file_format}", ReplicaRules())
+    assert not [reported for reported in report.snapshot.problems if reported.is_error]
     assert list(report.snapshot.replicas.values()) == replicas
 
 
-def test_the_parse_cache_changes_no_result() -> None:
-    memory, reading = ParseCache(), ReadOptions(RULES)
+def test_parse_cache_does_not_change_the_snapshot() -> None:
+    cache, options = ParseCache(), ReadOptions(RULES)
     rows = [f"w{n},10.0.0.{n}\n" for n in range(1, 9)]
     for changed in ("w3,10.0.0.99\n", "w3,10.0.0.4\n", "w3,nowhere\n", rows[2]):
         rows[2] = changed
         files = [FileContent("a.csv", ("name,host\n" + "".join(rows)).encode())]
-        assert take_snapshot(files, reading, memory).snapshot == take_snapshot(files, reading).snapshot
+        assert take_snapshot(files, options, cache).snapshot == take_snapshot(files, options).snapshot
