--- a/lockspoke/inventory/csv_reader.py
+++ b/lockspoke/inventory/csv_reader.py
@@ -80,6 +80,8 @@
 
 
 class _CsvReader:
+    """Reads the records of one CSV text into the hosts and groups of a source."""
+
     def __init__(
         self,
         text: str,
--- a/lockspoke/inventory/field_parsers.py
+++ b/lockspoke/inventory/field_parsers.py
@@ -30,7 +30,7 @@
 
 
 class InvalidValueError(Exception):
-    """A value is not valid; has the code of the problem and a suggestion how to fix it."""
+    """The value of a field is not valid; holds the code of the problem and a suggestion for fixing it."""
 
     def __init__(self, code: ProblemCode, message: str, suggestion: str = "") -> None:
         super().__init__(message)
--- a/lockspoke/inventory/group_graph.py
+++ b/lockspoke/inventory/group_graph.py
@@ -126,9 +126,8 @@
         visited: set[str] = set()
         for start in list(self.nodes):
             path: list[str] = []
-            stack: list[tuple[str, bool]] = [
-                (start, False)
-            ]  # Each group, and whether its parents were visited.
+            # The entries are a group and whether its parents were visited.
+            stack: list[tuple[str, bool]] = [(start, False)]
             while stack:
                 name, parents_visited = stack.pop()
                 if parents_visited:
--- a/lockspoke/inventory/ini_reader.py
+++ b/lockspoke/inventory/ini_reader.py
@@ -110,6 +110,8 @@
 
 
 class _IniReader:
+    """Reads the lines of one INI text into the hosts and groups of a source."""
+
     def __init__(self, text: str, file: str, problems: ProblemCollector) -> None:
         self.lines = text.split("\n")
         self.problems = problems
--- a/lockspoke/inventory/json_document.py
+++ b/lockspoke/inventory/json_document.py
@@ -38,6 +38,8 @@
 
 
 class _JsonReader:
+    """Scans one JSON text and builds its tree, without recursion."""
+
     def __init__(self, text: str, file: str) -> None:
         self.text = text
         self.lines = _LineIndex(text, file)
--- a/lockspoke/inventory/row_checker.py
+++ b/lockspoke/inventory/row_checker.py
@@ -86,6 +86,8 @@
 
 
 class _RowChecker:
+    """Checks the fields of one row and collects its problems."""
+
     def __init__(self, row: Row, rules: ReplicaRules) -> None:
         self.row, self.rules = row, rules
         self.problems: list[Problem] = list(row.problems)
--- a/lockspoke/inventory/yaml_document.py
+++ b/lockspoke/inventory/yaml_document.py
@@ -41,6 +41,8 @@
 
 
 class _YamlReader:
+    """Builds the tree of one document; an alias refers to the node of its anchor, which is not copied."""
+
     def __init__(self, file: str) -> None:
         self.file = file
         self.place = Place(file, 1, 1)  # The place of the last event.
