--- a/lockspoke/inventory/json_document.py
+++ b/lockspoke/inventory/json_document.py
@@ -81,7 +81,7 @@
 
     def _read_comma(self) -> None:
         if self._char() != ",":
-            raise self._error("expected a comma, or the end of the enclosing object or array")
+            raise self._error("want a comma here, or the end of what is open")
         self.index += 1
         self._skip_whitespace()
         if self._char() in ("}", "]"):
@@ -116,7 +116,7 @@
                 return False
         number = _NUMBER.match(self.text, self.index)
         if number is None:
-            raise self._error("expected a value" if char else "the text ends amid a value")
+            raise self._error("want a value" if char else "the text ends amid a value")
         self.builder.add(Scalar(number[0], place))
         self.index = number.end()
         return False
--- a/lockspoke/inventory/source_reader.py
+++ b/lockspoke/inventory/source_reader.py
@@ -94,7 +94,7 @@
             read_groups(root, source, problems)
         return source
     suggestion = "name it .csv, .yaml, .json or .ini, or set form"
-    problems.add(UNKNOWN_FORMAT, Place(source.file), "its format can't be detected", suggestion)
+    problems.add(UNKNOWN_FORMAT, Place(source.file), "its form can't be told", suggestion)
     source.complete = False
     return source
 
@@ -115,7 +115,7 @@
         if root is not None:
             read_group_variables(group, root, TreeWalker(problems))
     except DocumentError as error:
-        suggestion = "fix it; until then the hosts concerned stay as they are"
+        suggestion = "mend it; until then the hosts concerned stay as they are"
         problems.add(SYNTAX_ERROR, error.place, str(error), suggestion)
         return FileVariables(malformed_at=error.place, place=place)
     except LimitError as error:
--- a/tests/inventory/test_reconciler.py
+++ b/tests/inventory/test_reconciler.py
@@ -24,7 +24,9 @@
 def snapshot(
     *rows: str, header: str = "name,host,kind,state", end: str = "\n", file: str = "a.csv"
 ) -> Snapshot:
-    return take_snapshot([FileContent(file, ("\n".join([header, *rows]) + end).encode())], READ_OPTIONS).snapshot
+    return take_snapshot(
+        [FileContent(file, ("\n".join([header, *rows]) + end).encode())], READ_OPTIONS
+    ).snapshot
 
 
 def rows(count: int, *without: int) -> list[str]:
