--- a/lockspoke/core/attempt_lifecycle.py
+++ b/lockspoke/core/attempt_lifecycle.py
@@ -102,7 +102,7 @@
         return SendPermission.GRANTED
 
     def _send_is_obsolete(self, attempt: Attempt) -> bool:
-        """Return whether an attempt that has not been sent yet must not be sent any more."""
+        """Return whether an attempt that is still connecting must be given up without sending it."""
         now = self._clock.now()
         request, replica = attempt.request, attempt.replica
         if request.answered or request.streaming_attempt is not None:
@@ -140,7 +140,7 @@
         request = attempt.request
         request.streaming_attempt = attempt
         attempt.stage = AttemptStage.STREAMING
-        request.body = b""  # never sent again, and a stream may last long: free the memory
+        request.body = b""  # the request is not sent again: free the memory, since a stream may last long
         attempt.cancel_deadline_timer()
         elapsed = attempt.last_received_at - attempt.started_at
         self._post(FirstToken(request.number, attempt.index, attempt.replica.number, elapsed))
@@ -162,7 +162,7 @@
         attempt: Attempt,
         outcome: Outcome,
         cached_tokens: int = 0,
-        report: tuple[float, ...] = (),
+        load_report: tuple[float, ...] = (),
     ) -> None:
         """Record the outcome of an attempt; further calls for the same attempt have no effect.
 
@@ -187,7 +187,7 @@
                 elapsed,
                 request.answered,
                 cached_tokens,
-                report,
+                load_report,
                 attempt.connection_reused,
             )
         )
--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -75,15 +75,15 @@
 
     @property
     def interactive_rejected_at(self) -> int:
-        """When the balancer last rejected a request that is not background, by the core's clock; 0: never."""
+        """When the balancer last rejected an interactive request, by the core's clock; 0: never."""
         return self.request_lifecycle.interactive_rejected_at
 
     def start(self) -> None:
         """Start the periodic checks and the watch of the endpoint list."""
         self.stream_supervision.run()
         if not self._polls_endpoint_list:
-            # With this setting the balancer expects discovery to push the list, but discovery only responds
-            # to polls, so the watch starts here. Otherwise the balancer starts it by an action.
+            # The balancer starts the watch only if its settings let it poll the list. Otherwise it expects
+            # discovery to push the list; discovery only responds to polls, so the watch is started here.
             self.discovery.watch(True)
 
     def reconfigure(self, settings: BalancerSettings, zones: Sequence[str]) -> bool:
@@ -128,7 +128,7 @@
         self._post(ClientDisconnected(request.number))
 
     def interactive_request_waiting(self) -> bool:
-        """Return whether a request that is not background is queued because no replica has capacity."""
+        """Return whether an interactive request is queued because no replica has capacity."""
         return self.request_lifecycle.interactive_request_waiting()
 
     # Hand-off
@@ -185,8 +185,8 @@
             cached: Whether an earlier process stored it and discovery has not confirmed it yet.
             completes_poll: Whether it is the response to the poll that the balancer waits for.
         """
-        reading = ClockReading(self.clock.now(), self.clock.wall_time())
-        self._apply(self.replica_set.apply(update, reading, cached, completes_poll))
+        clock_reading = ClockReading(self.clock.now(), self.clock.wall_time())
+        self._apply(self.replica_set.apply(update, clock_reading, cached, completes_poll))
         # Without pruning, every replica that discovery has ever listed would stay in memory.
         self.replica_set.prune(self.balancer.replicas)
 
@@ -205,11 +205,14 @@
         self._log_last_attempt(change.replicas_to_disconnect)
         self._post(change.event)
 
-    def _log_last_attempt(self, changed: Iterable[Replica]) -> None:
-        """Log when replicas that have just left service last got an attempt; this reveals late drains."""
+    def _log_last_attempt(self, disconnected: Iterable[Replica]) -> None:
+        """Log when the replicas that no longer accept requests last got an attempt.
+
+        The line reveals a drain that reached one of many gateways late, without logging every request.
+        """
         last_attempt_times = [
             replica.last_attempt_at
-            for replica in changed
+            for replica in disconnected
             if replica.last_attempt_at and not self.replica_set.accepts_requests(replica)
         ]
         if last_attempt_times:
--- a/lockspoke/core/decision_loop.py
+++ b/lockspoke/core/decision_loop.py
@@ -36,7 +36,7 @@
         self._running = False
 
     def post(self, event: Event) -> None:
-        """Queue an event, and process the queue unless a caller further up the stack already does."""
+        """Queue an event, and process the queue unless a caller up the stack is already processing it."""
         self._queue.append(event)
         if self._running:
             return
--- a/lockspoke/core/interfaces.py
+++ b/lockspoke/core/interfaces.py
@@ -21,13 +21,13 @@
         """Return the nanoseconds since the Unix epoch by a clock that never goes back."""
 
     def wall_time(self) -> int:
-        """Return the nanoseconds since the Unix epoch by the wall clock, which may be set at any time."""
+        """Return the nanoseconds since the Unix epoch by the wall clock, which may be reset at any time."""
 
     def earliest_arrival(self) -> int:
         """Return the earliest time at which input that is being read now can have arrived.
 
-        A busy event loop reads input some time after the kernel received it. Deadlines are counted from the
-        arrival, so they must not be counted from a later time than this.
+        A busy event loop reads input some time after the kernel received it. A deadline that is counted from
+        the time of reading would be later than the client's own.
         """
 
     def call_later(self, delay: int, callback: Callable[[], None]) -> TimerHandle:
@@ -55,7 +55,10 @@
         """Abort a response whose stream has started but cannot be completed."""
 
     def reject(self, retry_after: int) -> None:
-        """Send an overload reply. A retry is safe; it should wait `retry_after` nanoseconds, unless 0."""
+        """Send an overload reply, which tells the client that a retry is safe.
+
+        If `retry_after` is not 0, the client is asked to wait that many nanoseconds before the retry.
+        """
 
     def fail(self) -> None:
         """Send an error reply that does not say whether the request ran."""
--- a/lockspoke/core/process_start.py
+++ b/lockspoke/core/process_start.py
@@ -35,17 +35,17 @@
     def __init__(self) -> None:
         self._starts: dict[int, _ProcessStart] = {}  # by replica number
 
-    def started_at(self, replica: int, boot_ms: int, reading: ClockReading) -> int:
+    def started_at(self, replica: int, boot_ms: int, clock_reading: ClockReading) -> int:
         """Return when a replica's process started, by the core's clock; 0: long ago.
 
         Args:
             replica: The replica's number.
             boot_ms: The start time that discovery lists, in Unix time; 0: long ago.
-            reading: The current time.
+            clock_reading: The current time.
         """
         start = self._starts.get(replica)
         if start is None or start.boot_ms != boot_ms:
-            start = self._starts[replica] = _ProcessStart(boot_ms, estimate_start(boot_ms, reading))
+            start = self._starts[replica] = _ProcessStart(boot_ms, estimate_start(boot_ms, clock_reading))
         return start.started_at
 
     def forget(self, replica: int) -> None:
@@ -53,18 +53,19 @@
         self._starts.pop(replica, None)
 
 
-def estimate_start(boot_ms: int, reading: ClockReading) -> int:
+def estimate_start(boot_ms: int, clock_reading: ClockReading) -> int:
     """Return the start time of a newly listed process, by the core's clock; 0: long ago.
 
     If the clocks of this machine disagree, the lower age is used: a replica whose age is underestimated only
-    gets less load during its slow start, but one whose age is overestimated is overloaded.
+    gets less load during its slow start, but one whose age is overestimated is overloaded. A start
+    time that is later than now by more than `MAX_CLOCK_SKEW` is replaced by the current time.
     """
     started_at = boot_ms * MILLISECOND
     if not boot_ms:
         return 0
-    age = reading.now - started_at
-    if abs(reading.wall - reading.now) > MAX_CLOCK_SKEW:
+    age = clock_reading.now - started_at
+    if abs(clock_reading.wall - clock_reading.now) > MAX_CLOCK_SKEW:
         # The wall clock has been set since this process started, and `boot_ms` may have been read from a
         # wall clock before or after that.
-        age = min(age, reading.wall - started_at)
-    return reading.now if age < -MAX_CLOCK_SKEW else reading.now - age
+        age = min(age, clock_reading.wall - started_at)
+    return clock_reading.now if age < -MAX_CLOCK_SKEW else clock_reading.now - age
--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -11,7 +11,7 @@
 from .identifiers import Identifiers, machine_kind_identifier
 from .process_start import ClockReading, ProcessStartTimes
 
-UNKNOWN_VERSION = -1  # no list of the discovery service that is polled now has been applied
+UNKNOWN_VERSION = -1  # no list of the current discovery service has been applied yet
 
 
 class Incarnation(NamedTuple):
@@ -27,7 +27,7 @@
 
     uid: str
     state: ReplicaState
-    endpoint: tuple[str, int] | None
+    endpoint: tuple[str, int] | None  # host and port; None: not listed, a known one is kept
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
@@ -74,7 +74,8 @@
     """What the caller must do after a change of the replica set."""
 
     event: EndpointListUpdate  # to be posted to the balancer
-    # Replicas that have moved, restarted or left service: their idle connections must be closed.
+    # Replicas that have restarted, changed their address or take no new attempts: the idle connections
+    # to them must be closed.
     replicas_to_disconnect: list[Replica] = field(default_factory=list)
 
 
@@ -92,7 +93,7 @@
         self._removed: set[int] = set()
         self._process_start_times = ProcessStartTimes()
         self._last_listed: dict[int, ListedReplica] = {}  # the last entry of each replica, by number
-        self._banned: set[str] = set()  # uids; a ban holds in every listed state
+        self._banned: set[str] = set()  # uids; a ban stays when the listed state changes
 
     def set_zones(self, zones: Sequence[str]) -> bool:
         """Set the names of the zones.
@@ -115,11 +116,11 @@
     def apply(
         self,
         update: ReplicaListUpdate,
-        reading: ClockReading,
+        clock_reading: ClockReading,
         cached: bool = False,
         completes_poll: bool = True,
     ) -> ReplicaSetChange:
-        """Apply an update; `reading` is the current time. See `Core.endpoint_list_changed` for the flags."""
+        """Apply an update at the current time. See `Core.endpoint_list_changed` for the flags."""
         self.version = update.version
         to_disconnect: list[Replica] = []
         entries: dict[int, EndpointListEntry] = {}
@@ -127,7 +128,7 @@
         for entry in update.entries:
             number = self.identifiers.replica(entry.uid)
             self._last_listed[number] = entry
-            started_at = self._process_start_times.started_at(number, entry.boot_ms, reading)
+            started_at = self._process_start_times.started_at(number, entry.boot_ms, clock_reading)
             replica = self.replicas.get(number)
             if replica is None:
                 replica = Replica(number, entry.uid, entry.endpoint, entry.state, entry.boot_ms, started_at)
@@ -191,9 +192,9 @@
             superseded += [replica for replica in same_endpoint if replica.started_at != youngest]
         return superseded
 
-    def prune(self, used: Container[int]) -> None:
-        """Delete the removed replicas whose numbers are not in `used`."""
-        for number in [number for number in self._removed if number not in used]:
+    def prune(self, balancer_replicas: Container[int]) -> None:
+        """Delete the removed replicas whose numbers the balancer does not use any more."""
+        for number in [number for number in self._removed if number not in balancer_replicas]:
             self._removed.discard(number)
             self._last_listed.pop(number, None)
             self._process_start_times.forget(number)
--- a/lockspoke/core/request_lifecycle.py
+++ b/lockspoke/core/request_lifecycle.py
@@ -15,7 +15,7 @@
         # Keyed by request number. An answered request is kept until its last attempt has ended.
         self.open_requests: dict[int, ClientRequest] = {}
         self.totals = Totals()
-        # When the balancer last rejected a request that is not background, by the core's clock; 0: never.
+        # When the balancer last rejected an interactive request, by the core's clock; 0: never.
         self.interactive_rejected_at = 0
 
     def register(self, request: ClientRequest) -> None:
@@ -50,7 +50,7 @@
             request.body = b""
 
     def interactive_request_waiting(self) -> bool:
-        """Return whether any request that is not background is unanswered and has no open attempt."""
+        """Return whether any interactive request is unanswered and has no open attempt."""
         return any(
             not request.background and not request.answered and not request.has_open_attempt
             for request in self.open_requests.values()
--- a/lockspoke/core/requests.py
+++ b/lockspoke/core/requests.py
@@ -20,7 +20,10 @@
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
-    """A request that a client sent to any of the fronts."""
+    """A request that a client sent to any of the fronts.
+
+    Points in time are nanoseconds by the core's clock.
+    """
 
     response: ResponseWriter
     request_class: int
@@ -31,14 +34,14 @@
     headers: Mapping[str, str]  # forwarded to the replica
     body: bytes
     tenant: int = 0  # index in the settings; 0 if they name no tenants
-    session: int = 0
-    prefix: int = 0
+    session: int = 0  # number of the session key (see `key_identifier`); 0: none
+    prefix: int = 0  # number of the key of the prompt's shared prefix; 0: none
     prompt_tokens: float = 0.0
     prefix_tokens: float = 0.0
     max_tokens: float = 0.0
     client_retry: bool = False
     arrived_at: int = 0  # when its last byte arrived; 0: the time of submission is used
-    background: bool = False  # batch work without a waiting client; interactive requests take precedence
+    background: bool = False  # batch work; any other request is interactive and takes precedence
     # Set by the core:
     number: int = 0
     deadline: int = 0
@@ -84,7 +87,8 @@
     """What the transport may do with an attempt whose connection is established."""
 
     GRANTED = "granted"  # send the first byte now, without awaiting anything first
-    CHECK_AGAIN = "check_again"  # unread input may change the result: check again after one loop iteration
+    # Unread input may change the result: check again after one iteration of the event loop.
+    CHECK_AGAIN = "check_again"
     ENDED = "ended"  # the attempt has ended: send nothing, and report nothing more
 
 
@@ -98,14 +102,17 @@
         """Handle a chunk of the replica's stream. If a future is returned, read no more until it is done."""
 
     def attempt_ended(
-        self, attempt: Attempt, outcome: Outcome, cached_tokens: int, report: tuple[float, ...]
+        self, attempt: Attempt, outcome: Outcome, cached_tokens: int, load_report: tuple[float, ...]
     ) -> None:
         """Record that the attempt has ended, with the load report of its replica."""
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One attempt of a request at one replica."""
+    """One attempt of a request at one replica.
+
+    Points in time are nanoseconds by the core's clock.
+    """
 
     request: ClientRequest
     index: int  # position in `request.attempts`
@@ -144,9 +151,9 @@
         """Report a chunk of the replica's stream. If a future is returned, read no more until it is done."""
         return self.listener.stream_received(self, data)
 
-    def end(self, outcome: Outcome, cached_tokens: int = 0, report: tuple[float, ...] = ()) -> None:
+    def end(self, outcome: Outcome, cached_tokens: int = 0, load_report: tuple[float, ...] = ()) -> None:
         """Report that the attempt has ended; further reports have no effect."""
-        self.listener.attempt_ended(self, outcome, cached_tokens, report)
+        self.listener.attempt_ended(self, outcome, cached_tokens, load_report)
 
     def cancel_deadline_timer(self) -> None:
         """Cancel the timer of the deadline if it is running."""
--- a/lockspoke/core/stream_supervision.py
+++ b/lockspoke/core/stream_supervision.py
@@ -17,7 +17,7 @@
 from .transport import Transport
 
 CHECK_INTERVAL = SECOND // 4
-# A stream that receives no data for longer is ended: its replica is considered unreachable.
+# A stream that receives no data for longer than this is ended: its replica is considered unreachable.
 MAX_STREAM_SILENCE = 3 * SECOND
 # How long after its deadline a request may stay unanswered before the check fails it.
 OVERDUE_GRACE = 10 * MILLISECOND
@@ -56,9 +56,9 @@
     def _check_silent(self, stream: Attempt, now: int) -> None:
         """End a stream that has received no data for longer than `MAX_STREAM_SILENCE`.
 
-        The connections of a machine that fails suddenly stay open without any data. Without this check its
-        clients would wait forever; once their streams are aborted, they can request the rest from another
-        replica.
+        The connections of a machine that fails suddenly stay open without any data. Without this check the
+        clients of its streams would wait forever; once their streams are aborted, they can request the rest
+        from another replica.
         """
         # While reading is paused for a slow client, missing data does not indicate a fault of the replica.
         if stream.backpressure is None and now - stream.last_received_at > MAX_STREAM_SILENCE:
@@ -68,8 +68,8 @@
     def _check_overdue(self, request: ClientRequest, now: int) -> None:
         """Fail a request that is unanswered after its deadline, for example because of a balancer fault.
 
-        After a pause of the process, this check may run before timers of the balancer that are also due.
-        `call_later` with no delay lets them run first.
+        After the process has been suspended, this check may run before timers of the balancer that are also
+        due. `call_later` with no delay lets them run first.
         """
         if not request.answered and now > request.deadline + OVERDUE_GRACE:
             self._clock.call_later(0, lambda: self._fail_overdue(request))
--- a/lockspoke/core/totals.py
+++ b/lockspoke/core/totals.py
@@ -12,7 +12,7 @@
     """How a request was completed. Each request is completed exactly once."""
 
     SERVED = "served"  # the client has the complete response
-    TRUNCATED = "truncated"  # the replica's stream ended early, after the first data
+    TRUNCATED = "truncated"  # the replica's stream ended early, after the client got its first data
     REJECTED = "rejected"  # an overload reply: a retry is safe
     FAILED = "failed"  # an error reply: the request may have run
     CLIENT_DISCONNECTED = "client_disconnected"  # the client closed its connection before the end
--- a/lockspoke/core/transport.py
+++ b/lockspoke/core/transport.py
@@ -21,4 +21,4 @@
         """Whether bytes of the attempt's response have arrived that are not forwarded yet."""
 
     def close_idle_connections(self, replica: Replica) -> None:
-        """Close the idle connections to a replica that has moved, restarted or left service."""
+        """Close idle connections to a replica that restarted, changed address or takes no new attempts."""
