--- a/lockspoke/core/core.py
+++ b/lockspoke/core/core.py
@@ -24,12 +24,12 @@
 
 from .actions import ActionExecutor
 from .interfaces import Clock, Discovery
+from .open_request_checks import OpenRequestChecks
 from .process_start import ClockReading
 from .replica_set import Replica, ReplicaListUpdate, ReplicaSet, ReplicaSetChange
 from .request_lifecycle import RequestLifecycle
 from .request_log import RequestLog
 from .requests import Attempt, ClientRequest
-from .stream_supervision import StreamSupervision
 from .totals import RequestOutcome, Totals
 from .transport import Transport
 
@@ -63,7 +63,7 @@
         )
         self._post = executor.post
         self.attempts = executor.attempts
-        self.stream_supervision = StreamSupervision(
+        self.open_request_checks = OpenRequestChecks(
             self.request_lifecycle, self.attempts, clock, transport, self._post
         )
         self._polls_endpoint_list = settings.polls_endpoint_list
@@ -80,7 +80,7 @@
 
     def start(self) -> None:
         """Start the periodic checks and the watch of the endpoint list."""
-        self.stream_supervision.run()
+        self.open_request_checks.run()
         if not self._polls_endpoint_list:
             # The balancer starts the watch only if its settings let it poll the list. Otherwise it expects
             # discovery to push the list; discovery only responds to polls, so the watch is started here.
--- a/lockspoke/core/stream_supervision.py
+++ b/lockspoke/core/open_request_checks.py
@@ -25,7 +25,7 @@
 log = structlog.get_logger()
 
 
-class StreamSupervision:
+class OpenRequestChecks:
     """Ends streams of unreachable replicas, and fails requests for which the balancer made no decision."""
 
     def __init__(
--- a/tests/core/test_stream_supervision.py
+++ b/tests/core/test_stream_supervision.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lockspoke.core.stream_supervision import CHECK_INTERVAL, MAX_STREAM_SILENCE, OVERDUE_GRACE
+from lockspoke.core.open_request_checks import CHECK_INTERVAL, MAX_STREAM_SILENCE, OVERDUE_GRACE
 from lockspoke.core.totals import RequestOutcome
 from lockspoke.units import SECOND
 from tests.core.harness import CoreHarness
--- a/tests/lifecycle/test_periodic_checks.py
+++ b/tests/lifecycle/test_periodic_checks.py
@@ -40,7 +40,7 @@
 
 
 def periodic_checks(gateway: Gateway) -> None:
-    gateway.core.stream_supervision.run()
+    gateway.core.open_request_checks.run()
     gateway.transport.run_periodic_checks()
     gateway.front.run_periodic_checks()
     return_free_memory()
