--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -60,7 +60,7 @@
 
     def __init__(self, replicas: int = 2, **changes: Any) -> None:
         self.time = 1_000 * SECOND
-        self.wall_clock_step = 0  # the offset by which the wall clock was set since the start
+        self.wall_clock_step = 0  # nanoseconds by which the wall clock is ahead of `time`
         self.timers: list[Timer] = []
         self.started: list[Attempt] = []
         self.cancelled: list[Attempt] = []
--- a/tests/core/test_clock_steps.py
+++ b/tests/core/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock: they neither shorten nor extend a slow start, nor remove the newer replica."""
+"""Steps of the wall clock: they neither shorten nor extend a slow start, nor remove the younger replica."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def list_new_replica(harness: CoreHarness, boot: int, uid: str = "new", port: int = 7000) -> None:
-    """Add a replica to the endpoint list, with `boot` as its listed start time."""
+    """Add a replica to the endpoint list, with `boot` (in nanoseconds) as its listed start time."""
     entry = ListedReplica(uid, ReplicaState.READY, ("127.0.0.1", port), "z", boot_ms=boot // MILLISECOND)
     harness.core.endpoint_list_changed(ReplicaListUpdate(2, False, (entry,)))
 
--- a/tests/core/test_decision_loop.py
+++ b/tests/core/test_decision_loop.py
@@ -40,10 +40,10 @@
 ) -> None:
     """Regression: queued events were passed to the balancer together, and a fault lost all of them."""
     harness = CoreHarness(replicas=1)
-    handle, faults = harness.core.balancer.handle, [True]
+    handle, remaining_faults = harness.core.balancer.handle, [True]
 
     def fail_once(now: int, events: list[Any]) -> list[Any]:
-        if faults and faults.pop():
+        if remaining_faults and remaining_faults.pop():
             # The balancer is still handling this event, so the event of the new request is queued.
             harness.submit()
             raise ZeroDivisionError
--- a/tests/core/test_replica_set.py
+++ b/tests/core/test_replica_set.py
@@ -42,7 +42,7 @@
 
 
 def test_a_younger_replica_at_an_address_removes_the_older_one() -> None:
-    """Discovery detects a failed machine late: with both listed, the newer would get twice its load."""
+    """Discovery detects a failed machine late: with both listed, the younger would get twice its load."""
     harness = CoreHarness()
     successor = ListedReplica(
         "successor", ReplicaState.READY, ("127.0.0.1", 5000), "z", boot_ms=harness.time // MILLISECOND - 100
@@ -85,4 +85,4 @@
         "w0": ReplicaState.REMOVED,
         "w1": ReplicaState.READY,
     }
-    assert {replica.uid for replica in harness.idle_closed} == {"w0", "w1"}  # w1 has moved
+    assert {replica.uid for replica in harness.idle_closed} == {"w0", "w1"}  # w1 has a new address
--- a/tests/core/test_stream_supervision.py
+++ b/tests/core/test_stream_supervision.py
@@ -55,8 +55,11 @@
     assert response.written == ["failed"] and not harness.core.requests
 
 
-def test_request_is_not_overdue_after_a_pause_of_the_process() -> None:
-    """The check is due before the deadline and the balancer's timer at it; both run after the pause."""
+def test_request_is_not_overdue_after_the_process_was_suspended() -> None:
+    """The check is due shortly before the deadline, and the balancer's timer at the deadline.
+
+    Both run only after the suspension, when the deadline has passed; the balancer must answer first.
+    """
     harness = CoreHarness()
     harness.core.start()
     _, response = harness.submit(seconds=1.1)
