--- a/bench/faults/__init__.py
+++ b/bench/faults/__init__.py
@@ -1,1 +1,1 @@
-"""System calls of a gateway process that fail as Linux documents, drawn from a seed."""
+"""Injects system call errors that Linux documents into a gateway process, drawn from a seed."""
--- a/bench/faults/__main__.py
+++ b/bench/faults/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m bench.faults ...`: the gateway with faulty system calls, as FAULT_SETTINGS says.
+"""`python -m bench.faults ...`: runs the gateway with the injected faults that FAULT_SETTINGS configures.
 
 The arguments are those of `python -m lockspoke`.
 """
@@ -18,7 +18,7 @@
     network.install(settings)
     machine.install_clock(settings)
     machine.install_disk(settings)
-    # Imported behind the faults: modules hold on to the calls that they import.
+    # Imported after the faults are installed, because modules keep the functions that they import.
     from lockspoke.__main__ import main as run_gateway  # noqa: PLC0415
 
     sys.exit(run_gateway())
--- a/bench/faults/network.py
+++ b/bench/faults/network.py
@@ -1,4 +1,4 @@
-"""Sockets whose calls fail now and then."""
+"""Sockets whose calls fail at random, as drawn from a seed."""
 
 from __future__ import annotations
 
@@ -16,108 +16,109 @@
 ACCEPT_ERRORS = (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EHOSTUNREACH)
 SOCKET_ERRORS = (errno.ENFILE, errno.ENOBUFS)
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EHOSTUNREACH)
-BREAK_EVENT = "injected_break"  # the log line of a connection that breaks, with its own port
+BREAK_EVENT = "injected_break"  # log event of an injected break, with the local port of the connection
 BREAK_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 
-def fail(number: int) -> OSError:
-    """An error of the system."""
+def system_error(number: int) -> OSError:
+    """The exception that the system raises for an error number."""
     return OSError(number, os.strerror(number))
 
 
-class NetworkDraws:
-    """What the seed decides; each kind of fault draws from a generator of its own."""
+class NetworkFaults:
+    """Draws the network faults of a seed; each kind of fault has its own generator."""
 
     def __init__(self, settings: FaultSettings) -> None:
         self._settings = settings
         self._accept_until = time.monotonic() + settings.accept_until
-        self._accepts, self._sockets, self._connects, self._breaks, self._shorts = (
+        self._accept_rng, self._socket_rng, self._connect_rng, self._break_rng, self._short_rng = (
             random.Random(f"{settings.seed}:{name}")
             for name in ("accept", "socket", "connect", "break", "short")
         )
 
     def before_socket(self) -> None:
-        """Raise an error instead of a new socket."""
-        if self._sockets.random() < self._settings.socket_share:
-            raise fail(self._sockets.choice(SOCKET_ERRORS))
+        """Perhaps raise an error instead of creating a socket."""
+        if self._socket_rng.random() < self._settings.socket_share:
+            raise system_error(self._socket_rng.choice(SOCKET_ERRORS))
 
     def before_accept(self) -> None:
-        """Raise an error instead of a connection."""
-        if time.monotonic() < self._accept_until and self._accepts.random() < self._settings.accept_share:
-            raise fail(self._accepts.choice(ACCEPT_ERRORS))
+        """Perhaps raise an error instead of accepting a connection."""
+        if time.monotonic() < self._accept_until and self._accept_rng.random() < self._settings.accept_share:
+            raise system_error(self._accept_rng.choice(ACCEPT_ERRORS))
 
     def before_connect(self) -> None:
-        """Raise an error instead of connecting."""
-        if self._connects.random() < self._settings.connect_share:
-            raise fail(self._connects.choice(CONNECT_ERRORS))
+        """Perhaps raise an error instead of connecting."""
+        if self._connect_rng.random() < self._settings.connect_share:
+            raise system_error(self._connect_rng.choice(CONNECT_ERRORS))
 
     def break_error(self) -> int:
-        """The error with which a connection breaks now; 0: it does not."""
-        breaks = self._breaks.random() < self._settings.break_share
-        return self._breaks.choice(BREAK_ERRORS) if breaks else 0
-
-    def size(self, wanted: int) -> int:
-        """How many of so many bytes a call takes."""
-        if wanted > 1 and self._shorts.random() < self._settings.short_share:
-            return self._shorts.randrange(1, wanted)
+        """The error number with which a connection breaks now, or 0 if it does not."""
+        breaks = self._break_rng.random() < self._settings.break_share
+        return self._break_rng.choice(BREAK_ERRORS) if breaks else 0
+
+    def limit_size(self, wanted: int) -> int:
+        """The number of bytes that a call transfers of the wanted ones; a short call transfers fewer."""
+        if wanted > 1 and self._short_rng.random() < self._settings.short_share:
+            return self._short_rng.randrange(1, wanted)
         return wanted
 
 
 class FaultySocket(socket.socket):
-    """A socket whose calls fail now and then; one that broke stays broken."""
+    """A socket whose calls fail at random; a connection that broke stays broken."""
 
-    draws = NetworkDraws(FaultSettings())
-    broken = 0
-    # Only connections that the process has opened break: what a client has sent and cannot be told any more
-    # looks the same as a request that was dropped.
+    faults = NetworkFaults(FaultSettings())
+    broken_errno = 0
+    # Only connections that the process has opened break. On an accepted connection a break would look to the
+    # checker like a dropped request, because the client's request can no longer be answered.
     may_break = True
 
     def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None) -> None:  # noqa: A002  as the standard library names it
         if fileno is None:
-            self.draws.before_socket()
+            self.faults.before_socket()
         super().__init__(family, type, proto, fileno)
 
     def accept(self) -> Any:
-        """Accept a connection, or fail."""
-        self.draws.before_accept()
+        """Accept a connection, or raise an injected error."""
+        self.faults.before_accept()
         accepted, address = super().accept()
         assert isinstance(accepted, FaultySocket)
         accepted.may_break = False
         return accepted, address
 
     def connect(self, address: Any) -> None:
-        """Connect, or fail."""
-        self.draws.before_connect()
+        """Connect, or raise an injected error."""
+        self.faults.before_connect()
         super().connect(address)
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-        """Receive some of what has come, or fail."""
-        size = self.draws.size(nbytes or len(buffer))
+        """Receive some of the bytes that have arrived, or raise an injected error."""
+        size = self.faults.limit_size(nbytes or len(buffer))
         try:
             received = int(super().recv_into(buffer, size, flags))
         except BlockingIOError:
-            self._break()  # only behind what has come: the system returns that first
+            self._raise_if_broken()  # as the system does, only once all bytes that have arrived are read
             raise
         return received
 
     def send(self, data: Any, flags: int = 0) -> int:
-        """Send some of the bytes, or fail."""
-        self._break()
-        return int(super().send(memoryview(data)[: self.draws.size(len(data))], flags))
+        """Send some of the bytes, or raise an injected error."""
+        self._raise_if_broken()
+        return int(super().send(memoryview(data)[: self.faults.limit_size(len(data))], flags))
 
-    def _break(self) -> None:
-        if not self.may_break or self.family == socket.AF_UNIX:  # the event loop's own pair
+    def _raise_if_broken(self) -> None:
+        """Perhaps break the connection now, and raise its error if it is broken."""
+        if not self.may_break or self.family == socket.AF_UNIX:  # the event loop's own socket pair
             return
-        if not self.broken:
-            self.broken = self.draws.break_error()
-            if self.broken:
+        if not self.broken_errno:
+            self.broken_errno = self.faults.break_error()
+            if self.broken_errno:
                 line = {"event": BREAK_EVENT, "level": "info", "port": self.getsockname()[1]}
                 print(json.dumps(line), file=sys.stderr, flush=True)
-        if self.broken:
-            raise fail(self.broken)
+        if self.broken_errno:
+            raise system_error(self.broken_errno)
 
 
 def install(settings: FaultSettings) -> None:
-    """Replace the sockets of every module that is imported from now on."""
-    FaultySocket.draws = NetworkDraws(settings)
+    """Replace `socket.socket`, also for every module that is imported from now on."""
+    FaultySocket.faults = NetworkFaults(settings)
     socket.socket = FaultySocket  # type: ignore[misc]  # the name is a class
