--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that anyone can run again: `python -m bench.NAME`."""
+"""Reproducible benchmarks and soak tests: `python -m bench.NAME`."""
--- a/bench/batch_soak.py
+++ b/bench/batch_soak.py
@@ -1,12 +1,12 @@
-"""Soak of the batch front: `python -m bench.batch_soak --seed N [--seeds K] [--lines L]`.
+"""Soak test of the batch front: `python -m bench.batch_soak --seed N [--seeds K] [--lines L]`.
 
-A seed draws a schedule: five batches, each cancelled, expired or left to run, and one restart of the gateway
-in the middle of them, by SIGKILL or SIGTERM. While the gateway runs, probes ask for `GET /up`, an operator's
-call and interactive streams (tests/batch/gateway_probes.py says within which bounds). In the end every line
-must stand exactly once in a result file.
+A seed determines a schedule: five batches, each cancelled before or after the restart or expired, and one
+restart of the gateway while they run, by SIGKILL or SIGTERM. While the gateway runs, probes measure
+`GET /up`, an operator's call and interactive streams; their bounds are in tests/batch/gateway_probes.py. At
+the end every line must have exactly one result in the result files.
 
-A run in which the probing process itself was late is void, which is neither passed nor failed. The exit code
-is the number of seeds that failed, 100 at the most.
+A run in which the probing process itself was late is inconclusive (printed as `void`) and is repeated. The
+exit code is the number of seeds that failed or stayed inconclusive, 100 at the most.
 """
 
 from __future__ import annotations
@@ -32,27 +32,27 @@
 from tests.standins import Program
 
 BATCHES = 5
-CONCERNS = ("disk", "clock")  # what may fail, by name
-DISK_PHASE = 0.5  # where in its period the disk begins to fail: not as a process starts
-DISK_SHARES = (0.1, 0.3, 1.0)  # of the calls that fail meanwhile
-WALL_STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # seconds
-RETRY_INTERVAL = 0.1  # seconds after a call that the store could not take
-MAX_PLAYS = 5  # of a seed whose plays are void
-DEFAULT_LINES = 10_000  # of each batch
-LAST_CANCEL = 2.0  # seconds of a gateway's life within which its batches are cancelled
-LONGEST_LIFE = 4.0  # seconds until the restart
-# Seconds from SIGTERM to the earliest SIGKILL: the longest deadline, taken as 3 s where longer, and 0.7 s
+CONCERNS = ("disk", "clock")  # names of the kinds of faults
+DISK_PHASE = 0.5  # part of its period after which the disk fails, so that processes start without failures
+DISK_SHARES = (0.1, 0.3, 1.0)  # shares of the calls that fail while the disk fails
+WALL_STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # seconds by which the wall clock is set
+RETRY_INTERVAL = 0.1  # seconds after a call that failed because the store could not write
+MAX_RUNS = 5  # of a seed whose runs are inconclusive
+DEFAULT_LINES = 10_000  # in each batch
+MAX_CANCEL_DELAY = 2.0  # seconds after the last creation, or the restart, until the last cancellation
+MAX_TIME_BEFORE_RESTART = 4.0  # seconds from the last creation to the restart
+# Seconds from SIGTERM to the earliest SIGKILL: the longest deadline, but at most 3 s, plus 0.7 s
 # (the protocol page, "Figures").
-STOP_TIME = 3.7
-DECODE_AT_ONCE = 200  # lines of a result file
+STOP_TIMEOUT = 3.7
+DECODE_CHUNK_LINES = 200  # lines of a result file that are decoded without a break
 FINISH_TIMEOUT = 120.0  # seconds for all batches to end after the restart
 
 
 ResultT = TypeVar("ResultT")
 
 
-class BatchFate(Enum):
-    """What becomes of a batch."""
+class BatchEnding(Enum):
+    """How a batch ends."""
 
     CANCELLED = "cancelled"
     EXPIRED = "expired"
@@ -63,41 +63,43 @@
 class BatchPlan:
     """One batch of a schedule."""
 
-    fate: BatchFate
+    ending: BatchEnding
     window: str  # completion window
     cancel_at: float  # seconds after the last creation, or after the restart
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """All that a seed decides."""
+    """Everything that a seed determines except the injected faults."""
 
     batches: tuple[BatchPlan, ...]
     concurrency: int
-    replica_pause: float  # seconds that a replica takes for a line
+    replica_pause: float  # seconds that a replica takes to answer a line
     restart_at: float  # seconds after the last creation
     restart_by_kill: bool
 
 
 def draw_schedule(seed: int) -> Schedule:
-    """The schedule of a seed; each concern has a generator of its own."""
-    fates, settings, restart = (random.Random(f"{seed}:{name}") for name in ("fates", "settings", "restart"))
+    """Draw the schedule of a seed; endings, settings and restart have separate generators."""
+    endings, settings, restart = (
+        random.Random(f"{seed}:{name}") for name in ("fates", "settings", "restart")
+    )
     plans = []
     for _ in range(BATCHES):
-        fate = fates.choice(list(BatchFate))
-        window = f"{fates.randint(1, 5)}s" if fate is BatchFate.EXPIRED else "24h"
-        plans.append(BatchPlan(fate, window, fates.uniform(0.0, LAST_CANCEL)))
+        ending = endings.choice(list(BatchEnding))
+        window = f"{endings.randint(1, 5)}s" if ending is BatchEnding.EXPIRED else "24h"
+        plans.append(BatchPlan(ending, window, endings.uniform(0.0, MAX_CANCEL_DELAY)))
     return Schedule(
         tuple(plans),
         concurrency=settings.choice((2, 8, 32)),
         replica_pause=settings.choice((0.002, 0.05, 0.5)),
-        restart_at=restart.uniform(0.2, LONGEST_LIFE),
+        restart_at=restart.uniform(0.2, MAX_TIME_BEFORE_RESTART),
         restart_by_kill=restart.random() < 0.5,
     )
 
 
 def draw_faults(seed: int, concerns: Collection[str]) -> FaultSettings | None:
-    """The faulty system calls of a seed, for these concerns; None without any."""
+    """Draw the faults of a seed for these concerns; None without any concern."""
     if not concerns:
         return None
     settings = FaultSettings(seed=seed, disk_phase=DISK_PHASE)
@@ -105,25 +107,25 @@
         settings = replace(settings, disk_share=random.Random(f"{seed}:disk share").choice(DISK_SHARES))
     if "clock" in concerns:
         clock = random.Random(f"{seed}:clock")
-        step, at = clock.choice(WALL_STEPS), clock.uniform(0.0, LONGEST_LIFE)
+        step, at = clock.choice(WALL_STEPS), clock.uniform(0.0, MAX_TIME_BEFORE_RESTART)
         settings = replace(settings, wall_step=step, wall_step_at=at)
     return settings
 
 
 class SoakError(AssertionError):
-    """The gateway broke a bound."""
+    """The gateway violated a bound."""
 
 
 @dataclass(slots=True)
 class SoakResult:
-    """What one seed showed."""
+    """Result of one run without a violation."""
 
-    void: bool
+    inconclusive: bool
     summary: str
 
 
 class BatchSoak:
-    """Plays the schedule of one seed."""
+    """Runs the schedule of one seed."""
 
     def __init__(
         self, schedule: Schedule, lines: int, folder: Path, faults: FaultSettings | None = None
@@ -132,32 +134,36 @@
         self._faults = faults
         self._lines = lines
         self._input = input_file(lines)
-        self._options = ("--batch", batch_config(folder, concurrency=schedule.concurrency))
-        self._ids: list[str] = []
+        self._gateway_options = ("--batch", batch_config(folder, concurrency=schedule.concurrency))
+        self._batch_ids: list[str] = []
 
-    async def play(self) -> SoakResult:
-        """Play both lives of the gateway; raises SoakError if a bound is broken."""
+    async def execute(self) -> SoakResult:
+        """Run the gateway before and after its restart; raises SoakError if a bound is violated."""
         pause = self._schedule.replica_pause
         async with TimestampReplica(pause=pause) as one, TimestampReplica(pause=pause) as two:
             async with self._program(one, two) as program:
-                first = await self._first_life(program)
+                first = await self._run_until_restart(program)
             async with self._program(one, two) as program:
-                second, statuses = await self._second_life(program)
-        void = first.is_void() or second.is_void()
+                second, statuses = await self._run_after_restart(program)
+        inconclusive = first.is_void() or second.is_void()
         violations = first.violations() + second.violations()
         summary = f"{dict(statuses)}; first: {first.summary()}; second: {second.summary()}"
-        if violations and not void:
+        if violations and not inconclusive:
             raise SoakError(f"{'; '.join(violations)} ({summary})")
-        return SoakResult(void, summary)
+        return SoakResult(inconclusive, summary)
 
     def _program(self, *replicas: TimestampReplica) -> Program:
         if self._faults is None:
-            return Program(*replicas, options=self._options, operator=True)
+            return Program(*replicas, options=self._gateway_options, operator=True)
         env = {VARIABLE: self._faults.encode()}
-        return Program(*replicas, options=self._options, operator=True, module="bench.faults", env=env)
-
-    async def _until_stored(self, program: Program, call: Callable[[Api], Awaitable[ResultT]]) -> ResultT:
-        """Repeat a call while the store cannot write: nothing of it was accepted."""
+        return Program(
+            *replicas, options=self._gateway_options, operator=True, module="bench.faults", env=env
+        )
+
+    async def _retry_while_unavailable(
+        self, program: Program, call: Callable[[Api], Awaitable[ResultT]]
+    ) -> ResultT:
+        """Repeat a call while it answers 503 because of a disk fault; such a call has changed nothing."""
         while True:
             api = await connect(program)
             try:
@@ -169,11 +175,13 @@
                 await api.client.__aexit__()
             await asyncio.sleep(RETRY_INTERVAL)
 
-    async def _first_life(self, program: Program) -> Measurements:
+    async def _run_until_restart(self, program: Program) -> Measurements:
         async with GatewayProbes(program).running() as measurements:
             for plan in self._schedule.batches:
-                self._ids.append(await self._until_stored(program, partial(self._create, window=plan.window)))
-            cancels = asyncio.ensure_future(self._cancel(program, BatchFate.CANCELLED))
+                self._batch_ids.append(
+                    await self._retry_while_unavailable(program, partial(self._create, window=plan.window))
+                )
+            cancels = asyncio.ensure_future(self._cancel(program, BatchEnding.CANCELLED))
             await asyncio.sleep(self._schedule.restart_at)
             cancels.cancel()
             await asyncio.gather(cancels, return_exceptions=True)
@@ -187,24 +195,24 @@
     async def _create(self, api: Api, window: str) -> str:
         return await api.create_batch(self._input, window=window)
 
-    async def _second_life(self, program: Program) -> tuple[Measurements, Counter[str]]:
+    async def _run_after_restart(self, program: Program) -> tuple[Measurements, Counter[str]]:
         api = await connect(program)
         async with GatewayProbes(program).running() as measurements, asyncio.timeout(FINISH_TIMEOUT):
-            await self._cancel(program, BatchFate.CANCELLED, BatchFate.CANCELLED_AFTER_RESTART)
+            await self._cancel(program, BatchEnding.CANCELLED, BatchEnding.CANCELLED_AFTER_RESTART)
             statuses: Counter[str] = Counter()
-            for batch_id in self._ids:
+            for batch_id in self._batch_ids:
                 statuses += await self._check_results(api, batch_id)
         await self._terminate(program)
         return measurements, statuses
 
-    async def _cancel(self, program: Program, *fates: BatchFate) -> None:
-        """Cancel the batches of these fates, each at its time."""
-        pairs = zip(self._ids, self._schedule.batches, strict=True)
-        due = sorted((plan.cancel_at, batch_id) for batch_id, plan in pairs if plan.fate in fates)
+    async def _cancel(self, program: Program, *endings: BatchEnding) -> None:
+        """Cancel the batches with these endings, each at its time."""
+        pairs = zip(self._batch_ids, self._schedule.batches, strict=True)
+        due = sorted((plan.cancel_at, batch_id) for batch_id, plan in pairs if plan.ending in endings)
         started_at = time.monotonic()
         for cancel_at, batch_id in due:
             await asyncio.sleep(max(0.0, started_at + cancel_at - time.monotonic()))
-            await self._until_stored(program, partial(self._cancel_one, batch_id=batch_id))
+            await self._retry_while_unavailable(program, partial(self._cancel_one, batch_id=batch_id))
 
     @staticmethod
     async def _cancel_one(api: Api, batch_id: str) -> None:
@@ -213,7 +221,7 @@
             await api.request("POST", f"/v1/batches/{batch_id}/cancel")
 
     async def _check_results(self, api: Api, batch_id: str) -> Counter[str]:
-        """Count the results of a batch once it is final; every line must have exactly one."""
+        """Wait until a batch is final and count its results by outcome; every line must have exactly one."""
         batch = await api.wait_until_final(batch_id)
         results: list[Any] = []
         for file_id in (batch["output_file_id"], batch["error_file_id"]):
@@ -221,16 +229,16 @@
                 results += await self._read_results(api, file_id)
         ids = sorted(result["custom_id"] for result in results)
         if ids != sorted(f"c{number}" for number in range(self._lines)):
-            unlike = len(set(ids))
-            raise SoakError(f"{batch_id}: {self._lines} lines, {len(ids)} results for {unlike} of them")
+            distinct = len(set(ids))
+            raise SoakError(f"{batch_id}: {self._lines} lines, {len(ids)} results for {distinct} of them")
         return Counter(result["error"]["code"] if result["error"] else "served" for result in results)
 
     async def _read_results(self, api: Api, file_id: str) -> list[Any]:
-        """Decode a result file a few lines at a time, so that the probes are not held up."""
+        """Decode a result file a few lines at a time, so that the probes are not delayed."""
         lines = (await api.request("GET", f"/v1/files/{file_id}/content"))[0].splitlines()
         results = []
-        for start in range(0, len(lines), DECODE_AT_ONCE):
-            results += [json.loads(line) for line in lines[start : start + DECODE_AT_ONCE]]
+        for start in range(0, len(lines), DECODE_CHUNK_LINES):
+            results += [json.loads(line) for line in lines[start : start + DECODE_CHUNK_LINES]]
             await asyncio.sleep(0)
         return results
 
@@ -239,37 +247,37 @@
         program.process.terminate()
         code = await program.process.wait()
         took = time.monotonic() - started_at
-        if code != 0 or took > STOP_TIME:
-            raise SoakError(f"SIGTERM: exit code {code} after {took:.1f} s, wanted 0 within {STOP_TIME} s")
+        if code != 0 or took > STOP_TIMEOUT:
+            raise SoakError(f"SIGTERM: exit code {code} after {took:.1f} s, wanted 0 within {STOP_TIMEOUT} s")
 
 
-def play_seed(seed: int, lines: int, concerns: tuple[str, ...]) -> bool:
-    """Play one seed until a play counts, and print each verdict; returns whether it failed."""
+def run_seed(seed: int, lines: int, concerns: tuple[str, ...]) -> bool:
+    """Run one seed until a run is conclusive, and print each outcome; returns whether it failed."""
     command = f"python -m bench.batch_soak --seed {seed} --lines {lines}"
     command += f" --faults {','.join(concerns)}" if concerns else ""
-    for _ in range(MAX_PLAYS):
-        result = play_once(seed, lines, concerns, command)
-        if result is None or not result.void:
+    for _ in range(MAX_RUNS):
+        result = run_seed_once(seed, lines, concerns, command)
+        if result is None or not result.inconclusive:
             break
-    return result is None or result.void
+    return result is None or result.inconclusive
 
 
-def play_once(seed: int, lines: int, concerns: tuple[str, ...], command: str) -> SoakResult | None:
-    """Play one seed and print its verdict; returns None if it failed."""
+def run_seed_once(seed: int, lines: int, concerns: tuple[str, ...], command: str) -> SoakResult | None:
+    """Run one seed once and print its outcome; returns None if it failed."""
     started_at = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         try:
             soak = BatchSoak(draw_schedule(seed), lines, Path(folder), draw_faults(seed, concerns))
-            result = asyncio.run(soak.play())
+            result = asyncio.run(soak.execute())
         except (SoakError, AssertionError, TimeoutError, OSError) as error:
             print(f"seed {seed}: FAILED: {error!r}; again by: {command}", flush=True)
             return None
-    verdict = "void (the probing process was late)" if result.void else "passed"
-    print(f"seed {seed}: {verdict} in {time.monotonic() - started_at:.0f} s; {result.summary}", flush=True)
+    outcome = "void (the probing process was late)" if result.inconclusive else "passed"
+    print(f"seed {seed}: {outcome} in {time.monotonic() - started_at:.0f} s; {result.summary}", flush=True)
     return result
 
 
-def _concerns(text: str) -> tuple[str, ...]:
+def _parse_concerns(text: str) -> tuple[str, ...]:
     names = tuple(text.split(","))
     for name in names:
         if name not in CONCERNS:
@@ -278,15 +286,15 @@
 
 
 def main() -> None:
-    """Play the seeds that the command line names."""
+    """Run the seeds that the command line selects."""
     parser = argparse.ArgumentParser(description="Soak of the batch front, with seeded schedules.")
     parser.add_argument("--seed", type=int, default=1, help="the first seed")
     parser.add_argument("--seeds", type=int, default=1, help="how many seeds, one after another")
     parser.add_argument("--lines", type=int, default=DEFAULT_LINES, help="lines of each batch")
-    parser.add_argument("--faults", type=_concerns, default=(), help=f"some of {','.join(CONCERNS)}")
+    parser.add_argument("--faults", type=_parse_concerns, default=(), help=f"some of {','.join(CONCERNS)}")
     options = parser.parse_args()
     seeds = range(options.seed, options.seed + options.seeds)
-    failed = sum(play_seed(seed, options.lines, options.faults) for seed in seeds)
+    failed = sum(run_seed(seed, options.lines, options.faults) for seed in seeds)
     print(f"{options.seeds} seeds, {failed} failed")
     sys.exit(min(failed, 100))
 
--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded soak of several gateways on loopback, judged by what is seen on the wire alone."""
+"""Seeded soak test of several gateways on loopback, checked only by what is observed on the wire."""
--- a/bench/soak/judge.py
+++ b/bench/soak/checker.py
@@ -1,7 +1,8 @@
-"""The rules of the platform, held against what was seen on the wire.
+"""Checks the observations of a run against the rules of the platform.
 
-Every bound is a page's: the protocol page and the page of the standing test. `SLACK` is added to each for the
-stand-ins' own reading of the clock; a run in which the bench's own loop was later than that is void.
+The bounds come from the protocol page and the page of the standing test. `SLACK` is added to each bound
+because the stand-ins may read the clock late; a run in which the bench's own event loop was later than that
+is inconclusive.
 """
 
 from __future__ import annotations
@@ -10,53 +11,55 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from .observations import ClientRequestSeen, Observations, ReplyKind
+from .observations import Observations, ObservedRequest, ReplyKind
 
-SLACK = 0.05  # seconds; "each time limit being 50 ms longer"
-DRAIN_GRACE = 0.25  # seconds after a drain is notified
-DISCONNECT_GRACE = 0.1  # seconds after a client's close
-DEADLINE_SLACK_MS = 150
+SLACK = 0.05  # seconds added to each time limit
+DRAIN_GRACE = 0.25  # seconds after the notification of a drain in which requests may still be sent
+DISCONNECT_GRACE = 0.1  # seconds after a client's disconnection in which attempts may still begin
+DEADLINE_SLACK_MS = 150  # by which a forwarded deadline may exceed the client's remaining time
 MAX_EVENT_DELAY = 0.3  # seconds from a replica's write to the client's read
-MAX_LATE_STREAMS = 0.05  # share of streams with an event later than that
-# Seconds after SIGTERM: a request that came later and that SIGKILL finds unanswered is lost.
+MAX_LATE_STREAMS = 0.05  # share of streams that may have an event later than MAX_EVENT_DELAY
+# Seconds after SIGTERM: a request that was sent later and is unanswered at SIGKILL counts as lost.
 LATE_AFTER_SIGTERM = 0.7
-ANSWER_SLACK = 0.5  # seconds after its deadline within which a request without a stream gets its answer
+ANSWER_SLACK = 0.5  # seconds after its deadline within which a rejected or failed request is answered
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken rule."""
+    """One violation of a rule."""
 
     rule: str
     text: str
 
     def __str__(self) -> str:
-        """The rule and what was seen."""
+        """The rule and what was observed."""
         return f"{self.rule}: {self.text}"
 
 
-def is_void(seen: Observations) -> bool:
-    """Whether the bench itself was too late for its observations to count."""
-    return max(seen.own_delays, default=0.0) > SLACK
+def is_inconclusive(observations: Observations) -> bool:
+    """Whether the bench's event loop was too late for its observations to be reliable."""
+    return max(observations.loop_delays, default=0.0) > SLACK
 
 
-def violations(seen: Observations) -> list[Violation]:
-    """All broken rules."""
-    return [violation for check in CHECKS for violation in check(seen)]
+def violations(observations: Observations) -> list[Violation]:
+    """All violations of all rules."""
+    return [violation for check in CHECKS for violation in check(observations)]
 
 
-def _actors(seen: Observations) -> Iterator[Violation]:
-    for fault in seen.actor_faults:
+def _stand_in_failures(observations: Observations) -> Iterator[Violation]:
+    """No client or stand-in of the bench has failed."""
+    for fault in observations.stand_in_errors:
         yield Violation("actor", f"the bench itself failed: {fault}")
 
 
-def _drains(seen: Observations) -> Iterator[Violation]:
+def _drains(observations: Observations) -> Iterator[Violation]:
+    """No attempt reaches an incarnation later than DRAIN_GRACE after its drain was notified."""
     notified: dict[tuple[str, int, int], float] = {}
-    for drain in seen.drains:
+    for drain in observations.drains:
         key = (drain.gateway, drain.replica, drain.replica_incarnation)
         notified[key] = min(drain.at, notified.get(key, drain.at))
-    for attempt in seen.attempts:
-        request = seen.requests.get(attempt.request_id)
+    for attempt in observations.attempts:
+        request = observations.requests.get(attempt.request_id)
         if request is None:
             continue
         at = notified.get((request.gateway, attempt.replica, attempt.replica_incarnation))
@@ -69,14 +72,15 @@
             )
 
 
-def _answers(seen: Observations) -> Iterator[Violation]:
-    forwarded = {attempt.request_id for attempt in seen.attempts}
+def _answers(observations: Observations) -> Iterator[Violation]:
+    """Every request that a gateway has read gets a complete answer in time."""
+    forwarded = {attempt.request_id for attempt in observations.attempts}
     finished = {
         attempt.request_id
-        for attempt in seen.attempts
-        if attempt.finished and attempt.peer_port not in seen.broken_ports
+        for attempt in observations.attempts
+        if attempt.finished and attempt.peer_port not in observations.broken_ports
     }
-    for request in seen.requests.values():
+    for request in observations.requests.values():
         where = f"request {request.request_id} at {request.gateway}, sent at {request.sent_at:.3f} s"
         if request.reply is None:
             yield Violation("lost", f"{where} got no final answer")
@@ -84,35 +88,37 @@
             yield Violation("lost", f"{where}: its connection ended without an answer")
         elif request.reply is ReplyKind.NOT_READ and request.request_id in forwarded:
             yield Violation("lost", f"{where}: its connection was reset, and it was forwarded")
-        elif request.reply is ReplyKind.GATEWAY_KILLED and _came_late(request):
+        elif request.reply is ReplyKind.GATEWAY_KILLED and _sent_late_in_shutdown(request):
             yield Violation(
                 "lost",
                 f"{where}: SIGKILL found it unanswered, {request.sent_after_sigterm:.3f} s after SIGTERM",
             )
         elif request.reply is ReplyKind.TRUNCATED and request.request_id in finished:
             yield Violation("lost", f"{where}: its stream was cut though its replica had finished it")
-        elif _is_late(request):
+        elif _is_answered_late(request):
             late = request.ended_at - request.sent_at
             yield Violation(
                 "lost", f"{where} was answered after {late:.3f} s, {request.deadline_ms} ms wanted"
             )
 
 
-def _came_late(request: ClientRequestSeen) -> bool:
+def _sent_late_in_shutdown(request: ObservedRequest) -> bool:
+    """Whether a request was sent so long after SIGTERM that the gateway had to answer it before SIGKILL."""
     return request.sent_after_sigterm is not None and request.sent_after_sigterm > LATE_AFTER_SIGTERM + SLACK
 
 
-def _is_late(request: ClientRequestSeen) -> bool:
-    """Whether a request that did not stream got its answer too late."""
+def _is_answered_late(request: ObservedRequest) -> bool:
+    """Whether a rejected or failed request got its answer too late."""
     if request.reply not in (ReplyKind.REJECTED, ReplyKind.FAILED):
         return False
     return request.ended_at - request.sent_at > request.deadline_ms / 1000 + ANSWER_SLACK + SLACK
 
 
-def _forbidden_repeats(seen: Observations) -> Iterator[Violation]:
+def _duplicates(observations: Observations) -> Iterator[Violation]:
+    """No request that must not be repeated may have run twice."""
     ran: dict[str, int] = defaultdict(int)
-    for attempt in seen.attempts:
-        request = seen.requests.get(attempt.request_id)
+    for attempt in observations.attempts:
+        request = observations.requests.get(attempt.request_id)
         never_ran = attempt.declined or not attempt.complete
         if request is None or request.class_name != "once" or never_ran:
             continue
@@ -123,9 +129,10 @@
             )
 
 
-def _deadlines(seen: Observations) -> Iterator[Violation]:
-    for attempt in seen.attempts:
-        request = seen.requests.get(attempt.request_id)
+def _deadlines(observations: Observations) -> Iterator[Violation]:
+    """No forwarded deadline exceeds the time that its client has left by more than DEADLINE_SLACK_MS."""
+    for attempt in observations.attempts:
+        request = observations.requests.get(attempt.request_id)
         if request is None or not request.sent_at:
             continue
         remaining_ms = request.deadline_ms - 1000 * (attempt.began_at - request.sent_at)
@@ -138,9 +145,10 @@
             )
 
 
-def _disconnected_clients(seen: Observations) -> Iterator[Violation]:
-    for attempt in seen.attempts:
-        request = seen.requests.get(attempt.request_id)
+def _disconnected_clients(observations: Observations) -> Iterator[Violation]:
+    """No attempt begins later than DISCONNECT_GRACE after its client has disconnected."""
+    for attempt in observations.attempts:
+        request = observations.requests.get(attempt.request_id)
         if request is None or request.disconnected_at is None:
             continue
         late = attempt.began_at - request.disconnected_at
@@ -151,8 +159,9 @@
             )
 
 
-def _late_events(seen: Observations) -> Iterator[Violation]:
-    streams = [request for request in seen.requests.values() if request.reply is ReplyKind.SERVED]
+def _late_events(observations: Observations) -> Iterator[Violation]:
+    """At most MAX_LATE_STREAMS of the streams have an event later than MAX_EVENT_DELAY."""
+    streams = [request for request in observations.requests.values() if request.reply is ReplyKind.SERVED]
     late = [one for one in streams if one.longest_event_delay > MAX_EVENT_DELAY + SLACK]
     if streams and len(late) > MAX_LATE_STREAMS * len(streams):
         worst = max(late, key=lambda one: one.longest_event_delay)
@@ -163,10 +172,11 @@
         )
 
 
-def _exits(seen: Observations) -> Iterator[Violation]:
-    for crash in seen.crashes:
+def _exits(observations: Observations) -> Iterator[Violation]:
+    """No gateway crashes or logs an error, and each one stops with exit code 0 after SIGTERM."""
+    for crash in observations.crashes:
         yield Violation("crash", crash)
-    for ended in seen.exits:
+    for ended in observations.exits:
         if not ended.killed and ended.code != 0:
             yield Violation(
                 "exit", f"{ended.gateway} ended with {ended.code}, {ended.after:.2f} s after SIGTERM"
@@ -174,10 +184,10 @@
 
 
 CHECKS = (
-    _actors,
+    _stand_in_failures,
     _drains,
     _answers,
-    _forbidden_repeats,
+    _duplicates,
     _deadlines,
     _disconnected_clients,
     _late_events,
--- a/bench/soak/crowd.py
+++ b/bench/soak/crowd.py
@@ -1,7 +1,7 @@
-"""`python -m bench.soak.crowd PORT SIZE`: clients that reconnect when the gateway closes their connections.
+"""`python -m bench.soak.crowd PORT SIZE`: idle clients that reconnect when the gateway closes a connection.
 
-A process of its own, so that it does not delay the bench. It never sends a request, and ends when it is
-killed or its gateway accepts no more.
+It runs as a separate process so that it does not delay the bench's event loop. It never sends a request, and
+exits when it is killed or the gateway refuses connections.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 import sys
 import time
 
-RECONNECT_INTERVAL = 0.01  # seconds between two rounds: the crowd does not take a whole core
+RECONNECT_INTERVAL = 0.01  # seconds between two rounds, so that it does not occupy a whole core
 
 
 def main() -> None:
-    """Keep SIZE connections open to PORT."""
+    """Keep SIZE connections to PORT open."""
     port, size = int(sys.argv[1]), int(sys.argv[2])
     selector = selectors.DefaultSelector()
     missing = size
--- a/bench/soak/discovery.py
+++ b/bench/soak/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of discovery: one list for all gateways, and a port of its own for each of them."""
+"""Stand-in for discovery: one list for all gateways, with a separate port for each of them."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 from .observations import DrainNotified, Observations
 from .replicas import SoakReplica
 
-# A change counts as notified so long after discovery had it and could be reached, whatever was written.
-LATEST_NOTIFICATION = 6.0
+# Seconds after discovery has a change and is reachable. By then the change counts as notified even if it was
+# not written.
+MAX_NOTIFICATION_DELAY = 6.0
 
 
 class ReplicaList:
-    """The list, its versions, and what became of each replica."""
+    """The list of replicas, its version, and the state of each replica."""
 
     def __init__(self, replicas: list[SoakReplica]) -> None:
         self.replicas = replicas
         self.version = 1
         self.states = ["up"] * len(replicas)
-        self.changed_at = [0] * len(replicas)  # version of each replica's last change
+        self.changed_at = [0] * len(replicas)  # the version of each replica's last change
         self.changed = asyncio.Event()
 
     def set_state(self, index: int, state: str) -> None:
-        """Change one replica's state, which all watches learn."""
+        """Change one replica's state and wake all watches."""
         self.version += 1
         self.states[index] = state
         self.changed_at[index] = self.version
@@ -39,12 +40,12 @@
         self.changed = asyncio.Event()
 
     def complete(self) -> dict[str, Any]:
-        """The complete list; removed replicas are not in it."""
+        """The complete list, without removed replicas."""
         targets = [self._target(index) for index, state in enumerate(self.states) if state != "removed"]
         return {"rev": self.version, "all": True, "targets": targets}
 
     def since(self, version: int) -> dict[str, Any]:
-        """The changes since a version."""
+        """The replicas that have changed since a version."""
         indexes = [index for index, changed_at in enumerate(self.changed_at) if changed_at > version]
         targets = [self._target(index) for index in indexes]
         return {"rev": self.version, "all": False, "targets": targets}
@@ -57,22 +58,24 @@
 
 
 class SoakDiscovery(Server):
-    """Discovery as one gateway reaches it."""
+    """The endpoint of discovery for one gateway."""
 
-    def __init__(self, replicas: ReplicaList, seen: Observations, cuts: random.Random | None = None) -> None:
+    def __init__(
+        self, replicas: ReplicaList, observations: Observations, cut_rng: random.Random | None = None
+    ) -> None:
         super().__init__()
-        self.gateway = ""  # the process of the gateway that asks now
-        self.unreachable_until = 0.0  # answers 503 until then
-        self.silent_until = 0.0  # watches that are opened before then never get an answer
-        self._silent_since: float | None = None  # when a watch fell silent that nothing was written since
+        self.gateway = ""  # name of the gateway's current process
+        self.unreachable_until = 0.0  # time until which it answers 503
+        self.silent_until = 0.0  # time until which watches are left without an answer
+        self._silent_since: float | None = None  # since when a watch has had no answer, until the next one
         self._list = replicas
-        self._observations = seen
-        self._cuts = cuts  # where answers end at any byte
-        # By replica: its incarnation that has ended, and since when discovery could have said so.
+        self._observations = observations
+        self._cut_rng = cut_rng  # None: answers are never cut
+        # By replica: its incarnation that has ended, and the time at which discovery learned it.
         self._pending: dict[int, tuple[int, float]] = {}
 
-    def serve_new_gateway(self, gateway: str) -> None:
-        """Serve a new process from now on, which has been given the present list at its start."""
+    def serve_new_process(self, gateway: str) -> None:
+        """Serve a new process from now on, which got the current list at its start."""
         self.gateway = gateway
         self._pending.clear()
         self._silent_since = None
@@ -81,17 +84,17 @@
                 incarnation = self._list.replicas[index].incarnation
                 self._observations.drains.append(DrainNotified(gateway, index, incarnation, time.monotonic()))
 
-    def incarnation_ended(self, index: int) -> None:
-        """Note that a replica's incarnation is over, for the latest time at which that counts as notified."""
+    def record_incarnation_end(self, index: int) -> None:
+        """Record that a replica's incarnation ends now; MAX_NOTIFICATION_DELAY counts from this time."""
         self._pending[index] = (self._list.replicas[index].incarnation, time.monotonic())
 
-    def count_overdue(self) -> None:
-        """Record changes that count as notified, whether or not they were written."""
+    def record_overdue_drains(self) -> None:
+        """Record drains that count as notified by now although no answer with them was written."""
         now = time.monotonic()
         for index, (incarnation, since) in list(self._pending.items()):
-            at = max(since, self.unreachable_until) + LATEST_NOTIFICATION
+            at = max(since, self.unreachable_until) + MAX_NOTIFICATION_DELAY
             if self._silent_since is not None:
-                at = min(at, max(since, self._silent_since + LATEST_NOTIFICATION))
+                at = min(at, max(since, self._silent_since + MAX_NOTIFICATION_DELAY))
             if now >= at:
                 del self._pending[index]
                 self._observations.drains.append(DrainNotified(self.gateway, index, incarnation, at))
@@ -108,7 +111,7 @@
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
         """Answer a request for the list, or hold it until something changes."""
-        gateway = self.gateway  # its process may have ended by the time of the answer
+        gateway = self.gateway  # a new process may have replaced it by the time of the answer
         if time.monotonic() < self.unreachable_until:
             writer.write(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
             return
@@ -129,7 +132,7 @@
             writer.write(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
             return
         if gateway == self.gateway:
-            self._write(listed, draw_writer(self._cuts, writer))
+            self._write(listed, draw_writer(self._cut_rng, writer))
 
     async def _wait_for_change(self, hold: float) -> None:
         with suppress(TimeoutError):
@@ -142,7 +145,7 @@
         body = json.dumps(listed).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         if writer.is_closing():
-            return  # it was cut: what it says has not been told
+            return  # the answer was cut, so the gateway was not notified
         self._silent_since = None
         for index, (incarnation, _) in list(self._pending.items()):
             if self._list.states[index] != "up" or self._list.replicas[index].incarnation > incarnation:
--- a/bench/soak/events.py
+++ b/bench/soak/events.py
@@ -1,4 +1,4 @@
-"""How late the events of a stream arrive that hold the time at which their replica wrote them."""
+"""Measures the delay of stream events, each of which contains the time at which its replica wrote it."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class EventDelays:
-    """Takes the bytes of one stream, cut anywhere."""
+    """The longest event delay of one stream, whose bytes may arrive in pieces of any size."""
 
     def __init__(self) -> None:
         self.longest = 0.0  # seconds
         self._buffer = b""
 
     def feed(self, data: bytes, read_at: float) -> None:
-        """Take bytes; an event counts as read when its line is complete."""
+        """Add bytes of the stream; an event counts as read when its line is complete."""
         *lines, self._buffer = (self._buffer + data).split(b"\n")
         for line in lines:
             written_at = _written_at(line)
@@ -24,7 +24,7 @@
 
 
 def _written_at(line: bytes) -> float | None:
-    """The time that an event holds; None for other lines, such as the end of the stream."""
+    """The time that an event contains; None for other lines, such as the end of the stream."""
     if not line.startswith(LINE_PREFIX):
         return None
     try:
--- a/bench/soak/gateways.py
+++ b/bench/soak/gateways.py
@@ -1,4 +1,4 @@
-"""The gateway processes of a run: started, reloaded, stopped, and started anew."""
+"""Starts, reloads, suspends, stops and restarts the gateway processes of a run."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from .observations import GatewayExit, Observations
 from .schedule import GATEWAYS, KILL_AFTER
 
-UP = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
-READY_TIMEOUT = 10.0  # seconds in which a restarted gateway is ready
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n"
+READY_TIMEOUT = 10.0  # seconds within which a started gateway must be ready
 SIGNAL_INTERVAL = 0.02  # seconds between the signals of a series
-# Seconds after SIGTERM in which clients still open connections.
-ACCEPTS_FOR = (0.2, 0.4)
+# Range of the seconds after SIGTERM for which clients still open connections.
+ACCEPT_TIME_RANGE = (0.2, 0.4)
 PROFILES = [
     {"name": "chat", "effect": "free", "aim": SECOND, "deadline": DEADLINES_MS["chat"] * SECOND // 1000},
     {
@@ -39,7 +39,7 @@
 
 
 class SoakGateway:
-    """One gateway of the fleet, through all its processes."""
+    """One gateway, across the restarts of its process."""
 
     def __init__(
         self,
@@ -47,25 +47,25 @@
         seed: int,
         discovery: SoakDiscovery,
         replicas: ReplicaList,
-        seen: Observations,
+        observations: Observations,
         plan: FaultPlan,
     ) -> None:
         self.index = index
         self.process = GatewayProcess(f"g{index}.0", 0, accepts=False)
-        self._draws = random.Random(f"{seed}:gateway {index}")
+        self._rng = random.Random(f"{seed}:gateway {index}")
         self._discovery = discovery
         self._replicas = replicas
-        self._observations = seen
+        self._observations = observations
         self._plan = plan
-        self._number = 0
-        self._crowd: asyncio.subprocess.Process | None = None
+        self._process_number = 0
+        self._crowd_process: asyncio.subprocess.Process | None = None
         self._program: Program | None = None
-        self._busy = asyncio.Lock()  # one restart at a time
+        self._restart_lock = asyncio.Lock()  # one restart at a time
 
     async def start(self, logs: Path | None) -> None:
         """Start a process and wait until it is ready."""
-        self._number += 1
-        name = f"g{self.index}.{self._number}"
+        self._process_number += 1
+        name = f"g{self.index}.{self._process_number}"
         program = Program(
             discovery=self._discovery,  # type: ignore[arg-type]  # only its port is used
             sockets=self._plan.sockets,
@@ -77,7 +77,7 @@
             program.module = "bench.faults"
             program.env = {VARIABLE: self._plan.settings.encode()}
         program.known = self._replicas.complete()
-        self._discovery.serve_new_gateway(name)
+        self._discovery.serve_new_process(name)
         await program.__aenter__()
         self._program = program
         async with asyncio.timeout(READY_TIMEOUT), Client(program.port) as client:
@@ -86,13 +86,13 @@
         self._logs = logs
         if self._plan.reconnecting:
             arguments = (str(program.port), str(self._plan.reconnecting))
-            self._crowd = await asyncio.create_subprocess_exec(
+            self._crowd_process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "bench.soak.crowd", *arguments, cwd=ROOT
             )
 
-    async def hold(self, seconds: float) -> None:
-        """Hold the process up."""
-        if self._program is None or self._busy.locked():
+    async def suspend(self, seconds: float) -> None:
+        """Suspend the process for some seconds with SIGSTOP."""
+        if self._program is None or self._restart_lock.locked():
             return
         process = self._program.process
         if process.returncode is None:
@@ -102,17 +102,17 @@
 
     async def reload(self) -> None:
         """Send SIGHUP twice in a row."""
-        if self._program is not None and not self._busy.locked():
+        if self._program is not None and not self._restart_lock.locked():
             self._program.reload()
             await asyncio.sleep(SIGNAL_INTERVAL)
             if self._program is not None and self._program.process.returncode is None:
                 self._program.reload()
 
     async def restart(self, signals: tuple[str, ...]) -> None:
-        """Send SIGTERM and further signals, SIGKILL at the earliest time, then start a new process."""
-        if self._busy.locked():
+        """Send SIGTERM and further signals, SIGKILL after KILL_AFTER, then start a new process."""
+        if self._restart_lock.locked():
             return
-        async with self._busy:
+        async with self._restart_lock:
             await self._stop(signals)
             await self.start(self._logs)
 
@@ -123,7 +123,7 @@
         started_at = process.terminated_at = time.monotonic()
         program.process.terminate()
         closing = asyncio.get_running_loop().call_later(
-            self._draws.uniform(*ACCEPTS_FOR), setattr, process, "accepts", False
+            self._rng.uniform(*ACCEPT_TIME_RANGE), setattr, process, "accepts", False
         )
         for name in signals:
             await asyncio.sleep(SIGNAL_INTERVAL)
@@ -142,9 +142,9 @@
         self._observations.exits.append(GatewayExit(process.name, code, process.killed, after))
         await self._close(program, process)
 
-    async def stop_for_good(self) -> None:
-        """Kill the process at the end of the run."""
-        async with self._busy:
+    async def shut_down(self) -> None:
+        """Stop the process at the end of the run, and record whether it had ended by itself."""
+        async with self._restart_lock:
             program, self._program = self._program, None
             if program is None:
                 return
@@ -156,16 +156,16 @@
 
     async def _close(self, program: Program, process: GatewayProcess) -> None:
         await program.__aexit__(None, None, None)
-        if self._crowd is not None:
+        if self._crowd_process is not None:
             with contextlib.suppress(ProcessLookupError):
-                self._crowd.kill()
-            await self._crowd.wait()
-            self._crowd = None
+                self._crowd_process.kill()
+            await self._crowd_process.wait()
+            self._crowd_process = None
         self._observations.broken_ports |= {
             line["port"] for line in program.logs if line.get("event") == BREAK_EVENT
         }
-        faults = [line for line in program.logs if line.get("level") == "error"]
-        self._observations.crashes += [f"{process.name} logged {line}" for line in faults]
+        errors = [line for line in program.logs if line.get("level") == "error"]
+        self._observations.crashes += [f"{process.name} logged {line}" for line in errors]
         if self._logs is not None:
             self._logs.mkdir(parents=True, exist_ok=True)
             (self._logs / f"{process.name}.log").write_text("".join(program.raw_logs))
@@ -173,21 +173,21 @@
 
 async def _wait_until_ready(client: Client) -> None:
     while True:
-        status, *_ = await client.request(UP)
+        status, *_ = await client.request(UP_REQUEST)
         if status == 200:
             return
         await asyncio.sleep(0.05)
 
 
-def describe(seen: Observations) -> dict[str, Any]:
-    """Counts of what was seen."""
+def summarize(observations: Observations) -> dict[str, Any]:
+    """Count the observations, for the printed summary."""
     replies: dict[str, int] = {}
-    for request in seen.requests.values():
+    for request in observations.requests.values():
         name = request.reply.value if request.reply is not None else "open"
         replies[name] = replies.get(name, 0) + 1
     return replies | {
-        "attempts": len(seen.attempts),
-        "drains": len(seen.drains),
-        "restarts": len(seen.exits),
-        "killed": sum(ended.killed for ended in seen.exits),
+        "attempts": len(observations.attempts),
+        "drains": len(observations.drains),
+        "restarts": len(observations.exits),
+        "killed": sum(ended.killed for ended in observations.exits),
     }
--- a/bench/soak/observations.py
+++ b/bench/soak/observations.py
@@ -1,4 +1,4 @@
-"""What the stand-ins have seen on the wire, with times of one monotonic clock in seconds."""
+"""What clients and stand-ins observe on the wire; all times are seconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -12,47 +12,47 @@
     SERVED = "served"
     REJECTED = "rejected"
     FAILED = "failed"
-    TRUNCATED = "truncated"  # a stream without its last chunk
-    UNANSWERED = "unanswered"  # the gateway ended the connection without a byte, and had read the request
-    NOT_READ = "not_read"  # the same, and the gateway cannot have read it: its client sends it again
+    TRUNCATED = "truncated"  # the stream ended without its last chunk
+    UNANSWERED = "unanswered"  # the gateway read the request and closed the connection without a reply
+    NOT_READ = "not_read"  # closed without a reply, and the gateway may not have read it: clients retry
     CLIENT_DISCONNECTED = "client_disconnected"
-    GATEWAY_KILLED = "gateway_killed"  # the connection ended at a SIGKILL
+    GATEWAY_KILLED = "gateway_killed"  # SIGKILL of the gateway ended the connection
 
 
 @dataclass(slots=True)
-class ClientRequestSeen:
-    """One request as its client saw it."""
+class ObservedRequest:
+    """One request as its client observed it."""
 
     request_id: str
-    gateway: str  # name and number of the process, such as "g1.2"
+    gateway: str  # name of the gateway and number of its process, such as "g1.2"
     class_name: str
     deadline_ms: int
     sent_at: float = 0.0  # when its last byte was written
     ended_at: float = 0.0
-    reply: ReplyKind | None = None  # None: no end within the judge's patience
+    reply: ReplyKind | None = None  # None: no end within the client's REPLY_TIMEOUT
     disconnected_at: float | None = None  # when the client closed its connection
-    sent_after_sigterm: float | None = None  # seconds; None before the gateway's SIGTERM
+    sent_after_sigterm: float | None = None  # seconds; None if sent before the gateway's SIGTERM
     longest_event_delay: float = 0.0
 
 
 @dataclass(slots=True)
-class AttemptSeen:
-    """One request as a replica saw it."""
+class ObservedAttempt:
+    """One attempt of a request as its replica observed it."""
 
     request_id: str
     replica: int
-    replica_incarnation: int  # counts the restarts of the replica
+    replica_incarnation: int  # number of restarts of the replica before
     began_at: float  # when its first byte was read
     deadline_ms: int
-    complete: bool = True  # the request's last byte has come: before that it has not run
-    finished: bool = False  # the whole stream was written
-    declined: bool = False  # rejected unseen, so that it has not run
-    peer_port: int = 0  # of the gateway's side of the connection
+    complete: bool = True  # the whole request was read; before that it cannot have run
+    finished: bool = False  # the whole stream was written to the connection
+    declined: bool = False  # rejected before processing, so it has not run
+    peer_port: int = 0  # the gateway's port of the connection
 
 
 @dataclass(frozen=True, slots=True)
 class DrainNotified:
-    """Discovery has told a gateway, or counts as having told it, that a replica is out of use."""
+    """Discovery has notified a gateway, or counts as having notified it, of the end of an incarnation."""
 
     gateway: str
     replica: int
@@ -62,23 +62,25 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayExit:
-    """A gateway's process has ended after SIGTERM."""
+    """The end of a gateway's process after SIGTERM."""
 
     gateway: str
     code: int
-    killed: bool  # by the SIGKILL that the platform sends in the end
-    after: float  # seconds from SIGTERM
+    killed: bool  # by the SIGKILL that the platform sends KILL_AFTER seconds after SIGTERM
+    after: float  # seconds from SIGTERM to the end
 
 
 @dataclass(slots=True)
 class Observations:
-    """Everything that the judge may look at."""
+    """The input of the checker."""
 
-    requests: dict[str, ClientRequestSeen] = field(default_factory=dict)
-    attempts: list[AttemptSeen] = field(default_factory=list)
+    requests: dict[str, ObservedRequest] = field(default_factory=dict)
+    attempts: list[ObservedAttempt] = field(default_factory=list)
     drains: list[DrainNotified] = field(default_factory=list)
     exits: list[GatewayExit] = field(default_factory=list)
-    own_delays: list[float] = field(default_factory=list)  # by which the bench's own loop was late
-    crashes: list[str] = field(default_factory=list)
-    broken_ports: set[int] = field(default_factory=set)  # of connections to replicas that the bench broke
-    actor_faults: list[str] = field(default_factory=list)  # actors of the bench that died
+    loop_delays: list[float] = field(default_factory=list)  # seconds by which the bench's event loop was late
+    crashes: list[str] = field(default_factory=list)  # unexpected exits and logged errors of gateways
+    broken_ports: set[int] = field(
+        default_factory=set
+    )  # gateways' ports of connections to replicas that an injected fault broke
+    stand_in_errors: list[str] = field(default_factory=list)  # exceptions that ended a client or a stand-in
--- a/bench/soak/replicas.py
+++ b/bench/soak/replicas.py
@@ -1,4 +1,4 @@
-"""Stand-in replicas: they stream, break off, hang, decline, restart, and record each attempt."""
+"""Stand-in replicas that stream, reset connections, hang, decline and restart, and record each attempt."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from tests.standins import STREAM_HEAD, STREAM_TAIL, Server, chunk
 
 from .cuts import Writer, draw_writer
-from .observations import AttemptSeen, Observations
+from .observations import Observations, ObservedAttempt
 
-EVENT_INTERVAL = 0.02  # seconds
+EVENT_INTERVAL = 0.02  # seconds between two events of a stream
 READ_SIZE = 65536
-HANG_TIME = 6.0  # seconds for which a hanging stream says nothing before its connection is reset
+HANG_TIME = 6.0  # seconds for which a hanging stream is silent before its connection is reset
 MAX_REQUEST_SIZE = 256 * 1024
 
 
@@ -26,13 +26,13 @@
     """How a replica answers one request."""
 
     SERVE = "serve"
-    DECLINE = "decline"  # rejected unseen
+    DECLINE = "decline"  # rejected before processing
     ERROR = "error"
-    RESET = "reset"  # the connection is reset before, or amid, the stream
-    HANG = "hang"  # silence before, or amid, the stream
+    RESET = "reset"  # the connection is reset before or during the stream
+    HANG = "hang"  # silence before or during the stream
 
 
-WEIGHTS = {
+BEHAVIOUR_WEIGHTS = {
     Behaviour.SERVE: 0.92,
     Behaviour.DECLINE: 0.03,
     Behaviour.ERROR: 0.02,
@@ -42,16 +42,18 @@
 
 
 class SoakReplica(Server):
-    """One replica; an incarnation begins whenever it is started anew."""
+    """One replica; each restart begins a new incarnation."""
 
-    def __init__(self, index: int, seed: int, seen: Observations, cuts: random.Random | None = None) -> None:
+    def __init__(
+        self, index: int, seed: int, observations: Observations, cut_rng: random.Random | None = None
+    ) -> None:
         super().__init__()
         self.index = index
         self.incarnation = 0
         self.boot_ms = 0
-        self._draws = random.Random(f"{seed}:replica {index}")
-        self._observations = seen
-        self._cuts = cuts  # where answers end at any byte
+        self._rng = random.Random(f"{seed}:replica {index}")
+        self._observations = observations
+        self._cut_rng = cut_rng  # None: answers are never cut
 
     def restart(self) -> None:
         """Begin a new incarnation at the same address; connections of the old one are reset."""
@@ -76,14 +78,14 @@
                         attempt = self._record(piece, incarnation, writer)
                     elif isinstance(piece, MessageEnd):
                         attempt.complete = True
-                        await self._answer(attempt, draw_writer(self._cuts, writer))
+                        await self._answer(attempt, draw_writer(self._cut_rng, writer))
         except (ConnectionError, asyncio.CancelledError):
-            pass  # the end of the connection, or of the run
+            pass  # the connection or the run has ended
         finally:
             writer.transport.abort()
 
-    def _record(self, head: RequestHead, incarnation: int, writer: asyncio.StreamWriter) -> AttemptSeen:
-        attempt = AttemptSeen(
+    def _record(self, head: RequestHead, incarnation: int, writer: asyncio.StreamWriter) -> ObservedAttempt:
+        attempt = ObservedAttempt(
             request_id=head.headers.get("req-id"),
             replica=self.index,
             replica_incarnation=incarnation,
@@ -96,34 +98,34 @@
         return attempt
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
-        """Unused: requests are answered from their heads."""
+        """Unused: `_serve` records each attempt when its request head arrives, and answers it itself."""
         raise NotImplementedError
 
-    async def _answer(self, attempt: AttemptSeen, writer: Writer) -> None:
-        behaviour = self._draws.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
-        events = self._draws.randint(1, 30)
-        breaks_after = self._draws.randint(0, events) if behaviour is not Behaviour.SERVE else events
+    async def _answer(self, attempt: ObservedAttempt, writer: Writer) -> None:
+        behaviour = self._rng.choices(list(BEHAVIOUR_WEIGHTS), list(BEHAVIOUR_WEIGHTS.values()))[0]
+        events = self._rng.randint(1, 30)
+        fails_after = self._rng.randint(0, events) if behaviour is not Behaviour.SERVE else events
         if behaviour is Behaviour.DECLINE:
             attempt.declined = True
             writer.write(b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
         elif behaviour is Behaviour.ERROR:
             writer.write(b"HTTP/1.1 500 Fault\r\nContent-Length: 0\r\n\r\n")
         else:
-            await self._stream(attempt, writer, events, breaks_after, behaviour)
+            await self._stream(attempt, writer, events, fails_after, behaviour)
         await writer.drain()
 
     async def _stream(
         self,
-        attempt: AttemptSeen,
+        attempt: ObservedAttempt,
         writer: Writer,
         events: int,
-        breaks_after: int,
+        fails_after: int,
         behaviour: Behaviour,
     ) -> None:
         for number in range(events):
-            if number == breaks_after or writer.is_closing():
+            if number == fails_after or writer.is_closing():
                 break
-            writer.write((STREAM_HEAD if number == 0 else b"") + chunk(_timed_event()))
+            writer.write((STREAM_HEAD if number == 0 else b"") + chunk(_timestamped_event()))
             await asyncio.sleep(EVENT_INTERVAL)
         if behaviour is Behaviour.SERVE:
             writer.write(chunk(STREAM_TAIL) + chunk(b""))
@@ -134,7 +136,7 @@
         writer.transport.abort()
 
 
-def _timed_event() -> bytes:
-    """An event that holds the time at which it is written."""
+def _timestamped_event() -> bytes:
+    """An event that contains the time at which it is written."""
     event: dict[str, Any] = {"choices": [{"index": 0, "delta": {"content": repr(time.monotonic())}}]}
     return b"data: " + json.dumps(event).encode() + b"\n\n"
--- a/bench/soak/run.py
+++ b/bench/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a schedule: starts the actors, carries out the steps, and returns what was seen."""
+"""Runs a schedule: starts gateways, stand-ins and clients, applies the steps, returns the observations."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from pathlib import Path
 from typing import Any
 
+from .checker import is_inconclusive
 from .clients import SoakClient
 from .discovery import ReplicaList, SoakDiscovery
 from .faults import FaultPlan, draw_plan
 from .gateways import SoakGateway
-from .judge import is_void
 from .observations import Observations, ReplyKind
 from .replicas import SoakReplica
 from .schedule import GATEWAYS, REPLICAS, Disturbance, Schedule, Step, draw_schedule
 
-CLIENTS = 8  # of each gateway
-TICK = 0.01  # seconds between two measurements of the bench's own lateness
-MAX_PLAYS = 5  # of a seed whose plays are void
-FINISH_TIME = 1.0  # seconds at the end in which nothing new is disturbed
+CLIENTS = 8  # for each gateway
+DELAY_SAMPLE_INTERVAL = 0.01  # seconds between two measurements of how late the bench's event loop is
+MAX_RUNS = 5  # of a seed whose runs are inconclusive
+SETTLE_TIME = 1.0  # seconds after the last step before the clients are stopped
 
 
 class SoakRun:
@@ -33,90 +33,96 @@
         self._schedule = schedule
         self._plan = plan or FaultPlan()
         self._logs = logs
-        self._seen = Observations()
+        self._observations = Observations()
         seed = schedule.seed
         self._replicas = [
-            SoakReplica(index, seed, self._seen, self._cuts(f"replica {index}")) for index in range(REPLICAS)
+            SoakReplica(index, seed, self._observations, self._cut_rng(f"replica {index}"))
+            for index in range(REPLICAS)
         ]
         self._list = ReplicaList(self._replicas)
         self._discoveries = [
-            SoakDiscovery(self._list, self._seen, self._cuts(f"discovery {index}"))
+            SoakDiscovery(self._list, self._observations, self._cut_rng(f"discovery {index}"))
             for index in range(GATEWAYS)
         ]
         self._gateways = [
-            SoakGateway(index, seed, discovery, self._list, self._seen, self._plan)
+            SoakGateway(index, seed, discovery, self._list, self._observations, self._plan)
             for index, discovery in enumerate(self._discoveries)
         ]
-        self._crowd: list[asyncio.StreamWriter] = []
-        self._steps: list[asyncio.Task[None]] = []
+        self._idle_connections: list[asyncio.StreamWriter] = []
+        self._step_tasks: list[asyncio.Task[None]] = []
 
-    def _cuts(self, name: str) -> random.Random | None:
+    def _cut_rng(self, name: str) -> random.Random | None:
         return random.Random(f"{self._schedule.seed}:cuts of {name}") if self._plan.cuts else None
 
-    async def play(self) -> Observations:
-        """Play to the end."""
-        asyncio.get_running_loop().set_exception_handler(self._note_fault)
+    async def execute(self) -> Observations:
+        """Run the schedule to its end."""
+        asyncio.get_running_loop().set_exception_handler(self._record_unhandled_error)
         async with AsyncExitStack() as stack:
             for server in (*self._replicas, *self._discoveries):
                 await stack.enter_async_context(server)
             await asyncio.gather(*(gateway.start(self._logs) for gateway in self._gateways))
             tasks = [asyncio.ensure_future(client.run()) for client in self._clients()]
-            tasks.append(asyncio.ensure_future(self._watch_clock()))
-            await self._open_crowd()
-            await self._carry_out_steps()
-            await asyncio.gather(*self._steps)
-            await asyncio.sleep(FINISH_TIME)
+            tasks.append(asyncio.ensure_future(self._measure_loop_delays()))
+            await self._open_idle_connections()
+            await self._apply_steps()
+            await asyncio.gather(*self._step_tasks)
+            await asyncio.sleep(SETTLE_TIME)
             ended_at = time.monotonic()
             for task in tasks:
                 task.cancel()
             results = await asyncio.gather(*tasks, return_exceptions=True)
-            self._seen.actor_faults += [repr(result) for result in results if isinstance(result, Exception)]
-            for writer in self._crowd:
+            self._observations.stand_in_errors += [
+                repr(result) for result in results if isinstance(result, Exception)
+            ]
+            for writer in self._idle_connections:
                 writer.close()
-            await asyncio.gather(*(gateway.stop_for_good() for gateway in self._gateways))
-        self._forget_unfinished(ended_at)
-        return self._seen
+            await asyncio.gather(*(gateway.shut_down() for gateway in self._gateways))
+        self._drop_unfinished(ended_at)
+        return self._observations
 
-    def _note_fault(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """Record what a stand-in did not catch."""
-        self._seen.actor_faults.append(f"{context['message']}: {context.get('exception')!r}")
+    def _record_unhandled_error(self, _loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Record an exception that no task of the bench has caught."""
+        self._observations.stand_in_errors.append(f"{context['message']}: {context.get('exception')!r}")
 
     def _clients(self) -> list[SoakClient]:
-        seed, seen = self._schedule.seed, self._seen
+        seed, observations = self._schedule.seed, self._observations
         return [
-            SoakClient(f"{gateway.index:02x}{number:06x}", seed, seen, partial(getattr, gateway, "process"))
+            SoakClient(
+                f"{gateway.index:02x}{number:06x}", seed, observations, partial(getattr, gateway, "process")
+            )
             for gateway in self._gateways
             for number in range(CLIENTS)
         ]
 
-    async def _open_crowd(self) -> None:
-        """Open the connections that never ask for anything."""
+    async def _open_idle_connections(self) -> None:
+        """Open connections that never send a request."""
         for gateway in self._gateways:
-            for _ in range(self._schedule.crowd):
+            for _ in range(self._schedule.idle_connections):
                 with suppress(OSError):
                     _, writer = await asyncio.open_connection("127.0.0.1", gateway.process.port)
-                    self._crowd.append(writer)
+                    self._idle_connections.append(writer)
 
-    async def _watch_clock(self) -> None:
+    async def _measure_loop_delays(self) -> None:
+        """Measure the delay of the event loop, and record overdue drains, at a fixed interval."""
         while True:
             started_at = time.monotonic()
-            await asyncio.sleep(TICK)
-            self._seen.own_delays.append(time.monotonic() - started_at - TICK)
+            await asyncio.sleep(DELAY_SAMPLE_INTERVAL)
+            self._observations.loop_delays.append(time.monotonic() - started_at - DELAY_SAMPLE_INTERVAL)
             for discovery in self._discoveries:
-                discovery.count_overdue()
+                discovery.record_overdue_drains()
 
-    async def _carry_out_steps(self) -> None:
+    async def _apply_steps(self) -> None:
         started_at = time.monotonic()
         for step in sorted((*self._schedule.steps, *self._plan.steps), key=lambda step: step.at):
             await asyncio.sleep(max(0.0, started_at + step.at - time.monotonic()))
-            self._steps.append(asyncio.ensure_future(self._carry_out(step)))
+            self._step_tasks.append(asyncio.ensure_future(self._apply_step(step)))
         await asyncio.sleep(max(0.0, started_at + self._schedule.seconds - time.monotonic()))
 
-    async def _carry_out(self, step: Step) -> None:
+    async def _apply_step(self, step: Step) -> None:
         kind = step.disturbance
         until = time.monotonic() + step.duration
         if kind in (Disturbance.DRAIN, Disturbance.REMOVE):
-            await self._take_out(step)
+            await self._disable_replica(step)
         elif kind is Disturbance.REPLICA_RESET:
             self._replicas[step.target].reset_connections()
         elif kind is Disturbance.DISCOVERY_RESET:
@@ -128,47 +134,47 @@
                 discovery.unreachable_until = until
                 discovery.reset_connections()
         elif kind is Disturbance.HOLD:
-            await self._gateways[step.target].hold(step.duration)
+            await self._gateways[step.target].suspend(step.duration)
         elif kind is Disturbance.RELOAD:
             await self._gateways[step.target].reload()
         else:
             await self._gateways[step.target].restart(step.signals)
 
-    async def _take_out(self, step: Step) -> None:
-        """Drain or remove a replica, and bring it back as a new process."""
+    async def _disable_replica(self, step: Step) -> None:
+        """Drain or remove a replica, and later list it again as a new incarnation."""
         for discovery in self._discoveries:
-            discovery.incarnation_ended(step.target)
+            discovery.record_incarnation_end(step.target)
         self._list.set_state(step.target, "draining" if step.disturbance is Disturbance.DRAIN else "removed")
         await asyncio.sleep(step.duration)
         self._replicas[step.target].restart()
         self._list.set_state(step.target, "up")
 
-    def _forget_unfinished(self, ended_at: float) -> None:
-        """Leave out requests that were open as the run ended, and that are not overdue."""
-        for request in list(self._seen.requests.values()):
+    def _drop_unfinished(self, ended_at: float) -> None:
+        """Drop requests that were still open at the end of the run and were not overdue."""
+        for request in list(self._observations.requests.values()):
             is_open = request.reply is None or request.reply is ReplyKind.GATEWAY_KILLED
             if (
                 is_open
                 and request.ended_at == 0.0
                 and ended_at - request.sent_at < request.deadline_ms / 1000 + 5.0
             ):
-                del self._seen.requests[request.request_id]
+                del self._observations.requests[request.request_id]
 
 
-def plays(
+def run_until_conclusive(
     seed: int, seconds: float, concerns: Collection[str] = (), logs: Path | None = None
 ) -> Iterator[Observations]:
-    """Play a seed, and again while its plays are void; yields what was seen in each.
+    """Run a seed until a run is conclusive, at most `MAX_RUNS` times; yields the observations of each run.
 
     Args:
-        seed: Decides the schedule.
-        seconds: The length of a play.
-        concerns: The names of the faults that are added.
-        logs: A folder for the gateways' logs of the last play.
+        seed: Determines the schedule.
+        seconds: The length of a run.
+        concerns: The names of the kinds of faults that are added.
+        logs: A folder for the gateways' logs of the last run.
     """
-    for _ in range(MAX_PLAYS):
-        run = SoakRun(draw_schedule(seed, seconds), logs, draw_plan(seed, seconds, concerns))
-        seen = asyncio.run(run.play())
-        yield seen
-        if not is_void(seen):
+    for _ in range(MAX_RUNS):
+        soak = SoakRun(draw_schedule(seed, seconds), logs, draw_plan(seed, seconds, concerns))
+        observations = asyncio.run(soak.execute())
+        yield observations
+        if not is_inconclusive(observations):
             return
--- a/tests/bench/test_cuts.py
+++ b/tests/bench/test_cuts.py
@@ -1,4 +1,4 @@
-"""The cut of a connection that the gateway has reset already raises nothing."""
+"""Cutting a connection that the gateway has already reset raises no error."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 @pytest.mark.parametrize("cut", list(Cut))
-def test_a_connection_that_was_reset_can_be_cut(cut: Cut) -> None:
+def test_cut_of_reset_connection_raises_nothing(cut: Cut) -> None:
     async def scenario() -> None:
         result: asyncio.Future[None] = asyncio.get_running_loop().create_future()
 
         async def serve(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            client.close()  # the reset has come; the event loop has not seen it
+            client.close()  # the reset has arrived, but the event loop has not noticed it
             try:
                 CutWriter(writer, 0, cut).write(b"x")
                 result.set_result(None)
--- a/tests/bench/test_soak.py
+++ b/tests/bench/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks with fixed seeds; docs/soak.md holds the long ones, which are played by hand."""
+"""Short soak tests with fixed seeds; docs/soak.md describes the long ones, which are run by hand."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from bench.batch_soak import BatchSoak
 from bench.batch_soak import draw_schedule as draw_batch_schedule
+from bench.soak.checker import is_inconclusive, violations
 from bench.soak.faults import CONCERNS, draw_plan
-from bench.soak.judge import is_void, violations
-from bench.soak.run import MAX_PLAYS, plays
+from bench.soak.run import MAX_RUNS, run_until_conclusive
 from bench.soak.schedule import Disturbance, draw_schedule
 
 SECONDS = 12.0
@@ -21,24 +21,24 @@
 @pytest.mark.parametrize(
     ("seed", "concerns"), [(1, ()), (2, ()), (3, ()), (4, CONCERNS), (5, ("crowd", "holds"))]
 )
-def test_a_short_soak_of_three_gateways_breaks_no_rule(seed: int, concerns: tuple[str, ...]) -> None:
-    *_, seen = plays(seed, SECONDS, concerns)
-    assert len(seen.requests) > 100 and seen.drains, "something was observed"
-    assert not is_void(seen), "the bench itself was late in every play"
-    assert not violations(seen)
+def test_short_soak_of_three_gateways_has_no_violations(seed: int, concerns: tuple[str, ...]) -> None:
+    *_, observations = run_until_conclusive(seed, SECONDS, concerns)
+    assert len(observations.requests) > 100 and observations.drains, "something was observed"
+    assert not is_inconclusive(observations), "every run was inconclusive: the bench itself was late"
+    assert not violations(observations)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_short_soak_of_the_batch_front_keeps_the_aims(seed: int, tmp_path: Path) -> None:
-    for play in range(MAX_PLAYS):
-        folder = tmp_path / str(play)
+def test_short_batch_soak_stays_within_bounds(seed: int, tmp_path: Path) -> None:
+    for number in range(MAX_RUNS):
+        folder = tmp_path / str(number)
         folder.mkdir()
-        if not asyncio.run(BatchSoak(draw_batch_schedule(seed), LINES, folder).play()).void:
+        if not asyncio.run(BatchSoak(draw_batch_schedule(seed), LINES, folder).execute()).inconclusive:
             return
-    pytest.fail("the bench itself was late in every play")
+    pytest.fail("every run was inconclusive: the bench itself was late")
 
 
-def test_a_seed_draws_the_same_schedule_each_time_and_another_seed_another_one() -> None:
+def test_schedule_depends_on_seed_only() -> None:
     assert draw_schedule(5, 30.0) == draw_schedule(5, 30.0) != draw_schedule(6, 30.0)
     drawn = {step.disturbance for seed in range(20) for step in draw_schedule(seed, 30.0).steps}
     drawn |= {step.disturbance for step in draw_plan(1, 30.0, CONCERNS).steps}
--- a/tests/bench/test_soak_clients.py
+++ b/tests/bench/test_soak_clients.py
@@ -1,4 +1,4 @@
-"""What the soak's clients conclude from the end of a connection, and from events that arrive in pieces."""
+"""How the soak's clients classify the end of a connection, and time events that arrive in pieces."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     await read_request(reader)
     writer.write(ANSWER)
     await reader.readexactly(1)
-    linger = struct.pack("ii", 1, 0)  # the close sends a reset, as one over unread bytes does
+    linger = struct.pack("ii", 1, 0)  # the close sends a reset, as a close with unread bytes does
     writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.transport.abort()
 
@@ -46,25 +46,29 @@
     ("peer", "reply"),
     [(close_with_a_request_read, ReplyKind.UNANSWERED), (reset_over_a_request, ReplyKind.NOT_READ)],
 )
-def test_a_request_without_an_answer_is_forgiven_only_if_not_read(peer: Peer, reply: ReplyKind) -> None:
-    """On a connection that was used before: its second request."""
+def test_unanswered_request_is_not_read_only_after_reset(peer: Peer, reply: ReplyKind) -> None:
+    """A request on a reused connection may go unanswered only if the gateway had not read it.
+
+    The peer answers the first request and ends the connection at the second. If it has read the second one,
+    the request counts as unanswered; if it resets the connection with unread bytes, it counts as not read.
+    """
 
     async def scenario() -> None:
         server = await asyncio.start_server(peer, "127.0.0.1", 0)
-        seen = Observations()
+        observations = Observations()
         process = GatewayProcess("g1.1", server.sockets[0].getsockname()[1])
-        client = asyncio.ensure_future(SoakClient("01000001", 1, seen, lambda: process).run())
-        await until(lambda: any(one.reply in UNANSWERED for one in seen.requests.values()))
+        client = asyncio.ensure_future(SoakClient("01000001", 1, observations, lambda: process).run())
+        await until(lambda: any(one.reply in UNANSWERED for one in observations.requests.values()))
         client.cancel()
         await asyncio.gather(client, return_exceptions=True)
         server.close()
-        assert {one.reply for one in seen.requests.values() if one.reply in UNANSWERED} == {reply}
+        assert {one.reply for one in observations.requests.values() if one.reply in UNANSWERED} == {reply}
 
     asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("size", [1, 7, 1000])
-def test_events_are_timed_however_they_are_cut(size: int) -> None:
+def test_event_delay_is_independent_of_chunk_size(size: int) -> None:
     stream = (
         b'data: {"choices":[{"index":0,"delta":{"content":"10.0"}}]}\n\n'
         b'data: {"choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}\n\n'
