--- a/bench/address.py
+++ b/bench/address.py
@@ -34,152 +34,167 @@
 
 
 def percentiles(values: Sequence[float]) -> dict[str, Any]:
-    """Percentiles in milliseconds; of few values the highest ones are the same."""
-    found = sorted(values)
+    """Percentiles in milliseconds of times in seconds; with few values the 99th is the maximum."""
+    ordered = sorted(values)
 
-    def at(share: float) -> float:
-        return round(found[min(len(found) - 1, int(share * len(found)))] * 1000, 1)
+    def value_at(share: float) -> float:
+        return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))] * 1000, 1)
 
-    return {"count": len(found), "p50_ms": at(0.5), "p99_ms": at(0.99), "max_ms": round(found[-1] * 1000, 1)}
+    return {
+        "count": len(ordered),
+        "p50_ms": value_at(0.5),
+        "p99_ms": value_at(0.99),
+        "max_ms": round(ordered[-1] * 1000, 1),
+    }
 
 
-async def cause_failure(cluster: Cluster, what: str) -> float:
-    """Cause one failure; return the seconds until another holder answered a client."""
+async def cause_failure(cluster: Cluster, failure: str) -> float:
+    """Cause one failure; returns the seconds until another holder answered a client."""
     await cluster.wait_until_voting()
     holder = cluster.holder or ""
     await cluster.wait_until_answered()
-    if what == "kill":
-        began = await cluster.kill(holder)
-    elif what == "move":
+    if failure == "kill":
+        started_at = await cluster.kill(holder)
+    elif failure == "move":
         successor = next(name for name in cluster.programs if name != holder)
-        began = time.monotonic()
+        started_at = time.monotonic()
         send_command(cluster.folder / f"{holder}.sock", {"do": "move", "to": successor})
     else:
-        began = time.monotonic()
-        cluster.relay.cut(holder, one_way=what == "cut_one_way")
+        started_at = time.monotonic()
+        cluster.relay.cut(holder, one_way=failure == "cut_one_way")
     while cluster.holder in (None, holder):  # a partitioned holder may answer until its lease ends
         await cluster.wait_until_answered()
         await asyncio.sleep(0)
-    # the first answer that certainly came from the new holder; the gap may be slightly too long
-    gap = await cluster.wait_until_answered() - began
+    # Measured to the first answer that certainly came from the new holder, so it may be slightly too long.
+    outage = await cluster.wait_until_answered() - started_at
     cluster.relay.heal()
     if holder not in cluster.programs:
         await cluster.start(holder)
-    return gap
+    return outage
 
 
-async def measure_cluster(what: str, runs: int) -> tuple[list[float], int, list[str], list[float]]:
-    """Run one cluster through `runs` failures; return gaps, claims, violations and times between claims."""
-    gaps = []
+async def measure_cluster(failure: str, runs: int) -> tuple[list[float], int, list[str], list[float]]:
+    """Cause `runs` failures in one cluster; returns outages, number of claims, violations and claim gaps."""
+    outages = []
     async with Cluster() as cluster:
         for run in range(runs):
-            kind = "cut_one_way" if what == "cut" and run % 2 else what
-            gaps.append(await cause_failure(cluster, kind))
+            kind = "cut_one_way" if failure == "cut" and run % 2 else failure
+            outages.append(await cause_failure(cluster, kind))
         claims = cluster.claims()
-    between = [
+    claim_gaps = [
         (after[0] - before[1]) / 1e9 for before, after in itertools.pairwise(claims) if before[2] != after[2]
     ]
-    return gaps, len(claims), overlaps(claims), between
+    return outages, len(claims), overlaps(claims), claim_gaps
 
 
 def run_cluster(job: tuple[str, int]) -> tuple[list[float], int, list[str], list[float]]:
-    """Measure in a process of its own, so that one cluster's client doesn't wait for another's."""
+    """Measure one cluster in a pool process, so that its client is not delayed by another cluster."""
     tests.standins.WAIT_TIMEOUT = 60.0
     return asyncio.run(measure_cluster(*job))
 
 
 def sockets(options: argparse.Namespace) -> dict[str, Any]:
-    """Kills, cuts and moves over real processes."""
-    found: dict[str, Any] = {"cores": os.cpu_count(), "clusters_at_a_time": options.clusters}
-    for what in ("kill", "cut", "move"):
-        runs = getattr(options, f"{what}s")
-        share = [runs // options.clusters + (at < runs % options.clusters) for at in range(options.clusters)]
+    """Measure kills, cuts and moves with real gateway processes."""
+    figures: dict[str, Any] = {"cores": os.cpu_count(), "clusters_at_a_time": options.clusters}
+    for failure in ("kill", "cut", "move"):
+        runs = getattr(options, f"{failure}s")
+        runs_per_cluster = [
+            runs // options.clusters + (index < runs % options.clusters) for index in range(options.clusters)
+        ]
         with Pool(options.clusters) as pool:
-            parts = pool.map(run_cluster, [(what, count) for count in share if count], 1)
-        gaps = [gap for part in parts for gap in part[0]]
-        between = [gap for part in parts for gap in part[3]]
+            parts = pool.map(run_cluster, [(failure, count) for count in runs_per_cluster if count], 1)
+        outages = [outage for part in parts for outage in part[0]]
+        claim_gaps = [gap for part in parts for gap in part[3]]
         violations = [text for part in parts for text in part[2]]
-        found[what] = {
-            "until_answered": percentiles(gaps),
+        figures[failure] = {
+            "until_answered": percentiles(outages),
             "claims": sum(part[1] for part in parts),
-            "nobody_claims": percentiles(between),
-            "shortest_between_claims_ms": round(min(between) * 1000, 3),
+            "nobody_claims": percentiles(claim_gaps),
+            "shortest_between_claims_ms": round(min(claim_gaps) * 1000, 3),
             "two_holders_or_old_tokens": violations,
         }
-        print(json.dumps({what: found[what]}), flush=True)
-    return found
+        print(json.dumps({failure: figures[failure]}), flush=True)
+    return figures
 
 
 def _run_schedules(job: tuple[int, int, tuple[int, ...]]) -> tuple[Counts, list[int]]:
-    counts, bad = Counts(), []
+    counts, failed_seeds = Counts(), []
     for seed in range(job[0], job[1]):
         try:
             counts.add(Simulation(random_schedule(seed, job[2])).run_schedule())
         except InvariantError:
-            bad.append(seed)
-    return counts, bad
+            failed_seeds.append(seed)
+    return counts, failed_seeds
 
 
 def schedules(options: argparse.Namespace) -> dict[str, Any]:
-    """Random schedules on all cores; a failing one is shrunk and printed."""
-    began = time.monotonic()
-    found: dict[str, Any] = {}
+    """Run random schedules on all cores; the first failing ones are shrunk and printed."""
+    started_at = time.monotonic()
+    figures: dict[str, Any] = {}
     for name, count, sizes in (
         ("any_size", options.count - options.large, (1, 2, 3, 5, 7)),
         ("five_to_seven", options.large, (5, 7)),
     ):
-        jobs = [(at, min(at + SCHEDULES_PER_JOB, count), sizes) for at in range(0, count, SCHEDULES_PER_JOB)]
-        counts, bad = Counts(), []
+        jobs = [
+            (first, min(first + SCHEDULES_PER_JOB, count), sizes)
+            for first in range(0, count, SCHEDULES_PER_JOB)
+        ]
+        counts, failed_seeds = Counts(), []
         with Pool() as pool:
             for part, seeds in pool.imap_unordered(_run_schedules, jobs):
                 counts.add(part)
-                bad += seeds
-        for seed in sorted(bad)[:3]:
+                failed_seeds += seeds
+        for seed in sorted(failed_seeds)[:3]:
             print(describe(shrink(random_schedule(seed, sizes))))
-        found[name] = {
-            "schedules": counts.schedules + len(bad),
+        figures[name] = {
+            "schedules": counts.schedules + len(failed_seeds),
             "claims_checked": counts.claims,
             "moves": counts.moves,
             "messages": counts.messages,
-            "violations": sorted(bad),
+            "violations": sorted(failed_seeds),
         }
-    found["seconds"] = round(time.monotonic() - began, 1)
-    return found
+    figures["seconds"] = round(time.monotonic() - started_at, 1)
+    return figures
 
 
-def _cpu(pid: int) -> float:
+def _cpu_seconds(pid: int) -> float:
+    """The user and system CPU time of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
 
 async def measure_idle(size: int, seconds: float) -> dict[str, Any]:
-    """What holding the address costs each member, beside what the gateway costs without it."""
+    """Measure messages and CPU of members that only hold the address, and CPU of a gateway without it."""
     async with Cluster(tuple("abcdefg"[:size])) as cluster:
         await cluster.wait_until_voting()
-        idle = tests.standins.Program(cluster.replica)
-        async with idle:
+        without_address = tests.standins.Program(cluster.replica)
+        async with without_address:
             pids = {name: one.process.pid for name, one in cluster.programs.items()}
-            pids["without"] = idle.process.pid
-            sent = {name: cluster.status(name)["sent"] for name in cluster.names}
-            cpu = {name: _cpu(pid) for name, pid in pids.items()}
-            began = time.monotonic()
+            pids["without"] = without_address.process.pid
+            sent_before = {name: cluster.status(name)["sent"] for name in cluster.names}
+            cpu_before = {name: _cpu_seconds(pid) for name, pid in pids.items()}
+            started_at = time.monotonic()
             await asyncio.sleep(seconds)
-            took = time.monotonic() - began
-            used = {name: (_cpu(pid) - cpu[name]) / took for name, pid in pids.items()}
-            messages = {name: (cluster.status(name)["sent"] - sent[name]) / took for name in cluster.names}
+            elapsed = time.monotonic() - started_at
+            cpu_shares = {
+                name: (_cpu_seconds(pid) - cpu_before[name]) / elapsed for name, pid in pids.items()
+            }
+            messages = {
+                name: (cluster.status(name)["sent"] - sent_before[name]) / elapsed for name in cluster.names
+            }
             holder = cluster.holder or ""
     others = [name for name in cluster.names if name != holder]
     return {
         "members": size,
         "messages_a_second": round(sum(messages.values()), 1),
-        "holder_cpu_share": round(used[holder], 4),
-        "other_cpu_share": round(sum(used[name] for name in others) / len(others), 4),
-        "gateway_without_cpu_share": round(used["without"], 4),
+        "holder_cpu_share": round(cpu_shares[holder], 4),
+        "other_cpu_share": round(sum(cpu_shares[name] for name in others) / len(others), 4),
+        "gateway_without_cpu_share": round(cpu_shares["without"], 4),
     }
 
 
 def main() -> int:
-    """Measure and print."""
+    """Run the selected measurement, and print its figures as JSON."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -194,18 +209,18 @@
     parser.add_argument("--json", type=Path, help="also write the figures here")
     options = parser.parse_args()
     if options.what == "sockets":
-        found = sockets(options)
-        bad = any(found[what]["two_holders_or_old_tokens"] for what in ("kill", "cut", "move"))
+        figures = sockets(options)
+        has_violations = any(figures[what]["two_holders_or_old_tokens"] for what in ("kill", "cut", "move"))
     elif options.what == "schedules":
-        found = schedules(options)
-        bad = any(found[name]["violations"] for name in ("any_size", "five_to_seven"))
+        figures = schedules(options)
+        has_violations = any(figures[name]["violations"] for name in ("any_size", "five_to_seven"))
     else:
-        found = {"at_rest": [asyncio.run(measure_idle(size, options.seconds)) for size in (3, 7)]}
-        bad = False
-    print(json.dumps(found, indent=2))
+        figures = {"at_rest": [asyncio.run(measure_idle(size, options.seconds)) for size in (3, 7)]}
+        has_violations = False
+    print(json.dumps(figures, indent=2))
     if options.json is not None:
-        options.json.write_text(json.dumps(found, indent=2) + "\n")
-    return 1 if bad else 0
+        options.json.write_text(json.dumps(figures, indent=2) + "\n")
+    return 1 if has_violations else 0
 
 
 if __name__ == "__main__":
--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -31,79 +31,81 @@
 from tests.inventory.test_source import Load, RecordingReplica, csv_text, gateway_options, replace_file
 from tests.standins import Client, Program, until
 
-GRACE = 0.25
-SIZES = (22, 1_000, 10_000)
+GRACE_PERIOD = 0.25  # seconds after a removal in which requests may still reach the host
+INVENTORY_SIZES = (22, 1_000, 10_000)  # hosts
 
 
-def quantiles(values: Sequence[float]) -> dict[str, float]:
-    """Median, 99th percentile and maximum of times in seconds, in milliseconds."""
+def percentiles(values: Sequence[float]) -> dict[str, float]:
+    """Median, 99th percentile and maximum, in milliseconds, of times in seconds."""
     ordered = sorted(values)
-    at = [ordered[min(len(ordered) - 1, int(share * len(ordered)))] for share in (0.5, 0.99)]
+    chosen = [ordered[min(len(ordered) - 1, int(share * len(ordered)))] for share in (0.5, 0.99)]
     return {
-        "p50_ms": round(at[0] * 1e3, 1),
-        "p99_ms": round(at[1] * 1e3, 1),
+        "p50_ms": round(chosen[0] * 1e3, 1),
+        "p99_ms": round(chosen[1] * 1e3, 1),
         "max_ms": round(ordered[-1] * 1e3, 1),
     }
 
 
-async def removals(count: int, clients: int = 8, fleet_size: int = 22) -> dict[str, Any]:
-    """Remove a host by a rename, again and again under load, and count the requests that still reach it."""
-    draw = random.Random(7)
-    decided: list[float] = []
-    last: list[float] = []
-    strays = 0
+async def measure_removals(count: int, clients: int = 8, replica_count: int = 22) -> dict[str, Any]:
+    """Remove one host at a time under load, by renaming a new file into place, and count late requests."""
+    rng = random.Random(7)
+    decision_delays: list[float] = []
+    last_request_delays: list[float] = []
+    stray_requests = 0
     with tempfile.TemporaryDirectory() as name:
         path = Path(name, "workers.csv")
         async with AsyncExitStack() as stack:
-            fleet = [await stack.enter_async_context(RecordingReplica()) for _ in range(fleet_size)]
-            text = csv_text(*fleet)
+            timed_replicas = [
+                await stack.enter_async_context(RecordingReplica()) for _ in range(replica_count)
+            ]
+            text = csv_text(*timed_replicas)
             replace_file(path, text)
             program = await stack.enter_async_context(Program(options=gateway_options(Path(name))))
             load = Load(program.port, clients)
             for _ in range(count):
-                out = draw.randrange(fleet_size)
-                seen = len(fleet[out].times)
-                await until(lambda out=out, seen=seen: len(fleet[out].times) > seen)  # type: ignore[misc]
-                mark = len(program.logs)
-                wall = time.time()
-                when = replace_file(
-                    path, "".join(x for x in text.splitlines(True) if not x.startswith(f"w{out},"))
+                index = rng.randrange(replica_count)
+                before = len(timed_replicas[index].times)
+                await until(lambda index=index, before=before: len(timed_replicas[index].times) > before)  # type: ignore[misc]
+                start = len(program.logs)
+                wall_time = time.time()
+                replaced_at = replace_file(
+                    path, "".join(x for x in text.splitlines(True) if not x.startswith(f"w{index},"))
                 )
-                await asyncio.sleep(GRACE + 0.1)
-                found = [one for one in program.logs[mark:] if one.get("action") == "remove"]
-                assert [one["host"] for one in found] == [f"w{out}"], found
-                decided_at = datetime.fromisoformat(found[0]["timestamp"]).timestamp()
-                decided.append(decided_at - wall)
-                last.append(max(0.0, fleet[out].times[-1] - when))
-                strays += sum(one > when + GRACE for one in fleet[out].times)
+                await asyncio.sleep(GRACE_PERIOD + 0.1)
+                results = [one for one in program.logs[start:] if one.get("action") == "remove"]
+                assert [one["host"] for one in results] == [f"w{index}"], results
+                decided_at = datetime.fromisoformat(results[0]["timestamp"]).timestamp()
+                decision_delays.append(decided_at - wall_time)
+                last_request_delays.append(max(0.0, timed_replicas[index].times[-1] - replaced_at))
+                stray_requests += sum(one > replaced_at + GRACE_PERIOD for one in timed_replicas[index].times)
                 replace_file(path, text)
-                # Wait until it is added again: two renames at once would be one change.
-                await until(lambda mark=mark: any(x.get("action") == "add" for x in program.logs[mark:]))  # type: ignore[misc]
+                # Wait until the host is added again, because two quick renames could be read as one change.
+                await until(lambda start=start: any(x.get("action") == "add" for x in program.logs[start:]))  # type: ignore[misc]
             await load.end()
-            wrong = sum(status != 200 or not complete for status, _, complete in load.statuses)
+            not_served = sum(status != 200 or not complete for status, _, complete in load.statuses)
             return {
                 "removals": count,
-                "replicas": fleet_size,
+                "replicas": replica_count,
                 "requests": len(load.statuses),
-                "requests_not_served": wrong,
-                "stray_requests_after_250_ms": strays,
-                "rename_to_decision": quantiles(decided),
-                "rename_to_last_request": quantiles(last),
+                "requests_not_served": not_served,
+                "stray_requests_after_250_ms": stray_requests,
+                "rename_to_decision": percentiles(decision_delays),
+                "rename_to_last_request": percentiles(last_request_delays),
             }
 
 
-def big_rows(count: int, changed: int = -1) -> str:
-    """A CSV file with so many hosts at loopback addresses."""
+def large_inventory(count: int, changed: int = -1) -> str:
+    """A CSV file with `count` hosts at loopback addresses; the host at index `changed` is draining."""
     lines = ["name,host,port,zone,kind,state"]
-    for at in range(count):
-        state = "draining" if at == changed else "up"
+    for host in range(count):
+        state = "draining" if host == changed else "up"
         lines.append(
-            f"w{at},127.{1 + at // 60_000}.{at // 250 % 250}.{1 + at % 250},5000,lis-1,gen-a,{state}"
+            f"w{host},127.{1 + host // 60_000}.{host // 250 % 250}.{1 + host % 250},5000,lis-1,gen-a,{state}"
         )
     return "\n".join(lines) + "\n"
 
 
-READING = """
+READING_SCRIPT = """
 import gc, json, sys, time
 from pathlib import Path
 from lockspoke.inventory.files import read_files
@@ -140,65 +142,66 @@
 """
 
 
-def reading(size: int, form: str = "csv", runs: int = 5) -> dict[str, Any]:
-    """Read and reconcile a list, and again with one row changed; each run in a new process."""
+def measure_reading(size: int, form: str = "csv", runs: int = 5) -> dict[str, Any]:
+    """Measure reading and reconciling a list, then again with one row changed; each run is a new process."""
     with tempfile.TemporaryDirectory() as name:
         paths = [Path(name, f"a.{form}"), Path(name, f"b.{form}")]
         for path, changed in zip(paths, (-1, size // 2), strict=True):
-            text = big_rows(size, changed)
+            text = large_inventory(size, changed)
             if form != "csv":
                 files = [FileContent("a.csv", text.encode())]
                 text = write_inventory(take_snapshot(files, ReadOptions()).snapshot.replicas.values(), form)
             path.write_text(text)
-        command = [sys.executable, "-c", READING, *map(str, paths)]
-        found = [
+        command = [sys.executable, "-c", READING_SCRIPT, *map(str, paths)]
+        results = [
             json.loads(subprocess.run(command, capture_output=True, check=True).stdout) for _ in range(runs)
         ]
-    middle = sorted(found, key=lambda one: one["whole"]["read_ms"])[runs // 2]
-    return {"hosts": size, "form": form, "runs": runs} | dict(middle)
+    median = sorted(results, key=lambda one: one["whole"]["read_ms"])[runs // 2]
+    return {"hosts": size, "form": form, "runs": runs} | dict(median)
 
 
-async def pauses(size: int, changes: int = 10) -> dict[str, Any]:
-    """The longest time without a response to `GET /up`, at rest and while one row of many changes."""
+async def measure_pauses(size: int, changes: int = 10) -> dict[str, Any]:
+    """Measure the response times of `GET /up` while the inventory is unchanged and while one row changes."""
     with tempfile.TemporaryDirectory() as name:
         path = Path(name, "workers.csv")
-        replace_file(path, big_rows(size))
+        replace_file(path, large_inventory(size))
         options = gateway_options(Path(name), **{"kinds.gen-a": 0.7})
         async with Program(options=options) as program, Client(program.port) as client:
-            rest: list[float] = []
-            busy: list[float] = []
-            settled: list[float] = []
+            idle_delays: list[float] = []
+            busy_delays: list[float] = []
+            change_delays: list[float] = []
 
-            async def ping(into: list[float], end: Any) -> None:
-                while not end():
+            async def ping(delays: list[float], is_finished: Any) -> None:
+                while not is_finished():
                     began = time.monotonic()
                     await client.request(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-                    into.append(time.monotonic() - began)
+                    delays.append(time.monotonic() - began)
                     await asyncio.sleep(0.001)
 
-            until_rest = time.monotonic() + 3
-            await ping(rest, lambda: time.monotonic() > until_rest)
+            idle_until = time.monotonic() + 3
+            await ping(idle_delays, lambda: time.monotonic() > idle_until)
             for change in range(changes):
-                mark = len(program.logs)
-                began = replace_file(path, big_rows(size, change))
+                start = len(program.logs)
+                began = replace_file(path, large_inventory(size, change))
                 await ping(
-                    busy, lambda mark=mark: sum(x["event"] == "inventory_read" for x in program.logs[mark:])
+                    busy_delays,
+                    lambda start=start: sum(x["event"] == "inventory_read" for x in program.logs[start:]),
                 )
-                settled.append(time.monotonic() - began)
+                change_delays.append(time.monotonic() - began)
             status = Path(f"/proc/{program.process.pid}/status").read_text()
             memory = next(int(line.split()[1]) for line in status.splitlines() if line.startswith("VmHWM"))
             return {
                 "hosts": size,
-                "answer_at_rest": quantiles(rest),
-                "answer_while_changing": quantiles(busy),
-                "change_to_decision": quantiles(settled),
-                "first_change_ms": round(settled[0] * 1e3, 1),
+                "answer_at_rest": percentiles(idle_delays),
+                "answer_while_changing": percentiles(busy_delays),
+                "change_to_decision": percentiles(change_delays),
+                "first_change_ms": round(change_delays[0] * 1e3, 1),
                 "gateway_peak_mb": round(memory / 1024, 1),
             }
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the selected measurements and print their figures as JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--removals", type=int, default=500)
     parser.add_argument("--only-removals", action="store_true")
@@ -206,11 +209,13 @@
     options = parser.parse_args()
     figures: dict[str, Any] = {"machine": platform.machine(), "python": platform.python_version()}
     if not options.only_removals:
-        figures["reading"] = [reading(size) for size in SIZES]
-        figures["reading"] += [reading(SIZES[-1], form) for form in FORMATS if form != "csv"]
-        figures["pauses"] = [asyncio.run(pauses(size)) for size in SIZES]
+        figures["reading"] = [measure_reading(size) for size in INVENTORY_SIZES]
+        figures["reading"] += [
+            measure_reading(INVENTORY_SIZES[-1], form) for form in FORMATS if form != "csv"
+        ]
+        figures["pauses"] = [asyncio.run(measure_pauses(size)) for size in INVENTORY_SIZES]
     if options.removals:
-        figures["removals"] = asyncio.run(removals(options.removals))
+        figures["removals"] = asyncio.run(measure_removals(options.removals))
     figures["own_peak_mb"] = round(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024, 1)
     text = json.dumps(figures, indent=2)
     print(text)
