--- a/bench/soak/clients.py
+++ b/bench/soak/clients.py
@@ -31,9 +31,7 @@
 
     name: str  # such as "g1.2", with the number of the process
     port: int
-    crowded: bool = (
-        False  # whether a crowd fills its descriptors, so that it may close new connections unread
-    )
+    crowded: bool = False  # whether a crowd fills its descriptors, so that it may close connections unread
     accepts: bool = True  # whether clients still open new connections to it
     terminated_at: float | None = None  # when it got its first SIGTERM
     killed: bool = False
--- a/bench/soak/observations.py
+++ b/bench/soak/observations.py
@@ -14,7 +14,7 @@
     FAILED = "failed"
     TRUNCATED = "truncated"  # the stream ended without its last chunk
     UNANSWERED = "unanswered"  # the gateway read the request and closed the connection without a reply
-    NOT_READ = "not_read"  # closed without a reply, and the gateway may not have read it: clients retry
+    NOT_READ = "not_read"  # closed without a reply, before the gateway had read it: clients retry
     CLIENT_DISCONNECTED = "client_disconnected"
     GATEWAY_KILLED = "gateway_killed"  # SIGKILL of the gateway ended the connection
 
@@ -42,7 +42,7 @@
     request_id: str
     replica: int
     replica_incarnation: int  # number of restarts of the replica before
-    began_at: float  # when its first byte was read
+    began_at: float  # when its head was read
     deadline_ms: int
     complete: bool = True  # the whole request was read; before that it cannot have run
     finished: bool = False  # the whole stream was written to the connection
@@ -80,7 +80,5 @@
     exits: list[GatewayExit] = field(default_factory=list)
     loop_delays: list[float] = field(default_factory=list)  # seconds by which the bench's event loop was late
     crashes: list[str] = field(default_factory=list)  # unexpected exits and logged errors of gateways
-    broken_ports: set[int] = field(
-        default_factory=set
-    )  # gateways' ports of connections to replicas that an injected fault broke
+    broken_ports: set[int] = field(default_factory=set)  # gateways' ports of connections broken by a fault
     stand_in_errors: list[str] = field(default_factory=list)  # exceptions that ended a client or a stand-in
