--- a/bench/batch_soak.py
+++ b/bench/batch_soak.py
@@ -26,7 +26,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from bench.faults.settings import VARIABLE, FaultSettings
+from bench.faults.settings import SETTINGS_VARIABLE, FaultSettings
 from tests.batch.api_client import Api, batch_config, connect, input_file
 from tests.batch.gateway_probes import GatewayProbes, Measurements, TimestampReplica
 from tests.standins import Program
@@ -155,7 +155,7 @@
     def _program(self, *replicas: TimestampReplica) -> Program:
         if self._faults is None:
             return Program(*replicas, options=self._gateway_options, operator=True)
-        env = {VARIABLE: self._faults.encode()}
+        env = {SETTINGS_VARIABLE: self._faults.encode()}
         return Program(
             *replicas, options=self._gateway_options, operator=True, module="bench.faults", env=env
         )
--- a/bench/faults/__main__.py
+++ b/bench/faults/__main__.py
@@ -9,12 +9,12 @@
 import sys
 
 from . import machine, network
-from .settings import VARIABLE, decode_settings
+from .settings import SETTINGS_VARIABLE, decode_settings
 
 
 def main() -> None:
     """Install the faults, then run the gateway."""
-    settings = decode_settings(os.environ[VARIABLE])
+    settings = decode_settings(os.environ[SETTINGS_VARIABLE])
     network.install(settings)
     machine.install_clock(settings)
     machine.install_disk(settings)
--- a/bench/faults/settings.py
+++ b/bench/faults/settings.py
@@ -5,7 +5,7 @@
 import json
 from dataclasses import asdict, dataclass
 
-VARIABLE = "FAULT_SETTINGS"  # the environment variable that contains the encoded settings
+SETTINGS_VARIABLE = "FAULT_SETTINGS"  # the environment variable that contains the encoded settings
 
 
 @dataclass(frozen=True, slots=True)
--- a/bench/soak/gateways.py
+++ b/bench/soak/gateways.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from bench.faults.network import BREAK_EVENT
-from bench.faults.settings import VARIABLE
+from bench.faults.settings import SETTINGS_VARIABLE
 from lockspoke.units import SECOND
 from tests.standins import ROOT, Client, Program
 
@@ -75,7 +75,7 @@
         )
         if self._plan.settings is not None:
             program.module = "bench.faults"
-            program.env = {VARIABLE: self._plan.settings.encode()}
+            program.env = {SETTINGS_VARIABLE: self._plan.settings.encode()}
         program.known = self._replicas.complete()
         self._discovery.serve_new_process(name)
         await program.__aenter__()
--- a/tests/batch/test_wall_clock.py
+++ b/tests/batch/test_wall_clock.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from bench.faults.settings import VARIABLE, FaultSettings
+from bench.faults.settings import SETTINGS_VARIABLE, FaultSettings
 from tests.standins import FakeReplica, Program
 
 from .api_client import batch_config, connect, input_file
@@ -27,7 +27,7 @@
             Program(
                 replica,
                 module="bench.faults",
-                env={VARIABLE: faults.encode()},
+                env={SETTINGS_VARIABLE: faults.encode()},
                 options=("--batch", batch_config(tmp_path, concurrency=1)),
             ) as program,
         ):
--- a/tests/lifecycle/test_faulty_system.py
+++ b/tests/lifecycle/test_faulty_system.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from bench.faults.settings import VARIABLE, FaultSettings
+from bench.faults.settings import SETTINGS_VARIABLE, FaultSettings
 from tests.standins import Client, FakeReplica, Program, request_bytes
 
 from .support import run
@@ -15,7 +15,7 @@
 
 
 def faulty_program(replica: FakeReplica, faults: FaultSettings) -> Program:
-    return Program(replica, module="bench.faults", env={VARIABLE: faults.encode()})
+    return Program(replica, module="bench.faults", env={SETTINGS_VARIABLE: faults.encode()})
 
 
 def error_lines(program: Program) -> list[str]:
--- a/tests/wire/operators/test_front.py
+++ b/tests/wire/operators/test_front.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from bench.faults.settings import VARIABLE, FaultSettings
+from bench.faults.settings import SETTINGS_VARIABLE, FaultSettings
 from lockspoke.lifecycle.bans_file import read_bans, write_bans
 from tests.lifecycle.support import run
 from tests.standins import Client, FakeDiscovery, FakeReplica, Program, request_bytes, until
@@ -162,7 +162,7 @@
 async def test_accepted_ban_is_stored_once_the_disk_works_again() -> None:
     """Otherwise the next version would send requests to a replica that operators have taken offline."""
     faults = FaultSettings(disk_share=1.0, disk_period=12.0)  # Writes fail for the first three seconds.
-    env = {VARIABLE: faults.encode()}
+    env = {SETTINGS_VARIABLE: faults.encode()}
     async with (
         FakeReplica() as replica,
         Program(replica, operator=True, module="bench.faults", env=env) as program,
