--- a/lockspoke/address/actions.py
+++ b/lockspoke/address/actions.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HoldLease:
+class ExtendLease:
     """This instance holds the address until `until`, in nanoseconds on its own clock."""
 
     token: int
@@ -30,4 +30,4 @@
     reason: str
 
 
-Action = SendMessage | HoldLease | LoseLease
+Action = SendMessage | ExtendLease | LoseLease
--- a/lockspoke/address/candidate.py
+++ b/lockspoke/address/candidate.py
@@ -65,9 +65,9 @@
         return self.role is ElectionRole.HOLDER and now < self.lease.until
 
     @property
-    def may_hold(self) -> bool:
+    def can_be_holder(self) -> bool:
         """Whether the member may ever hold the lease; a witness may not."""
-        return self.config.may_hold(self.name)
+        return self.config.can_be_holder(self.name)
 
     # Sending
 
@@ -165,7 +165,7 @@
         return int(share * self.config.vote_timeout)
 
     def _should_become_candidate(self, now: int) -> bool:
-        if self.role is not ElectionRole.FOLLOWER or not self.healthy or not self.may_hold:
+        if self.role is not ElectionRole.FOLLOWER or not self.healthy or not self.can_be_holder:
             return False
         return now >= self.candidacy_at and self.voter.is_free_for(self.name, now)
 
--- a/lockspoke/address/election.py
+++ b/lockspoke/address/election.py
@@ -89,7 +89,7 @@
                 times.append(self.succession.deadline)
         elif vote_round is not None:
             times.append(vote_round.started_at + config.vote_timeout)
-        elif self.role is ElectionRole.FOLLOWER and self.healthy and self.may_hold:
+        elif self.role is ElectionRole.FOLLOWER and self.healthy and self.can_be_holder:
             voter = self.voter
             free_at = now if voter.voted_for == self.name else voter.vote_until
             times.append(max(self.candidacy_at, min(free_at, voter.vote_until)))
@@ -118,7 +118,7 @@
         Raises:
             ValueError: The member does not hold the lease, or `successor` may not hold it.
         """
-        if successor == self.name or not self.config.may_hold(successor):
+        if successor == self.name or not self.config.can_be_holder(successor):
             raise ValueError(f"{successor} can't be handed the address")
         if not self.holds(now):
             raise ValueError(f"{self.name} does not hold the address")
@@ -145,7 +145,7 @@
         self.membership.check_change(config, now)
         was_holding = self.holds(now)
         self.membership.adopt(config, now)
-        if not self.may_hold and self.role.is_active:
+        if not self.can_be_holder and self.role.is_active:
             self._step_down(now, "it is a witness now", release=True)
         elif self.vote_round is not None and not was_holding:
             self._step_down(now, "the members have changed", release=True)
@@ -250,7 +250,7 @@
         if succession.remaining is None:
             return
         # The member list may have changed since the shutdown began.
-        succession.remaining = [name for name in succession.remaining if self.config.may_hold(name)]
+        succession.remaining = [name for name in succession.remaining if self.config.can_be_holder(name)]
         if not succession.remaining or not self.holds(now):
             self._stop(now)
             return
@@ -299,7 +299,7 @@
             self.transfer = None
 
     def _on_preempt_request(self, sender: str, message: ElectionMessage, now: int) -> None:
-        is_preferred = message.duration > self.priority and self.config.may_hold(sender)
+        is_preferred = message.duration > self.priority and self.config.can_be_holder(sender)
         if not is_preferred or not self.holds(now):
             return
         if not self.succession.successor and not self.lease.is_transferred:
@@ -309,7 +309,7 @@
 
     def _on_transfer_prepare(self, sender: str, message: ElectionMessage, now: int) -> None:
         """Confirm that this member is ready. A transferred lease is counted from the first confirmation."""
-        if not self.healthy or not self.may_hold or self.role is not ElectionRole.FOLLOWER:
+        if not self.healthy or not self.can_be_holder or self.role is not ElectionRole.FOLLOWER:
             return
         if self.transfer_offers.accept_offer(sender, message.serial, now):
             reply = ElectionMessage(MessageKind.TRANSFER_PREPARE, self.term, message.serial, 0, self.name)
@@ -340,7 +340,7 @@
     def _should_preempt(self, now: int) -> bool:
         if self.preempt_after is None or self.role is not ElectionRole.FOLLOWER:
             return False
-        if not self.healthy or not self.may_hold or now < self.preempt_at:
+        if not self.healthy or not self.can_be_holder or now < self.preempt_at:
             return False
         has_been_healthy = now >= self.healthy_since + self.preempt_after
         return has_been_healthy and self.voter.current_vote(now) not in ("", self.name)
--- a/lockspoke/address/election_config.py
+++ b/lockspoke/address/election_config.py
@@ -77,7 +77,7 @@
         """How long a voter is bound by its own clock, from its vote on."""
         return int(self.lease_duration * (1.0 + self.max_clock_drift)) + 1
 
-    def may_hold(self, name: str) -> bool:
+    def can_be_holder(self, name: str) -> bool:
         """Whether a member may hold the lease."""
         return name in self.members and name not in self.witnesses
 
--- a/lockspoke/address/lease.py
+++ b/lockspoke/address/lease.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from .actions import HoldLease
+from .actions import ExtendLease
 
 
 def voted_lease_token(term: int) -> int:
@@ -36,12 +36,12 @@
     voters: tuple[str, ...] = ()
     is_transferred: bool = False
 
-    def extend(self, token: int, until: int) -> HoldLease | None:
+    def extend(self, token: int, until: int) -> ExtendLease | None:
         """Extend the lease; returns the action if the deadline or the token has changed."""
         if until <= self.until and token == self.token:
             return None
         self.token, self.until = token, max(until, self.until)
-        return HoldLease(token, self.until)
+        return ExtendLease(token, self.until)
 
     def end(self) -> None:
         """End the lease."""
--- a/lockspoke/address/lease_trace.py
+++ b/lockspoke/address/lease_trace.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from .actions import HoldLease, LoseLease
+from .actions import ExtendLease, LoseLease
 
 
 class LeaseTrace:
@@ -17,10 +17,10 @@
         self._member = member
         self._file = path.open("a")
 
-    def record(self, action: HoldLease | LoseLease, now: int) -> None:
+    def record(self, action: ExtendLease | LoseLease, now: int) -> None:
         """Write an action with the time on the member's clock, in nanoseconds."""
         line: dict[str, Any] = {"member": self._member, "at": now}
-        if isinstance(action, HoldLease):
+        if isinstance(action, ExtendLease):
             line |= {"token": action.token, "until": action.until}
         else:
             line["lost"] = True
--- a/lockspoke/address/member.py
+++ b/lockspoke/address/member.py
@@ -12,7 +12,7 @@
 
 from lockspoke.units import SECOND
 
-from .actions import HoldLease, LoseLease
+from .actions import ExtendLease, LoseLease
 from .announcer import Announcer
 from .clock import steady_clock
 from .control import ControlServer, JsonObject
@@ -53,7 +53,7 @@
         self._record_writer = RecordWriter(self.record) if self.record is not None else None
         self._trace = LeaseTrace(Path(settings.trace), name) if settings.trace else None
         self.health = HealthTracker(settings.health.limits())
-        self.held_down_until = 0  # Until then an operator keeps the member from holding the address.
+        self.ineligible_until = 0  # Until then an operator keeps the member from holding the address.
         self.node = self._create_node(keys, announcer)
         self._control: ControlServer | None = None
         if settings.control:
@@ -106,7 +106,7 @@
         elif healthy and not was_healthy:
             log.info("address_healthy")
         self._log_suppression(now)
-        self.node.set_health(healthy and now >= self.held_down_until)
+        self.node.set_health(healthy and now >= self.ineligible_until)
 
     def _log_suppression(self, now: int) -> None:
         suppressed = self.health.suppressed
@@ -154,10 +154,10 @@
 
     async def leave(self, timeout: float) -> None:  # noqa: ASYNC109 - the wait is a poll of the election
         """Transfer the address, or release it if no member takes it over within `timeout` seconds."""
-        self.node.start_leaving()
+        self.node.start_shutdown()
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
-        while not self.node.has_left and loop.time() < deadline:  # noqa: ASYNC110 - the election has no events
+        while not self.node.is_shutdown_complete and loop.time() < deadline:  # noqa: ASYNC110 - the election has no events
             await asyncio.sleep(LEAVE_POLL_INTERVAL_SECONDS)
 
     def stop(self) -> None:
@@ -174,16 +174,16 @@
         """The state as JSON values, as `lockspoke address status` shows it."""
         now = self.node.clock()
         status = self.node.status()
-        status["why_not"] = self._reasons_not_to_hold(status["why_not"], now)
+        status["why_not"] = self._not_holder_reasons(status["why_not"], now)
         status["health"] = {**self.health.status(now), "held_down": self.health.suppressed}
         status["record_failing"] = self.record.write_error if self.record is not None else ""
         return status
 
-    def _reasons_not_to_hold(self, node_reasons: list[str], now: int) -> list[str]:
+    def _not_holder_reasons(self, node_reasons: list[str], now: int) -> list[str]:
         """The node's reasons, with the general reason `NOT_HEALTHY` replaced by the detailed ones."""
         health_reasons = list(self.health.reasons)
-        if now < self.held_down_until:
-            remaining = (self.held_down_until - now) / SECOND
+        if now < self.ineligible_until:
+            remaining = (self.ineligible_until - now) / SECOND
             health_reasons.append(f"held down by an operator for {remaining:.0f} s more")
         reasons: list[str] = []
         for reason in node_reasons:
@@ -193,7 +193,7 @@
                 reasons.append(reason)
         return reasons
 
-    def _trace_lease_change(self, action: HoldLease | LoseLease, now: int) -> None:
+    def _trace_lease_change(self, action: ExtendLease | LoseLease, now: int) -> None:
         if self._trace is not None:
             self._trace.record(action, now)
 
@@ -212,7 +212,7 @@
     def _hold_down(self, seconds: Any) -> JsonObject:
         if not isinstance(seconds, int | float) or not 0 <= seconds <= MAX_HOLD_DOWN_SECONDS:
             raise ValueError(f"seconds is {seconds!r}, want 0 to {MAX_HOLD_DOWN_SECONDS:.0f}")
-        self.held_down_until = self.node.clock() + int(seconds * SECOND)
+        self.ineligible_until = self.node.clock() + int(seconds * SECOND)
         log.warning("address_operator_hold_down", seconds=seconds)
         self.node.set_health(self.health.healthy and not seconds)
         return {"done": f"{self.name} is held down for {seconds:g} s"}
--- a/lockspoke/address/metrics.py
+++ b/lockspoke/address/metrics.py
@@ -54,9 +54,9 @@
 
 def serve(address: tuple[str, int], status: Callable[[], JsonObject]) -> Callable[[], None]:
     """Serve `GET /metrics` from a thread; returns the function that stops it. Raises OSError."""
-    registry = CollectorRegistry()
-    registry.register(AddressCollector(status))
-    server, thread = start_http_server(address[1], address[0], registry)
+    collectors = CollectorRegistry()
+    collectors.register(AddressCollector(status))
+    server, thread = start_http_server(address[1], address[0], collectors)
 
     def stop() -> None:
         server.shutdown()
--- a/lockspoke/address/node.py
+++ b/lockspoke/address/node.py
@@ -11,7 +11,7 @@
 
 from lockspoke.units import MILLISECOND, SECOND
 
-from .actions import Action, HoldLease, LoseLease, SendMessage
+from .actions import Action, ExtendLease, LoseLease, SendMessage
 from .announcer import Announcer
 from .channel import DatagramChannel
 from .clock import steady_clock
@@ -43,7 +43,7 @@
         priority: int = 100,
         preempt_after: int | None = None,
         first_term: int = 0,
-        on_lease_change: Callable[[HoldLease | LoseLease, int], None] = lambda _action, _now: None,
+        on_lease_change: Callable[[ExtendLease | LoseLease, int], None] = lambda _action, _now: None,
     ) -> None:
         self.name, self.peer_addresses = name, dict(peer_addresses)
         self.announcer, self.clock = announcer, clock
@@ -93,12 +93,12 @@
         """Transfer the address to another member; raises ValueError if that is not possible."""
         self._execute(self.election.move(successor, self.clock()))
 
-    def start_leaving(self) -> None:
-        """Begin a graceful shutdown; `has_left` becomes True when the address is transferred or released."""
+    def start_shutdown(self) -> None:
+        """Begin a graceful shutdown, which is complete when the address is transferred or released."""
         self._execute(self.election.leave(self.clock()))
 
     @property
-    def has_left(self) -> bool:
+    def is_shutdown_complete(self) -> bool:
         """Whether the graceful shutdown has finished."""
         return self.election.role is ElectionRole.LEAVING and self.election.transfer is None
 
@@ -164,7 +164,7 @@
         for action in actions:
             if isinstance(action, SendMessage):
                 self._send_datagram(action.to, self.channel.seal(action.to, action.message))
-            elif isinstance(action, HoldLease):
+            elif isinstance(action, ExtendLease):
                 if not self._claim(action):
                     return
             else:
@@ -172,7 +172,7 @@
         self._log_changes()
         self._schedule_tick()
 
-    def _claim(self, action: HoldLease) -> bool:
+    def _claim(self, action: ExtendLease) -> bool:
         now = self.clock()
         if now >= action.until:
             return True  # The lease has ended in the meantime; the next tick handles that.
@@ -246,15 +246,15 @@
             "received": self.received,
             "refused": dict(self.channel.rejected),
             "moves": self.moves,
-            "why_not": self._reasons_not_to_hold(now),
+            "why_not": self._not_holder_reasons(now),
         }
 
-    def _reasons_not_to_hold(self, now: int) -> list[str]:
+    def _not_holder_reasons(self, now: int) -> list[str]:
         election = self.election
         if election.holds(now):
             return []
         reasons = []
-        if not election.may_hold:
+        if not election.can_be_holder:
             reasons.append("it is a witness: it votes and never holds")
         if election.role is ElectionRole.SILENT:
             remaining = (election.silent_until - now) // MILLISECOND
--- a/lockspoke/cli/address.py
+++ b/lockspoke/cli/address.py
@@ -111,13 +111,13 @@
 
 
 def _status_rows(status: JsonObject) -> list[tuple[str, object]]:
-    health, lease_left_ms = status["health"], status["lease_left_ms"]
+    health, remaining_lease_ms = status["health"], status["lease_left_ms"]
     return [
         ("instance", f"{status['name']} ({status['role']}, for {status['since_ms'] / 1000:.0f} s)"),
         ("holder", status["holder"] or "none known"),
         ("token", status["token"]),
         ("term", status["term"]),
-        ("lease left", f"{lease_left_ms} ms" if lease_left_ms is not None else None),
+        ("lease left", f"{remaining_lease_ms} ms" if remaining_lease_ms is not None else None),
         ("votes", ", ".join(status["votes"])),
         ("why not holder", "; ".join(status["why_not"])),
         ("healthy", f"{'yes' if health['fit'] else 'no'}, penalty {health['penalty']:g}"),
--- a/tests/address/network.py
+++ b/tests/address/network.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from random import Random
 
-from lockspoke.address.actions import Action, HoldLease, LoseLease, SendMessage
+from lockspoke.address.actions import Action, ExtendLease, LoseLease, SendMessage
 from lockspoke.address.election import Election
 from lockspoke.address.election_config import ElectionConfig
 
@@ -68,7 +68,7 @@
 
     def execute(self, name: str, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, HoldLease):
+            if isinstance(action, ExtendLease):
                 offset, rate = self.clocks[name]
                 end = int((action.until - offset) / rate)
                 others = {
--- a/tests/address/simulation.py
+++ b/tests/address/simulation.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 from random import Random
 
-from lockspoke.address.actions import Action, HoldLease, LoseLease, SendMessage
+from lockspoke.address.actions import Action, ExtendLease, LoseLease, SendMessage
 from lockspoke.address.election import Election
 from lockspoke.address.election_config import ElectionConfig
 from lockspoke.address.role import ElectionRole
@@ -229,7 +229,7 @@
     def execute(self, member: SimulatedMember, actions: list[Action]) -> None:
         """Execute and check the actions of a member."""
         for action in actions:
-            if isinstance(action, HoldLease):
+            if isinstance(action, ExtendLease):
                 self.check_claim(member, action)
             elif isinstance(action, LoseLease):
                 self.log(f"{member.name} loses the lease: {action.reason}")
@@ -237,7 +237,7 @@
             else:
                 self.send(member.name, action)
 
-    def check_claim(self, member: SimulatedMember, action: HoldLease) -> None:
+    def check_claim(self, member: SimulatedMember, action: ExtendLease) -> None:
         """Check a claim in true time."""
         self.counts.claims += 1
         end = member.true_time(action.until)
@@ -384,7 +384,7 @@
     def move(self, member: SimulatedMember, election: Election, event: Event) -> None:
         """Begin a planned transfer; for odd arguments the successor loses all other members."""
         names = sorted(self.members)
-        successors = [name for name in names if name != member.name and election.config.may_hold(name)]
+        successors = [name for name in names if name != member.name and election.config.can_be_holder(name)]
         if not successors:
             return
         successor = successors[event.argument // 3 % len(successors)]
--- a/tests/golden/kept_scenario.py
+++ b/tests/golden/kept_scenario.py
@@ -17,7 +17,7 @@
 
 from structlog.testing import capture_logs
 
-from lockspoke.address.actions import HoldLease, LoseLease
+from lockspoke.address.actions import ExtendLease, LoseLease
 from lockspoke.address.announcer import Announcer
 from lockspoke.address.member import Member
 from lockspoke.address.settings import AddressSettings
@@ -135,7 +135,7 @@
     async with asyncio.timeout(PATIENCE):
         while member.record is not None and member.record.needs_write(term, generation):
             await asyncio.sleep(0.001)
-    member._trace_lease_change(HoldLease(term, 1_500_000_000), 1_100_000_000)
+    member._trace_lease_change(ExtendLease(term, 1_500_000_000), 1_100_000_000)
     member._trace_lease_change(LoseLease("its lease ran out"), 1_600_000_000)
     member.stop()
     return begun
