--- a/lockspoke/cli/inventory_compare.py
+++ b/lockspoke/cli/inventory_compare.py
@@ -114,15 +114,15 @@
     pair = _read_pair(old, new, options)
     policy = pair.reader.settings.reconcile_policy()
     decisions = plan_decisions(policy, pair.old, _relocate(old, new, pair.new), accept)
-    held = [
+    blocked = [
         decision for decision in decisions if decision.action in (Action.HOLD, Action.KEEP_OUT, Action.GUARD)
     ]
     if as_json:
         click.echo(json.dumps([decision.as_json() for decision in decisions], indent=2))
     else:
         print_decisions(decisions)
-        click.echo(f"{len(decisions)} decisions, {len(held)} of them hold something back")
-    return 1 if held else 0
+        click.echo(f"{len(decisions)} decisions, {len(blocked)} of them hold something back")
+    return 1 if blocked else 0
 
 
 def _relocate(old: Path, new: Path, snapshot: Snapshot) -> Snapshot:
--- a/lockspoke/cli/inventory_gateway.py
+++ b/lockspoke/cli/inventory_gateway.py
@@ -62,10 +62,10 @@
         status_document = json.loads(path.read_text())
     except (OSError, ValueError) as error:
         raise click.UsageError(f"{path}: {error}") from None
-    held = {row["name"]: row["held"] for row in status_document["workers"] if row["held"]}
+    deferral_reasons = {row["name"]: row["held"] for row in status_document["workers"] if row["held"]}
     if as_json:
         click.echo(json.dumps(status_document, indent=2))
-        return 1 if held or status_document["guard"] or status_document["kept_out"] else 0
+        return 1 if deferral_reasons or status_document["guard"] or status_document["kept_out"] else 0
     age_seconds = max(0.0, time.time() - status_document["at_ms"] / 1000)
     click.echo(
         f"written {age_seconds:.0f} s ago by process {status_document['pid']}; "
@@ -77,13 +77,13 @@
         ReplicaRecord(**{name: row[name] for name in fields}, labels=tuple(row["labels"].items()))
         for row in status_document["workers"]
     ]
-    print_replicas(replicas, held)
+    print_replicas(replicas, deferral_reasons)
     for name, reason in status_document["kept_out"].items():
         click.echo(f"kept out {name}: {reason}")
     if status_document["guard"]:
         click.echo(f"{status_document['guard']['hosts']} removals are held back; to accept them:")
         click.echo(f"  lockspoke inventory accept {status_document['guard']['accept']}")
-    return 1 if held or status_document["guard"] or status_document["kept_out"] else 0
+    return 1 if deferral_reasons or status_document["guard"] or status_document["kept_out"] else 0
 
 
 @click.command()
--- a/lockspoke/cli/output.py
+++ b/lockspoke/cli/output.py
@@ -50,14 +50,14 @@
     return {file.path: (file.data or b"").decode("utf-8-sig", "replace") for file in read_files(paths)}
 
 
-def print_replicas(replicas: list[ReplicaRecord], hold_reasons: dict[str, str] | None = None) -> None:
-    """Print a table of replicas, with a column for `hold_reasons` (by host) if they are given."""
+def print_replicas(replicas: list[ReplicaRecord], deferral_reasons: dict[str, str] | None = None) -> None:
+    """Print a table of replicas, with a column for `deferral_reasons` (by host) if they are given."""
     names = ("name", "host", "port", "zone", "kind", "cell", "weight", "state", "labels")
-    table = Table(*names, *(["held"] if hold_reasons is not None else []), box=None, pad_edge=False)
+    table = Table(*names, *(["held"] if deferral_reasons is not None else []), box=None, pad_edge=False)
     for replica in replicas:
         row = _replica_row(replica)
-        if hold_reasons is not None:
-            row.append(escape(hold_reasons.get(replica.name, "")))
+        if deferral_reasons is not None:
+            row.append(escape(deferral_reasons.get(replica.name, "")))
         table.add_row(*row)
     console().print(table)
 
--- a/lockspoke/inventory/address_conflicts.py
+++ b/lockspoke/inventory/address_conflicts.py
@@ -40,7 +40,7 @@
         if replica is None:
             targets[moving_host] = Target(Action.KEEP_OUT, None, reason)
         else:
-            targets[moving_host] = Target.hold(replica.record, reason)
+            targets[moving_host] = Target.defer(replica.record, reason)
 
 
 def _find_conflict(
--- a/lockspoke/inventory/decisions.py
+++ b/lockspoke/inventory/decisions.py
@@ -29,7 +29,7 @@
     # A host that returns at its address within this time is assumed not to have been restarted.
     brief_absence_ms: int = 1_000
     # Whether a host that is added while the gateway runs is assumed to have just started.
-    new_is_cold: bool = True
+    assume_new_hosts_just_started: bool = True
 
 
 class Action(Enum):
@@ -84,7 +84,7 @@
     hold_reason: str = ""
 
     @classmethod
-    def hold(cls, record: ReplicaRecord, reason: str) -> Target:
+    def defer(cls, record: ReplicaRecord, reason: str) -> Target:
         """A target with which the host keeps its record."""
         return cls(Action.HOLD, record, reason, hold_reason=reason)
 
--- a/lockspoke/inventory/reconciler.py
+++ b/lockspoke/inventory/reconciler.py
@@ -101,7 +101,7 @@
                 unchanged += 1
                 known.record, known.files = record, find_files(name, known.files)
                 continue
-            if (target := self._target_of_listed(name, record, now_ms)) is not None:
+            if (target := self._target_of_present(name, record, now_ms)) is not None:
                 targets[name] = target
         if unchanged < len(self.known):
             for name in self.known:
@@ -113,7 +113,7 @@
                 targets[name] = Target(Action.KEEP_OUT, None, f"its row is wrong: {reason}")
         return targets, unchanged
 
-    def _target_of_listed(self, name: str, record: ReplicaRecord, now_ms: int) -> Target | None:
+    def _target_of_present(self, name: str, record: ReplicaRecord, now_ms: int) -> Target | None:
         """The target of a host with a valid row; None if it is not in the replica set and is not to be."""
         known = self.known.get(name)
         if record.state == "removed":
@@ -133,7 +133,7 @@
         if record.address != known.record.address:
             if self._is_damped(name, now_ms):
                 reason = "it moves to and fro; it stays where it was until that has calmed down"
-                return Target.hold(known.record, reason)
+                return Target.defer(known.record, reason)
             old, new = (f"{host}:{port}" for host, port in (known.record.address, record.address))
             return Target(Action.CHANGE, record, f"moves from {old} to {new}")
         if record.state != known.record.state:
@@ -149,13 +149,13 @@
         for file in known.files:
             if file in snapshot.incomplete_sources:
                 reason = f"absent, but {file} was not read to its end: {snapshot.incomplete_sources[file]}"
-                return Target.hold(known.record, reason)
+                return Target.defer(known.record, reason)
             until_ms = self._unterminated.suspended_until(file, now_ms, self.policy)
             if until_ms is not None:
                 self._wake_at(until_ms)
-                return Target.hold(known.record, f"absent, but the last line of {file} is not finished")
+                return Target.defer(known.record, f"absent, but the last line of {file} is not finished")
         if known.record.address in snapshot.invalid_row_addresses:
-            return Target.hold(known.record, "absent, but a row that can't be read has its address")
+            return Target.defer(known.record, "absent, but a row that can't be read has its address")
         return Target(Action.REMOVE, None, "it is not in the files any more", explicit=False)
 
     def _is_damped(self, name: str, now_ms: int) -> bool:
@@ -172,7 +172,7 @@
             self._wake_at(result.wake_ms)
         if result.decision is not None:
             self._decisions.append(result.decision)
-        for name in result.held_hosts:
+        for name in result.deferred_hosts:
             reason = "absent, with too many others"
             targets[name] = Target(
                 Action.HOLD, self.known[name].record, reason, hold_reason="held by the guard"
@@ -230,8 +230,8 @@
         now_ms: int,
     ) -> bool:
         """Apply the target of a known replica; returns whether the replica set must be updated."""
-        is_held = target.action is Action.HOLD
-        if not is_held:
+        is_deferred = target.action is Action.HOLD
+        if not is_deferred:
             known.files = snapshot.files.get(name, known.files)
         elif target.hold_reason and target.hold_reason != known.hold_reason:
             self._decide(Action.HOLD, name, target.reason)
@@ -240,7 +240,7 @@
             return False
         if record.address != known.record.address:
             self._damper.count(name, now_ms, self.policy)
-            known.boot_ms = now_ms if self.policy.new_is_cold else known.boot_ms
+            known.boot_ms = now_ms if self.policy.assume_new_hosts_just_started else known.boot_ms
         before, known.record = known.record, record
         self._decide(target.action, name, target.reason)
         return _visible_fields(before) != _visible_fields(record)
@@ -257,7 +257,7 @@
             returned_quickly = now_ms - removed.removed_at_ms <= self.policy.brief_absence_ms
             if returned_quickly and removed.record.address == record.address:
                 return removed.boot_ms
-        return now_ms if self.policy.new_is_cold else 0
+        return now_ms if self.policy.assume_new_hosts_just_started else 0
 
     def _expire(self, now_ms: int) -> None:
         """Drop removals and flap penalties that no longer affect a decision."""
@@ -284,7 +284,7 @@
         # A draining host gets no new requests, so the other values of its row don't matter.
         draining = replace(record, state="draining")
         return Target(Action.DRAIN, draining, "from up to draining", hold_reason=reason)
-    return Target.hold(record, reason)
+    return Target.defer(record, reason)
 
 
 def _entry(known: KnownReplica) -> ListedReplica:
--- a/lockspoke/inventory/removal_guard.py
+++ b/lockspoke/inventory/removal_guard.py
@@ -33,12 +33,12 @@
 class GuardResult:
     """The guard's decision about one snapshot.
 
-    `held_hosts` must not be removed. `wake_ms` is the Unix time from which the removal counts as settled;
+    `deferred_hosts` must not be removed. `wake_ms` is the Unix time from which the removal counts as settled;
     None if nothing is held, or if only an operator can release it.
     """
 
     decision: Decision | None = None
-    held_hosts: list[str] = field(default_factory=list)
+    deferred_hosts: list[str] = field(default_factory=list)
     wake_ms: int | None = None
 
 
@@ -110,7 +110,9 @@
             return self._allow(f"{len(absent)} removals, accepted by an operator")
         if settled_ms is not None and now_ms >= settled_ms:
             return self._allow(f"{len(absent)} removals, unchanged for {policy.removal_settle_ms / 1000:g} s")
-        decision = Decision(Action.GUARD, "", _hold_reason(extent, fingerprint, policy)) if is_new else None
+        decision = (
+            Decision(Action.GUARD, "", _deferral_reason(extent, fingerprint, policy)) if is_new else None
+        )
         return GuardResult(decision, absent, settled_ms)
 
     def _extent(
@@ -132,7 +134,7 @@
         return GuardResult(Decision(Action.ACCEPT, "", reason))
 
 
-def _hold_reason(extent: _Extent, fingerprint: str, policy: ReconcilePolicy) -> str:
+def _deferral_reason(extent: _Extent, fingerprint: str, policy: ReconcilePolicy) -> str:
     affected = "all" if extent.empties_list else f"{extent.count} of {extent.total}"
     return (
         f"{affected} hosts would vanish within {policy.removal_window_ms / 1000:g} s; held until the"
--- a/lockspoke/inventory/settings.py
+++ b/lockspoke/inventory/settings.py
@@ -104,7 +104,7 @@
             flap_penalty_limit=guard.flap_limit,
             flap_half_life_ms=_to_ms(guard.flap_half_life),
             brief_absence_ms=_to_ms(guard.blink),
-            new_is_cold=guard.new_is_cold,
+            assume_new_hosts_just_started=guard.new_is_cold,
         )
 
 
