--- a/lockspoke/balancing/balancer.py
+++ b/lockspoke/balancing/balancer.py
@@ -199,7 +199,7 @@
             attempt.trial = replica.breaker.begin_trial(now)
         if replica.slow_start.in_progress(now):
             replica.slow_start.record_send(now, arrived.prompt_tokens + ANSWER_TOKENS)
-        start_within = _time_left_to_start(now, request)
+        start_within = _remaining_start_window(now, request)
         request.attempts.append(attempt)
         self.latest_actions.append(SendAttempt(number, replica.number, request.deadline - now, start_within))
 
@@ -251,7 +251,7 @@
     return rejections >= INVALID_REQUEST_THRESHOLD
 
 
-def _time_left_to_start(now: int, request: TrackedRequest) -> int:
+def _remaining_start_window(now: int, request: TrackedRequest) -> int:
     """Return for how many nanoseconds a repeated attempt may still be sent; 0 means no limit.
 
     Replicas recognize an idempotency key only for a limited time after the first attempt that may have run.
--- a/lockspoke/balancing/endpoint_list.py
+++ b/lockspoke/balancing/endpoint_list.py
@@ -29,15 +29,15 @@
             self._apply_entry(now, entry)
         self._drop_removed(now)
         self.ready = [r for r in self.replicas.values() if r.state is ReplicaState.READY]
-        self.machine_kinds.update_listed_capacity(
-            (r.machine_statistics, r.listed_capacity) for r in self.ready
+        self.machine_kinds.update_declared_capacity(
+            (r.machine_statistics, r.declared_capacity) for r in self.ready
         )
         self.slow_starts_end_at = max((r.slow_start.ends_at for r in self.ready), default=0)
-        self.total_max_capacity = sum(r.max_listed_capacity for r in self.ready)
+        self.total_max_capacity = sum(r.max_declared_capacity for r in self.ready)
 
-    def _remove_all_except(self, now: int, listed_numbers: set[int]) -> None:
+    def _remove_all_except(self, now: int, present_numbers: set[int]) -> None:
         for replica in self.replicas.values():
-            if replica.number not in listed_numbers and replica.state is not ReplicaState.REMOVED:
+            if replica.number not in present_numbers and replica.state is not ReplicaState.REMOVED:
                 replica.state = ReplicaState.REMOVED
                 replica.state_updated_at = now
 
@@ -51,8 +51,8 @@
         replica.state_updated_at = now
         replica.zone = entry.zone
         replica.cell = entry.cell
-        replica.listed_capacity = max(entry.weight, MIN_CAPACITY)
-        replica.max_listed_capacity = max(replica.max_listed_capacity, replica.listed_capacity)
+        replica.declared_capacity = max(entry.weight, MIN_CAPACITY)
+        replica.max_declared_capacity = max(replica.max_declared_capacity, replica.declared_capacity)
         replica.machine_statistics = self.machine_kinds.get_or_add(entry.machine_kind)
 
     def _drop_removed(self, now: int) -> None:
--- a/lockspoke/balancing/load_reports.py
+++ b/lockspoke/balancing/load_reports.py
@@ -14,7 +14,7 @@
 MIN_REPORTED_UTILIZATION = 0.1
 REPORT_LIFETIME = 4 * SECOND  # An older report no longer overrides the latency of first tokens.
 MACHINE_KIND_SAMPLES = 64  # The statistics of a machine kind are moving averages over this many reports.
-# In estimates, the listed capacity weighs as much as this many reports; it matters while reports are few.
+# In estimates, the declared capacity weighs as much as this many reports; it matters while reports are few.
 MACHINE_KIND_PRIOR = 1.5
 MIN_COUNTED_UTILIZATION = 0.02  # Lower reports are raised to this, or they would dominate a kind's mean.
 MIN_CAPACITY_FACTOR = 0.25
@@ -59,18 +59,18 @@
 
     __slots__ = (
         "capacity_factor",
-        "listed_capacity",
+        "declared_capacity",
         "mean_utilization",
         "report_count",
         "utilization_sum",
     )
 
     def __init__(self) -> None:
-        self.listed_capacity = 0.0  # The sum over its ready replicas.
+        self.declared_capacity = 0.0  # The sum over its ready replicas.
         self.report_count = 0.0  # Decays like `utilization_sum`.
         self.utilization_sum = 0.0
         self.mean_utilization = 0.0
-        self.capacity_factor = 1.0  # The actual capacity divided by the listed one.
+        self.capacity_factor = 1.0  # The actual capacity divided by the declared one.
 
     def record_utilization(self, utilization: float) -> None:
         """Count a report of a replica that has completed its slow start."""
@@ -93,13 +93,13 @@
         """Return the kind with this number, and add it if it is unknown."""
         return self.by_number.setdefault(number, MachineKind())
 
-    def update_listed_capacity(self, ready: Iterable[tuple[MachineKind, float]]) -> None:
-        """Sum the listed capacity of the ready replicas by kind; remove kinds without ready replicas."""
+    def update_declared_capacity(self, ready: Iterable[tuple[MachineKind, float]]) -> None:
+        """Sum the declared capacity of the ready replicas by kind; remove kinds without ready replicas."""
         for kind in self.by_number.values():
-            kind.listed_capacity = 0.0
-        for kind, listed_capacity in ready:
-            kind.listed_capacity += listed_capacity
-        self.by_number = {number: kind for number, kind in self.by_number.items() if kind.listed_capacity}
+            kind.declared_capacity = 0.0
+        for kind, declared_capacity in ready:
+            kind.declared_capacity += declared_capacity
+        self.by_number = {number: kind for number, kind in self.by_number.items() if kind.declared_capacity}
 
     def update_capacity_factors(self, *, reports_utilization: bool) -> None:
         """Estimate the capacity factor of each kind from its number of reports and its mean utilization.
@@ -111,16 +111,16 @@
         """
         kinds = self.by_number.values()
         report_count = sum(kind.report_count for kind in kinds)
-        total_listed = sum(kind.listed_capacity for kind in kinds)
+        total_declared = sum(kind.declared_capacity for kind in kinds)
         mean = sum(kind.utilization_sum for kind in kinds) / max(report_count, 1e-9)
         for kind in kinds:
-            prior = MACHINE_KIND_PRIOR * kind.listed_capacity / total_listed
+            prior = MACHINE_KIND_PRIOR * kind.declared_capacity / total_declared
             count = kind.report_count + prior
             kind.mean_utilization = (kind.utilization_sum + prior * mean) / count
             relative_rate = 1.0
             if reports_utilization:
                 relative_rate = (
-                    count / kind.listed_capacity * total_listed / (report_count + MACHINE_KIND_PRIOR)
+                    count / kind.declared_capacity * total_declared / (report_count + MACHINE_KIND_PRIOR)
                 )
             factor = relative_rate * mean / max(kind.mean_utilization, 1e-9)
             kind.capacity_factor = min(MAX_CAPACITY_FACTOR, max(MIN_CAPACITY_FACTOR, factor))
--- a/lockspoke/balancing/prefix_affinity.py
+++ b/lockspoke/balancing/prefix_affinity.py
@@ -32,11 +32,11 @@
     """Return the replica's score for a key; the replica with the lowest score is preferred.
 
     Scores are exponentially distributed, so that the probability of being first is proportional to the
-    replica's listed capacity.
+    replica's declared capacity.
     """
     mixed = ((key ^ (replica.number * _NUMBER_FACTOR)) * _HASH_FACTOR) & _MASK
     mixed = ((mixed ^ (mixed >> 32)) * _HASH_FACTOR) & _MASK
-    return -math.log(((mixed >> 11) + 1) / (1 << 53)) / replica.max_listed_capacity
+    return -math.log(((mixed >> 11) + 1) / (1 << 53)) / replica.max_declared_capacity
 
 
 class PrefixAffinity:
--- a/lockspoke/balancing/slow_start_budget.py
+++ b/lockspoke/balancing/slow_start_budget.py
@@ -100,9 +100,9 @@
         return work * SECOND / settings.overload_duration / initial_share
 
     def _relative_capacity(self, replica: TrackedReplica) -> float:
-        """Return the replica's listed capacity relative to the mean of the ready replicas, at most 1."""
+        """Return the replica's declared capacity relative to the mean of the ready replicas, at most 1."""
         endpoints = self._endpoints
-        return min(1.0, replica.max_listed_capacity * len(endpoints.ready) / endpoints.total_max_capacity)
+        return min(1.0, replica.max_declared_capacity * len(endpoints.ready) / endpoints.total_max_capacity)
 
     def _mean_replica_throughput(self, now: int) -> float:
         """Return the tokens per second that a mean replica outside slow start completes for all gateways.
@@ -110,8 +110,6 @@
         This is extrapolated from the gateway's own requests. Soon after the gateway's start, the decaying sum
         is still too low; it is scaled up accordingly.
         """
-        observed_half_lives = max(
-            MIN_OBSERVED_HALF_LIVES, (now - self._observed_since) / THROUGHPUT_HALF_LIFE
-        )
-        observed_share = 1.0 - 0.5**observed_half_lives
+        elapsed_half_lives = max(MIN_OBSERVED_HALF_LIVES, (now - self._observed_since) / THROUGHPUT_HALF_LIFE)
+        observed_share = 1.0 - 0.5**elapsed_half_lives
         return float(self._work_per_replica.rate(now) * self.settings.gateway_count / observed_share)
--- a/lockspoke/balancing/tracked.py
+++ b/lockspoke/balancing/tracked.py
@@ -31,9 +31,9 @@
         "cached",
         "cell",
         "concurrency",
-        "listed_capacity",
+        "declared_capacity",
         "machine_statistics",
-        "max_listed_capacity",
+        "max_declared_capacity",
         "number",
         "reported_load",
         "slow_start",
@@ -50,8 +50,8 @@
         self.zone = 0
         self.cell = 0
         self.machine_statistics = MachineKind()
-        self.listed_capacity = 1.0
-        self.max_listed_capacity = MIN_CAPACITY  # The highest so far, as listed weights may fall under load.
+        self.declared_capacity = 1.0
+        self.max_declared_capacity = MIN_CAPACITY  # The highest so far: weights may fall under load.
         self.breaker = Breaker()
         self.concurrency = ConcurrencyLimit()
         self.backoff = OverloadBackoff()
@@ -63,7 +63,7 @@
     @property
     def capacity(self) -> float:
         """The capacity that it has after its slow start, in the unit of the endpoint list's weights."""
-        return self.listed_capacity * self.machine_statistics.capacity_factor
+        return self.declared_capacity * self.machine_statistics.capacity_factor
 
     def has_capacity(self, now: int) -> bool:
         """Whether its backoff and its concurrency limit allow one more request."""
--- a/lockspoke/batch/batch_run.py
+++ b/lockspoke/batch/batch_run.py
@@ -31,7 +31,7 @@
         heapq.heapify(self._own_deadlines)
 
     @property
-    def all_taken(self) -> bool:
+    def all_examined(self) -> bool:
         """Whether `take_next` has examined all lines."""
         return self.next_line >= self.batch.total
 
@@ -49,7 +49,7 @@
 
     def take_next(self) -> int | None:
         """The next line that is open and not active, in the order of the file."""
-        while not self.all_taken:
+        while not self.all_examined:
             line = self.next_line
             self.next_line += 1
             if self._is_waiting(line):
--- a/lockspoke/batch/line_runner.py
+++ b/lockspoke/batch/line_runner.py
@@ -51,9 +51,9 @@
         return min(BACKOFF_LIMIT, BACKOFF_START * 2.0**doublings)
 
 
-def _status_without_attempt(run: BatchRun, seconds_left: float) -> LineStatus | None:
+def _status_without_attempt(run: BatchRun, remaining_seconds: float) -> LineStatus | None:
     """The final status of a line that has expired or is cancelled; None if it may be attempted."""
-    if seconds_left <= 0:
+    if remaining_seconds <= 0:
         return LineStatus.EXPIRED
     return LineStatus.CANCELLED if run.batch.is_cancelling else None
 
@@ -92,12 +92,12 @@
         history = _AttemptHistory()
         result = FAILED_ATTEMPT
         while True:
-            seconds_left = run.deadline(line) - self.now()
-            status = _status_without_attempt(run, seconds_left)
+            remaining_seconds = run.deadline(line) - self.now()
+            status = _status_without_attempt(run, remaining_seconds)
             if status is not None:
                 break
             try:
-                result = await self._attempt(run, line, seconds_left)
+                result = await self._attempt(run, line, remaining_seconds)
             except Exception:
                 log.exception("batch_line_error", batch=run.batch.id, line=line)
                 result, status = FAILED_ATTEMPT, LineStatus.FAILED
@@ -119,10 +119,10 @@
             return LineStatus.SERVED
         return LineStatus.FAILED if history.failures >= self.max_attempts else None
 
-    async def _attempt(self, run: BatchRun, line: int, seconds_left: float) -> AttemptResult:
+    async def _attempt(self, run: BatchRun, line: int, remaining_seconds: float) -> AttemptResult:
         input_line = self.lines.read(run.batch, run.index.offsets[line])
         response = LineResponse(self.lines.assembler(input_line))
-        self.core.submit(self.lines.request(run.batch, input_line, response, seconds_left))
+        self.core.submit(self.lines.request(run.batch, input_line, response, remaining_seconds))
         return await response.result
 
     async def _back_off(self, run: BatchRun, line: int, delay: float) -> bool:
--- a/lockspoke/batch/lines.py
+++ b/lockspoke/batch/lines.py
@@ -71,9 +71,9 @@
         return ChatCompletionAssembler(str(line.body.get("model", "")), int(self.store.now()))
 
     def request(
-        self, batch: Batch, line: InputLine, response: ResponseWriter, seconds_left: float
+        self, batch: Batch, line: InputLine, response: ResponseWriter, remaining_seconds: float
     ) -> ClientRequest:
-        """The request for a line, whose first token must arrive within `seconds_left`.
+        """The request for a line, whose first token must arrive within `remaining_seconds`.
 
         Replicas always stream, whether or not the line requests a stream.
         """
@@ -83,7 +83,7 @@
         return ClientRequest(
             response=response,
             request_class=self.request_class,
-            time_remaining=max(1, min(self.first_token_timeout, int(seconds_left * SECOND))),
+            time_remaining=max(1, min(self.first_token_timeout, int(remaining_seconds * SECOND))),
             request_id=secrets.token_hex(8),
             method="POST",
             target=batch.endpoint,
--- a/lockspoke/batch/received_form.py
+++ b/lockspoke/batch/received_form.py
@@ -25,7 +25,7 @@
     sha256: str  # The SHA-256 of the content.
 
 
-class _ContentSink:
+class _ContentWriter:
     """Writes the content of a file field to disk, up to a size limit, and computes its checksum."""
 
     def __init__(self, file: BinaryIO, file_field: str, limit: int) -> None:
@@ -56,11 +56,11 @@
     path, file = store.open_scratch()
     try:
         with file:
-            sink = _ContentSink(file, file_field, limit)
-            reader = FormReader(request.head.headers.get("content-type"), file_field, sink.write)
+            writer = _ContentWriter(file, file_field, limit)
+            reader = FormReader(request.head.headers.get("content-type"), file_field, writer.write)
             while (data := await request.body.read()) is not None:
                 reader.feed(data)
             reader.finish()
-        yield ReceivedForm(reader.fields, reader.filename or "", path, sink.sha256.hexdigest())
+        yield ReceivedForm(reader.fields, reader.filename or "", path, writer.sha256.hexdigest())
     finally:
         path.unlink(missing_ok=True)
--- a/lockspoke/batch/scheduler.py
+++ b/lockspoke/batch/scheduler.py
@@ -76,7 +76,7 @@
 
     def _remove_drained(self) -> None:
         for run in list(self.runs):
-            if not run.active and run.all_taken:
+            if not run.active and run.all_examined:
                 self.runs.remove(run)
                 run.drained.set()
 
--- a/lockspoke/lifecycle/platform_discovery.py
+++ b/lockspoke/lifecycle/platform_discovery.py
@@ -26,8 +26,8 @@
 
     def gateway_reconfigured(self, config: GatewayConfig, needs_complete_list: bool) -> None:
         """Restart the watch, which fetches the complete list, if the address changed or the core needs it."""
-        moved = config.discovery != self._config.discovery
+        address_changed = config.discovery != self._config.discovery
         self._config = config
         self.hold_ms = hold_duration_ms(config.settings.gateway_index, config.settings.gateway_count)
-        if config.discovery is not None and (moved or needs_complete_list):
+        if config.discovery is not None and (address_changed or needs_complete_list):
             self.change_endpoint(config.discovery)
--- a/lockspoke/rate_limited_log.py
+++ b/lockspoke/rate_limited_log.py
@@ -17,7 +17,7 @@
     def __init__(self, event: str) -> None:
         self._event = event
         self._logged_at: float | None = None
-        self._left_out = 0
+        self._suppressed = 0
 
     def info(self, now: float, **fields: Any) -> None:
         """Log the event unless it was logged less than one interval ago.
@@ -27,8 +27,8 @@
             fields: The fields of the line.
         """
         if self._logged_at is not None and now - self._logged_at < LOG_INTERVAL:
-            self._left_out += 1
+            self._suppressed += 1
             return
-        log.info(self._event, left_out=self._left_out, **fields)
+        log.info(self._event, left_out=self._suppressed, **fields)
         self._logged_at = now
-        self._left_out = 0
+        self._suppressed = 0
--- a/lockspoke/simulator/program.py
+++ b/lockspoke/simulator/program.py
@@ -54,7 +54,7 @@
         return events
 
 
-def run(source: BinaryIO, sink: BinaryIO) -> None:
+def run(source: BinaryIO, destination: BinaryIO) -> None:
     """Answer batches until the input ends.
 
     Raises:
@@ -64,8 +64,8 @@
     gateways = SimulatedGateways()
     while (frame := read_frame(source)) is not None:
         batch = decode_batch(frame)
-        sink.write(encode_reply(batch.number, gateways.handle(batch.now, batch.records)))
-        sink.flush()
+        destination.write(encode_reply(batch.number, gateways.handle(batch.now, batch.records)))
+        destination.flush()
 
 
 def main() -> int:
--- a/tests/balancing/test_load_reports.py
+++ b/tests/balancing/test_load_reports.py
@@ -171,7 +171,7 @@
     return sent / len(numbers)
 
 
-def test_reports_of_a_machine_kind_override_its_listed_capacity() -> None:
+def test_reports_of_a_machine_kind_override_its_declared_capacity() -> None:
     """Machines may be listed by their cores although they have few slots.
 
     With such a list, 22% of first tokens were late while other machines were idle.
--- a/tests/balancing/test_replica_selection.py
+++ b/tests/balancing/test_replica_selection.py
@@ -14,7 +14,7 @@
 from tests.balancing.helpers import BalancerHarness, ready_entries, settings
 
 
-def test_work_is_distributed_by_listed_capacity() -> None:
+def test_work_is_distributed_by_declared_capacity() -> None:
     harness = BalancerHarness(replicas=())
     harness.update_endpoint_list(
         EndpointListKind.FULL, ready_entries(1, 2, weight=1.0) + ready_entries(3, 4, weight=3.0)
@@ -151,7 +151,7 @@
     assert len(replicas_sent_to) <= 15
 
 
-def test_idle_replicas_are_sampled_by_listed_capacity() -> None:
+def test_idle_replicas_are_sampled_by_declared_capacity() -> None:
     """With many gateways a replica's own load is mostly zero, and only listed weights reflect other load."""
     sent: Counter[int] = Counter()
     for seed in range(80):
