--- a/lockspoke/wire/discovery/connection.py
+++ b/lockspoke/wire/discovery/connection.py
@@ -19,8 +19,8 @@
 # limits the time until that response is complete.
 RESPONSE_TIMEOUT_SECONDS = 1.5
 CONNECT_TIMEOUT_SECONDS = 1.0
-# A request that follows the last response within this time continues the watch, by the platform's protocol. A
-# change in between counts as notified at once, although the gateway has not requested it yet.
+# By the platform's protocol, a request that follows the last response within this time continues the watch:
+# discovery counts a change between the two as notified at once, although no request for it has been written.
 MAX_WATCH_GAP_SECONDS = 0.2
 
 
@@ -47,8 +47,8 @@
 
     @property
     def has_unread_data(self) -> bool:
-        """Whether discovery has sent bytes, or closed the connection, since the last response returned."""
-        return self._connection is not None and self._connection.unread
+        """Whether discovery has sent bytes, or closed the connection, after the last complete response."""
+        return self._connection is not None and self._connection.has_unread
 
     async def request(self, request: EndpointListRequest) -> bytes:
         """Send a request and return the body of its response.
@@ -62,7 +62,7 @@
             EndpointListError: The status of the response is not 200.
         """
         if self.has_unread_data:
-            # With unexpected bytes in front, each later request would get the response to the one before it.
+            # If the bytes are a response, each later request would get the response to the one before it.
             self.close()
         reused = self._connection is not None
         try:
@@ -112,7 +112,7 @@
         loop, reader = asyncio.get_running_loop(), ResponseReader()
         while True:
             await asyncio.wait([connection.pending], timeout=max(0.0, deadline - loop.time()))
-            if not connection.unread:
+            if not connection.has_unread:
                 raise TimeoutError("no data within the time limit")
             if not reader.started:
                 deadline = loop.time() + RESPONSE_TIMEOUT_SECONDS
--- a/lockspoke/wire/discovery/endpoint_list.py
+++ b/lockspoke/wire/discovery/endpoint_list.py
@@ -96,7 +96,7 @@
             self._add_unreadable(target)
 
     def _add_unreadable(self, target: Any) -> None:
-        """Keep what is certain about an entry that could not be decoded."""
+        """Collect the uid and the state of an entry that could not be decoded, if they are valid."""
         uid = _entry_uid(target)
         if uid is None:
             # The entry may be that of any replica, so a replica that is not listed may still exist.
@@ -110,7 +110,7 @@
             self.entries.append(ListedReplica(uid, state, endpoint=None))
 
     def drop_duplicates(self) -> None:
-        """Keep only the drains and removals of replicas that are listed more than once."""
+        """Drop the ready entries of replicas that are listed more than once; drains and removals stay."""
         counts = Counter(entry.uid for entry in self.entries)
         duplicates = [uid for uid, count in counts.items() if count > 1]
         self.entries = [
--- a/lockspoke/wire/discovery/follower.py
+++ b/lockspoke/wire/discovery/follower.py
@@ -20,7 +20,7 @@
 )
 from .messages import EndpointListRequest
 
-UNCHANGED_PAUSE_SECONDS = 0.1  # Delay before repeating a watch that returned early without changes.
+UNCHANGED_RETRY_DELAY_SECONDS = 0.1  # Delay after a watch that got an early response without changes.
 
 log = structlog.get_logger()
 
@@ -91,23 +91,23 @@
     async def _follow(self) -> None:
         loop = asyncio.get_running_loop()
         # Watch only after a valid response: a request without a hold detects a failing service sooner.
-        may_hold = False
+        may_watch = False
         while not self._stopping:
-            request = EndpointListRequest(self._replica_set.version, self._owner.hold_ms if may_hold else 0)
+            request = EndpointListRequest(self._replica_set.version, self._owner.hold_ms if may_watch else 0)
             requested_at = loop.time()
             try:
                 body = await self._connection.request(request)
             except WatchLostError as error:
                 log.info("discovery_watch_lost", reason=str(error))
-                may_hold = False
+                may_watch = False
                 continue
-            response, may_hold = await self._process(request, body)
+            response, may_watch = await self._process(request, body)
             is_unchanged = request.is_watch and response.update.version == request.version
             if is_unchanged and loop.time() - requested_at < request.hold_ms / 2000:
                 # Avoids a tight loop of requests to a service that keeps responding at once.
-                await asyncio.sleep(UNCHANGED_PAUSE_SECONDS)
-            # Otherwise the next request is written in the same iteration of the event loop, because a change
-            # between a response and the next request counts as notified.
+                await asyncio.sleep(UNCHANGED_RETRY_DELAY_SECONDS)
+            # Otherwise the next request is written in the same iteration of the event loop, because discovery
+            # counts a change between a response and the next request as notified.
 
     async def _process(self, request: EndpointListRequest, body: bytes) -> tuple[EndpointListResponse, bool]:
         """Decode and apply a response; return it and whether it was applied unchanged."""
@@ -115,10 +115,10 @@
         try:
             await self._owner.wait_for_former_followers(self)
             response = decode_endpoint_list(body)
-            trusted = self._is_trustworthy(request, response)
-            if trusted:
+            is_acceptable = self._check_response(request, response)
+            if is_acceptable:
                 self._owner.apply(self, response)
-            return response, trusted
+            return response, is_acceptable
         finally:
             self._applying = False
 
@@ -126,8 +126,11 @@
     def _replica_set(self) -> ReplicaSet:
         return self._owner.listener.replica_set
 
-    def _is_trustworthy(self, request: EndpointListRequest, response: EndpointListResponse) -> bool:
-        """Return whether a response can be applied unchanged; if not, the complete list is requested next."""
+    def _check_response(self, request: EndpointListRequest, response: EndpointListResponse) -> bool:
+        """Return whether a response can be applied unchanged.
+
+        If not, at most its drains and removals are applied, and the complete list is requested next.
+        """
         update = response.update
         if request.version != UNKNOWN_VERSION and update.version < request.version:
             # The response is stale, or the service has restarted. Replicas that it lists as ready may have
--- a/lockspoke/wire/discovery/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -1,10 +1,11 @@
 """Watches discovery for changes of the endpoint list; the address of discovery may change meanwhile.
 
-A gateway must act on a change as soon as discovery has written it to the connection, even if the gateway has
-not read it yet, and at the latest 6 s after the change reached discovery while discovery was reachable. The
-timeouts here and in the balancer are chosen to stay within this limit in the following case: a watch gets no
-response, which is noticed `WATCH_GRACE_SECONDS` after its hold; one more request fails, after at most
-`RESPONSE_TIMEOUT_SECONDS`; the balancer backs off; and the next request gets a response.
+Once discovery has written a change to the connection, the gateway must read and apply it before it sends
+another request to a replica. Each change must also take effect at most 6 s after it reached discovery, while
+discovery is reachable. The timeouts here and in the balancer are chosen to stay within this limit in the
+following case: a watch gets no response, which is detected `WATCH_GRACE_SECONDS` after its hold; one more
+request fails, after at most `RESPONSE_TIMEOUT_SECONDS`; the balancer backs off; and the next request gets a
+response.
 """
 
 from __future__ import annotations
@@ -30,10 +31,10 @@
 log = structlog.get_logger()
 
 
-def hold_duration_ms(index: int, gateways: int) -> int:
+def hold_duration_ms(index: int, gateway_count: int) -> int:
     """Return the hold of the gateway with this index; the holds of all gateways are spread evenly."""
-    spread = min(MAX_HOLD_SPREAD_MS, HOLD_STEP_MS * gateways)
-    return MIN_HOLD_MS + spread * (index % gateways) // gateways
+    spread = min(MAX_HOLD_SPREAD_MS, HOLD_STEP_MS * gateway_count)
+    return MIN_HOLD_MS + spread * (index % gateway_count) // gateway_count
 
 
 class DiscoveryWatch:
@@ -112,8 +113,8 @@
         is_current = follower is self._current_follower
         update = response.update
         if not is_current or response.errors:
-            # The version of a former service means nothing to the current one, and a version with errors has
-            # to be requested again.
+            # The version of a former service means nothing to the current one, and a list with errors has to
+            # be requested again.
             update = replace(update, version=self.listener.replica_set.version)
         if update.entries or update.complete:
             log.info(
@@ -129,9 +130,9 @@
         response.require_complete()
 
     def follower_ended(self, follower: EndpointListFollower, reason: str | None) -> None:
-        """Forget a follower; if the current one has failed, the balancer decides when to poll again."""
+        """Remove a follower; if the current one has failed, the balancer decides when to poll again."""
         if follower is not self._current_follower:
-            self._former_followers = [one for one in self._former_followers if one is not follower]
+            self._former_followers = [other for other in self._former_followers if other is not follower]
             return
         self._current_follower = None
         self.first_poll_finished = True
--- a/lockspoke/wire/replicas/connection.py
+++ b/lockspoke/wire/replicas/connection.py
@@ -18,18 +18,18 @@
         super().__init__(stream)
         self.replica = replica
         self.endpoint = replica.endpoint
-        self.idle_since = 0.0  # seconds of the event loop's clock
-        self.idle_duration = 0.0  # seconds it was idle before the current attempt; 0 if it is new
-        self.response_started = False  # whether a byte of the current response has been read
+        self.idle_since = 0.0  # When it was last released, in seconds of the event loop's clock.
+        self.idle_duration = 0.0  # How many seconds it was idle before the current attempt; 0 if it is new.
+        self.response_started = False  # Whether a byte of the current response has been read.
 
     @property
     def reused(self) -> bool:
-        """Whether it has been idle: the replica may have closed it in that time."""
+        """Whether the connection was idle before this attempt: the replica may have closed it then."""
         return self.idle_duration > 0.0
 
     @property
     def reusable(self) -> bool:
-        """Whether its replica is still ready at the same address, with the connection open and no input."""
+        """Whether the replica is ready at the same address, and the connection open without unread input."""
         return (
             self.replica.state == ReplicaState.READY
             and self.replica.endpoint == self.endpoint
--- a/lockspoke/wire/replicas/connection_pool.py
+++ b/lockspoke/wire/replicas/connection_pool.py
@@ -13,9 +13,10 @@
 
 from .connection import ReplicaConnection
 from .errors import ConnectError, ConnectionLimitError
-from .keepalive import MIN_IDLE_TIMEOUT, KeepAlive
+from .keepalive import MIN_IDLE_TIMEOUT_SECONDS, KeepAlive
 
-SETTLE_TIME = 0.01  # seconds from a response to reuse, in which unexpected bytes after it can arrive
+# A connection is not reused for this long after a response, so that unexpected bytes after it are detected.
+SETTLE_TIME_SECONDS = 0.01
 # Fraction of the replicas' idle timeout, so that the gateway closes a connection before the replica does.
 IDLE_TIMEOUT_SHARE = 0.8
 
@@ -28,8 +29,9 @@
 
     def __init__(self, connect_timeout: int, keepalive: int, max_connections: int, dial: Dial) -> None:
         self.open_connections = 0
-        self.idle: dict[int, deque[ReplicaConnection]] = {}  # by replica number, the most recently used last
-        # By replica number, in seconds: the idle timeout of replicas that close connections early.
+        # The idle connections by replica number; the most recently used is last.
+        self.idle: dict[int, deque[ReplicaConnection]] = {}
+        # The idle timeouts in seconds, by replica number, for replicas that close idle connections early.
         self._learned_idle_timeouts: dict[int, float] = {}
         self._dial = dial
         self.reconfigure(connect_timeout, keepalive, max_connections)
@@ -40,7 +42,7 @@
         Args:
             connect_timeout: nanoseconds until a connection must be established.
             keepalive: nanoseconds after which replicas close an idle connection.
-            max_connections: limit on open connections to all replicas.
+            max_connections: limit on the open connections to all replicas together.
         """
         self._connect_timeout = connect_timeout / 1e9
         self.keep_alive = KeepAlive(IDLE_TIMEOUT_SHARE * keepalive / 1e9)
@@ -74,10 +76,10 @@
     def _take_idle(self, replica: Replica) -> ReplicaConnection | None:
         """Return the most recently used idle connection to a replica; close those with unexpected bytes."""
         connections = self.idle.get(replica.number, deque())
-        settled = asyncio.get_running_loop().time() - SETTLE_TIME
-        for connection in [one for one in reversed(connections) if one.idle_since <= settled]:
+        settled_before = asyncio.get_running_loop().time() - SETTLE_TIME_SECONDS
+        for connection in [one for one in reversed(connections) if one.idle_since <= settled_before]:
             connections.remove(connection)
-            if not connection.unread:
+            if not connection.has_unread:
                 connection.idle_duration = asyncio.get_running_loop().time() - connection.idle_since
                 connection.response_started = False
                 return connection
@@ -128,11 +130,11 @@
             while connections:
                 self.close(connections.pop())
 
-    def connection_rejected(self) -> None:
+    def record_rejected_connection(self) -> None:
         """Record that a replica did not accept a new connection, or rejected the first request on it."""
-        self.keep_alive.connection_rejected(asyncio.get_running_loop().time())
+        self.keep_alive.record_rejected_connection(asyncio.get_running_loop().time())
 
-    def connection_stale(self, connection: ReplicaConnection) -> None:
+    def record_stale_connection(self, connection: ReplicaConnection) -> None:
         """Record that a reused connection broke during a request: the replica closes idle ones early.
 
         The replica's other idle connections have been idle as long or longer and are closed. From then on,
@@ -144,5 +146,5 @@
         self.close_idle(replica)
         idle_timeout = self._learned_idle_timeouts.get(replica.number, self.keep_alive.max_idle_timeout)
         self._learned_idle_timeouts[replica.number] = max(
-            MIN_IDLE_TIMEOUT, min(idle_timeout, connection.idle_duration / 2)
+            MIN_IDLE_TIMEOUT_SECONDS, min(idle_timeout, connection.idle_duration / 2)
         )
--- a/lockspoke/wire/replicas/errors.py
+++ b/lockspoke/wire/replicas/errors.py
@@ -4,7 +4,7 @@
 
 
 class ConnectError(Exception):
-    """The request was not written completely, so the replica cannot have run it."""
+    """The request has not run: no connection was opened, or it broke before the request was written."""
 
 
 class ConnectionLimitError(Exception):
--- a/lockspoke/wire/replicas/exchange.py
+++ b/lockspoke/wire/replicas/exchange.py
@@ -18,8 +18,8 @@
 from .connection import ReplicaConnection
 from .errors import ConnectError
 
-# Seconds from a response's first byte to its first event: a replica sends both with the first token.
-FIRST_EVENT_TIMEOUT = 1.0
+# The limit from a response's first byte to its first event: a replica sends both with the first token.
+FIRST_EVENT_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,10 +27,11 @@
     """How a replica responded to one attempt."""
 
     outcome: Outcome
-    cached_tokens: int = 0  # prompt tokens that the replica found in its cache
-    load_report: str = ""  # as the replica sent it; empty if it sent none
+    cached_tokens: int = 0  # The number of prompt tokens that the replica found in its cache.
+    load_report: str = ""  # The load report as the replica sent it; empty if it sent none.
     connection_reusable: bool = False
-    malformed: bool = False  # the response violated HTTP or its event stream, or its first event was late
+    # Whether the response violated HTTP or the event stream format, or its first event was late.
+    malformed: bool = False
 
 
 class Exchange:
@@ -60,7 +61,7 @@
             async with asyncio.timeout(None) as first_event_timeout:
                 return await self._read_response(first_event_timeout)
         except (StreamClosedError, HttpError, EventStreamError, TimeoutError) as error:
-            return self._broken_response(error)
+            return self._result_of_error(error)
 
     async def _send_request(self, now: int) -> None:
         request = self._attempt.request
@@ -82,7 +83,7 @@
         while True:
             received = await connection.read()
             if first_event_timeout.when() is None and not attempt.streaming:
-                first_event_timeout.reschedule(loop.time() + FIRST_EVENT_TIMEOUT)
+                first_event_timeout.reschedule(loop.time() + FIRST_EVENT_TIMEOUT_SECONDS)
             body, complete = self._parse(received)
             if self._outcome is Outcome.OK:
                 # Events that arrive together are forwarded together, in a single write to the client.
@@ -112,7 +113,7 @@
                 complete = isinstance(part, MessageEnd)
         return body, complete
 
-    def _broken_response(self, error: Exception) -> ReplicaResponse:
+    def _result_of_error(self, error: Exception) -> ReplicaResponse:
         """Return the result of a response that ended with an error."""
         outcome, malformed = self._outcome, False
         if outcome in (Outcome.OK, Outcome.RESET) and not isinstance(error, StreamClosedError):
--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -35,7 +35,7 @@
     ) -> None:
         self.pool = ConnectionPool(connect_timeout, keepalive, max_connections, dial)
         self.malformed_responses = 0
-        # Of attempts that send their request or read the response.
+        # The connections of attempts that are sending their request or reading the response.
         self.active_connections: dict[Attempt, ReplicaConnection] = {}
         self._load_names = load_names
         self._now = now
@@ -68,7 +68,7 @@
     def has_unread_response(self, attempt: Attempt) -> bool:
         """Whether input has arrived, or the connection has ended, and the attempt's task has not read it."""
         connection = self.active_connections.get(attempt)
-        return connection is not None and connection.unread
+        return connection is not None and connection.has_unread
 
     def close_idle_connections(self, replica: Replica) -> None:
         """Close the idle connections to a replica."""
@@ -89,7 +89,7 @@
         try:
             connection = await self.pool.acquire(attempt.replica)
         except ConnectError:
-            self.pool.connection_rejected()
+            self.pool.record_rejected_connection()
             attempt.end(Outcome.CONNECT_FAILED)
         except ConnectionLimitError:
             attempt.end(Outcome.NEVER_SENT)
@@ -113,7 +113,7 @@
             load_report = decode_load_report(response.load_report, self._load_names)
             attempt.end(response.outcome, response.cached_tokens, load_report)
         except ConnectError:
-            self.pool.connection_stale(connection)
+            self.pool.record_stale_connection(connection)
             attempt.end(Outcome.CONNECT_FAILED)
         except Exception:
             self._fail(attempt)
@@ -123,16 +123,16 @@
                 self.pool.close(connection)
 
     def _finish_exchange(self, connection: ReplicaConnection, response: ReplicaResponse) -> bool:
-        """Record what a response shows about its connection; return whether that went back to the pool."""
+        """Record what a response shows about its connection; return whether the pool took it back."""
         if response.malformed:
             self.malformed_responses += 1
         if response.outcome is Outcome.OVERLOADED and not connection.reused:
-            self.pool.connection_rejected()
+            self.pool.record_rejected_connection()
         if response.connection_reusable:
             self.pool.release(connection)
             return True
         if response.outcome is Outcome.RESET and not connection.response_started:
-            self.pool.connection_stale(connection)
+            self.pool.record_stale_connection(connection)
         return False
 
     @staticmethod
--- a/lockspoke/wire/tcp/read_ahead.py
+++ b/lockspoke/wire/tcp/read_ahead.py
@@ -25,7 +25,7 @@
         return pending
 
     @property
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether bytes have arrived, or the connection has ended, and `read` has not reported it."""
         return self.pending.done() or not is_open_without_input(self.stream)
 
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -11,8 +11,8 @@
 from lockspoke.core.requests import Attempt, ClientRequest, SendPermission
 from lockspoke.units import MILLISECOND as MS
 from lockspoke.wire.clients.responses import StreamingResponse
-from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
-from lockspoke.wire.replicas.keepalive import MIN_IDLE_TIMEOUT, RECOVERY_INTERVAL, KeepAlive
+from lockspoke.wire.replicas.connection_pool import SETTLE_TIME_SECONDS
+from lockspoke.wire.replicas.keepalive import MIN_IDLE_TIMEOUT_SECONDS, RECOVERY_INTERVAL_SECONDS, KeepAlive
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from tests.standins import until
 
@@ -22,26 +22,26 @@
 def test_rejected_connections_halve_the_idle_timeout_and_it_recovers() -> None:
     keep_alive = KeepAlive(8.0)
     assert keep_alive.idle_timeout(START) == 8.0
-    keep_alive.connection_rejected(START)
+    keep_alive.record_rejected_connection(START)
     assert keep_alive.idle_timeout(START) == 4.0
-    keep_alive.connection_rejected(START + MIN_IDLE_TIMEOUT / 2)
+    keep_alive.record_rejected_connection(START + MIN_IDLE_TIMEOUT_SECONDS / 2)
     assert keep_alive.idle_timeout(START) == 4.0, "rejections at the same moment count once"
-    keep_alive.connection_rejected(START + RECOVERY_INTERVAL / 2)
-    assert 2.0 < keep_alive.idle_timeout(START + RECOVERY_INTERVAL / 2) < 4.0
-    assert keep_alive.idle_timeout(START + 3 * RECOVERY_INTERVAL) == 8.0
+    keep_alive.record_rejected_connection(START + RECOVERY_INTERVAL_SECONDS / 2)
+    assert 2.0 < keep_alive.idle_timeout(START + RECOVERY_INTERVAL_SECONDS / 2) < 4.0
+    assert keep_alive.idle_timeout(START + 3 * RECOVERY_INTERVAL_SECONDS) == 8.0
 
 
 def test_idle_timeout_has_a_minimum_and_recovers_from_it() -> None:
     keep_alive = KeepAlive(8.0)
     for step in range(1000):
-        keep_alive.connection_rejected(START + step)
-    assert keep_alive.idle_timeout(START + 1000) < 2 * MIN_IDLE_TIMEOUT
-    assert keep_alive.idle_timeout(START + 1000 + 6 * RECOVERY_INTERVAL) == 8.0
+        keep_alive.record_rejected_connection(START + step)
+    assert keep_alive.idle_timeout(START + 1000) < 2 * MIN_IDLE_TIMEOUT_SECONDS
+    assert keep_alive.idle_timeout(START + 1000 + 6 * RECOVERY_INTERVAL_SECONDS) == 8.0
 
 
 def test_configured_idle_timeout_below_the_minimum_is_kept() -> None:
     keep_alive = KeepAlive(0.1)
-    keep_alive.connection_rejected(START)
+    keep_alive.record_rejected_connection(START)
     assert keep_alive.idle_timeout(START) == 0.1 and KeepAlive(0.0).idle_timeout(START) == 0.0
 
 
@@ -100,7 +100,7 @@
             first, second = (Replica(n, str(n), ("127.0.0.1", port), ReplicaState.READY, 0) for n in (1, 2))
             assert await send("/", first) is Outcome.OK
             idle = transport.pool.idle[1][0]
-            await until(lambda: loop.time() > idle.idle_since + SETTLE_TIME)
+            await until(lambda: loop.time() > idle.idle_since + SETTLE_TIME_SECONDS)
             assert await send("/full", first) is Outcome.OVERLOADED
             assert transport.pool.keep_alive.idle_timeout(loop.time()) == 8.0, (
                 "a reused connection says nothing about capacity"
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -19,10 +19,10 @@
 from lockspoke.balancing.events import ReplicaState
 from lockspoke.wire.discovery import connection as discovery_connection
 from lockspoke.wire.discovery.connection import WATCH_GRACE_SECONDS
-from lockspoke.wire.discovery.follower import UNCHANGED_PAUSE_SECONDS
+from lockspoke.wire.discovery.follower import UNCHANGED_RETRY_DELAY_SECONDS
 from lockspoke.wire.discovery.messages import MAX_LIST_SIZE_BYTES
 from lockspoke.wire.discovery.watch import DiscoveryWatch
-from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
+from lockspoke.wire.replicas.connection_pool import SETTLE_TIME_SECONDS
 from tests.peers import Gateway, RawConnection, ScriptedServer, block_event_loop
 from tests.standins import EVENTS, STREAM_HEAD, STREAM_TAIL, chunk, request_bytes, until
 
@@ -96,7 +96,7 @@
             await peer_connection.read_until(b"{}")
             peer_connection.send(RESPONSE)
             await client.read_until(b"0\r\n\r\n")
-            settled = loop.time() + 2 * SETTLE_TIME
+            settled = loop.time() + 2 * SETTLE_TIME_SECONDS
             await until(lambda settled_at=settled: loop.time() > settled_at)  # type: ignore[misc]  # mypy infers no lambda with a default
         return replica_connections
 
@@ -295,7 +295,7 @@
         for _ in range(4):
             peer_connection.send(list_response(1))
             await peer_connection.read_until(b"from=1&hold_ms=%d" % HOLD_MS)
-        assert loop.time() - began >= 4 * UNCHANGED_PAUSE_SECONDS
+        assert loop.time() - began >= 4 * UNCHANGED_RETRY_DELAY_SECONDS
         peer_connection.send(setup.drain_of_first)
         await peer_connection.read_until(b"from=2&")
 
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -16,7 +16,7 @@
 from lockspoke.core.totals import RequestOutcome
 from lockspoke.wire.clients.admission import AdmissionMode
 from lockspoke.wire.clients.connection import LINGER_SECONDS, ClientConnection
-from lockspoke.wire.replicas.connection_pool import SETTLE_TIME
+from lockspoke.wire.replicas.connection_pool import SETTLE_TIME_SECONDS
 from lockspoke.wire.tcp import dialing
 from lockspoke.wire.tcp.outgoing import OutgoingBuffer
 from tests.peers import Gateway, RawConnection, ScriptedServer, block_event_loop
@@ -173,7 +173,7 @@
     replica.send(RESPONSE)
     await client.read_until(chunk(b""))
     (idle,) = gateway.transport.pool.idle[next(iter(gateway.replica_set.replicas))]
-    await until(lambda: asyncio.get_running_loop().time() > idle.idle_since + SETTLE_TIME)
+    await until(lambda: asyncio.get_running_loop().time() > idle.idle_since + SETTLE_TIME_SECONDS)
     return client, replica
 
 
