--- a/lockspoke/wire/clients/connection.py
+++ b/lockspoke/wire/clients/connection.py
@@ -35,7 +35,7 @@
 MAX_PIPELINED_REQUESTS = 4
 FIRST_BYTE_TIMEOUT_SECONDS = 2.25  # A new connection is closed if no byte arrives within this time.
 REQUEST_TIMEOUT_SECONDS = 2.25  # This is the limit from the first byte of a request to its last.
-# The kernel is asked when data arrived only if the data may have waited there for at least this long.
+# The arrival time is queried from the kernel only if data may have waited there for at least this long.
 MIN_KERNEL_WAIT_SECONDS = 0.02
 LINGER_SECONDS = 1.0  # After its last response the client has this long to close the connection.
 LINGER_MAX_BYTES = 256 * 1024  # After the last response, reading stops when more than this was discarded.
@@ -143,7 +143,7 @@
         Args:
             now: The time in seconds of the event loop's clock.
         """
-        # This is None until the response has been sent, so a slow client that still reads it is not timed.
+        # This is None until the response has been sent, so the linger timeout does not limit reading it.
         flushed_at = self.outgoing.ended_at
         lingered = flushed_at is not None and now - flushed_at > LINGER_SECONDS
         if lingered or self.outgoing.stalled(now, STALL_TIMEOUT_SECONDS):
@@ -261,7 +261,7 @@
 
     def _submit_or_reject(self, received: ReceivedRequest) -> None:
         if self.lease_is_valid is not None and not self.lease_is_valid():
-            # The request was read after a pause longer than the lease, so another instance holds the address.
+            # The lease ended, for example while the process was suspended; another instance may hold it now.
             self.closes_after_response = True
             self._reject_for_reconnect(received.request, "the address has moved")
         elif self.front.admission_mode is AdmissionMode.REJECT:
--- a/lockspoke/wire/clients/request_fields.py
+++ b/lockspoke/wire/clients/request_fields.py
@@ -39,7 +39,7 @@
     if len(set(names)) != len(names):
         # The gateway and a replica might each use a different one of the two values.
         raise HttpError(400, "a Req- field came twice")
-    deadline_ms = _deadline(headers)
+    deadline_ms = _deadline_ms(headers)
     extra = _extra_fields(headers)
     return RequestFields(
         request_id=_name_field(headers, "req-id", required=True),
@@ -55,7 +55,7 @@
     )
 
 
-def _deadline(headers: Headers) -> int:
+def _deadline_ms(headers: Headers) -> int:
     text = headers.get("req-deadline-ms")
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_DEADLINE_DIGITS):
         raise HttpError(400, "Req-Deadline-Ms is missing or bad")
--- a/lockspoke/wire/http/messages.py
+++ b/lockspoke/wire/http/messages.py
@@ -38,7 +38,7 @@
 
     method: str
     target: str
-    minor_version: int  # 0 for HTTP/1.0, 1 for any later HTTP/1 version
+    minor_version: int  # 0 for HTTP/1.0, 1 for any later HTTP/1 version.
     headers: Headers
     keep_alive: bool
 
--- a/lockspoke/wire/http/parser.py
+++ b/lockspoke/wire/http/parser.py
@@ -13,7 +13,7 @@
 from .messages import BodyChunk, Headers, HttpError, MessageEnd, MessagePart
 
 HEAD_LIMIT = 16 * 1024  # bytes
-BODY_LIMIT = 256 * 1024  # bytes; the platform's protocol allows no larger request body
+BODY_LIMIT = 256 * 1024  # In bytes; the platform's protocol allows no larger request body.
 CHUNK_LINE_LIMIT = 256  # bytes
 
 TOKEN_PATTERN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
@@ -47,15 +47,15 @@
 class MessageParser:
     """Parses bytes into message parts; subclasses parse the start line."""
 
-    chunk_limit: int | None = None  # bytes; None for no limit
+    chunk_limit: int | None = None  # In bytes; None for no limit.
 
     def __init__(self, body_limit: int | None) -> None:
         self.body_limit = body_limit
         self._state = ParserState.HEAD
         self._buffer = bytearray()
-        self._searched = 0  # bytes of an incomplete head that have been searched for its end
-        self._remaining = 0  # bytes of a sized body or a chunk that have not been read
-        self._body_size = 0  # bytes; the sum of the chunk sizes
+        self._searched = 0  # How many bytes of an incomplete head have been searched for its end.
+        self._remaining = 0  # How many bytes of a sized body or a chunk have not been read.
+        self._body_size = 0  # The sum of the chunk sizes in bytes.
         self._trailer_size = 0  # bytes
 
     @property
@@ -113,7 +113,7 @@
     def _read_head(self, parts: list[MessagePart]) -> bool:
         buffer = self._buffer
         if not self._searched:
-            while buffer.startswith(b"\r\n"):  # the standard allows empty lines before a message
+            while buffer.startswith(b"\r\n"):  # The standard allows empty lines before a message.
                 del buffer[:2]
         end = buffer.find(b"\r\n\r\n", max(0, self._searched - 3))
         if end + 4 > HEAD_LIMIT or (end < 0 and len(buffer) > HEAD_LIMIT):
--- a/lockspoke/wire/http/request_assembler.py
+++ b/lockspoke/wire/http/request_assembler.py
@@ -13,10 +13,10 @@
     """Joins the parts of each request, for a front that handles complete requests only."""
 
     parser: RequestParser = field(default_factory=RequestParser)
-    head: RequestHead | None = None  # the head of the incomplete request, once it is read
+    head: RequestHead | None = None  # The head of the incomplete request, once it has been read.
     body_chunks: list[bytes] = field(default_factory=list)
-    body_size: int = 0  # bytes of the incomplete request's body
-    continue_checked: bool = False
+    body_size: int = 0  # How many bytes of the incomplete request's body have been read.
+    continue_checked: bool = False  # Whether its Expect field has been checked.
 
     @property
     def idle(self) -> bool:
--- a/lockspoke/wire/http/response_parser.py
+++ b/lockspoke/wire/http/response_parser.py
@@ -9,7 +9,7 @@
 
 # A replica's chunk holds a few events: a larger size means that the framing is malformed.
 RESPONSE_CHUNK_LIMIT = 1024 * 1024  # bytes
-MAX_INTERIM_RESPONSES = 8  # responses with a status below 200 that may precede the final one
+MAX_INTERIM_RESPONSES = 8  # How many responses with a status below 200 may precede the final one.
 STATUSES_WITHOUT_BODY = (204, 304)
 
 _STATUS_LINE_PATTERN = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [\t\x20-\x7e\x80-\xff]*)?")
@@ -31,7 +31,7 @@
         return self._state is ParserState.DONE and not self._buffer
 
     def _read_head(self, parts: list[MessagePart]) -> bool:
-        # Checked from the first byte: else garbage without a line end would be buffered until the deadline.
+        # Checked from the first byte: otherwise input without a line end is buffered until the deadline.
         if not _STATUS_LINE_START.startswith(bytes(self._buffer[: len(_STATUS_LINE_START)])):
             raise HttpError(502, "bad status line")
         return super()._read_head(parts)
@@ -49,7 +49,7 @@
             self._interim_responses += 1
             if self._interim_responses > MAX_INTERIM_RESPONSES:
                 raise HttpError(502, "too many interim responses")
-            return  # the final response follows
+            return  # The final response follows.
         framing = BodyFraming() if status in STATUSES_WITHOUT_BODY else self._declared_framing(headers)
         keep_alive = allows_keep_alive(minor_version, headers) and framing is not None
         parts.append(ResponseHead(status, headers, keep_alive))
--- a/lockspoke/wire/http/sse.py
+++ b/lockspoke/wire/http/sse.py
@@ -6,11 +6,11 @@
 
 LINE_LIMIT = 64 * 1024  # bytes
 EVENT_LIMIT = 256 * 1024  # bytes
-STANDARD_FIELDS = (b"data", b"event", b"id", b"retry")  # a line that starts with a colon is a comment
+STANDARD_FIELDS = (b"data", b"event", b"id", b"retry")  # A line that starts with a colon is a comment.
 DATA_PREFIX = b"data:"
 LOAD_REPORT_PREFIX = b": Srv-Load:"
 END_MARKER = b"[DONE]"
-MAX_CACHED_TOKENS = 1 << 32  # a larger count is malformed
+MAX_CACHED_TOKENS = 1 << 32  # A larger count is malformed.
 
 
 class EventStreamError(ValueError):
@@ -25,12 +25,12 @@
     """
 
     def __init__(self) -> None:
-        self.event_count = 0  # `data` lines parsed so far
-        self.done = False  # whether the end marker has arrived
+        self.event_count = 0  # The number of `data` lines parsed so far.
+        self.done = False  # Whether the end marker has arrived.
         self.cached_tokens = 0
-        self.latest_load_report = ""  # undecoded; empty if none has arrived
-        self._buffer = bytearray()  # the incomplete event
-        self._parsed = 0  # bytes of the buffer whose lines have been parsed
+        self.latest_load_report = ""  # As it arrived, undecoded; empty if none has arrived.
+        self._buffer = bytearray()  # The incomplete event.
+        self._parsed = 0  # How many bytes of the buffer belong to parsed lines.
 
     def feed(self, data: bytes) -> bytes:
         """Take bytes, split at any position; return the events that they complete.
--- a/lockspoke/wire/tcp/accepted_connection.py
+++ b/lockspoke/wire/tcp/accepted_connection.py
@@ -12,14 +12,14 @@
 
 
 class AcceptedConnection(Protocol):
-    """What a listener needs of a connection that it serves."""
+    """The interface of a connection that a listener serves."""
 
     stream: IOStream
     reader: FairReader
-    queued_since: float  # earliest time at which it can have arrived, in seconds of the event loop's clock
-    active_at: float  # when it was last active, in seconds of the event loop's clock
-    has_received: bool  # whether any byte has been received
-    close_reason: CloseReason | None  # why this gateway closed it; None if it has not
+    queued_since: float  # The earliest time at which it can have arrived, by the event loop's clock.
+    active_at: float  # The time when it was last active, by the event loop's clock.
+    has_received: bool  # Whether any byte has been received.
+    close_reason: CloseReason | None  # Why this gateway closed it; None if it has not.
 
     @property
     def idle(self) -> bool:
--- a/lockspoke/wire/tcp/acceptor.py
+++ b/lockspoke/wire/tcp/acceptor.py
@@ -9,7 +9,7 @@
 
 from lockspoke.rate_limited_log import RateLimitedLog
 
-MAX_ACCEPTS_PER_ITERATION = 16  # the event loop then runs other tasks before the next ones
+MAX_ACCEPTS_PER_ITERATION = 16  # The event loop then runs other tasks before the next connections.
 # Delays after a system error, such as too many open files; each further error doubles the delay.
 MIN_RETRY_DELAY_SECONDS = 0.001
 MAX_RETRY_DELAY_SECONDS = 0.05
@@ -40,12 +40,12 @@
     def __init__(self, listening: socket.socket, serve: Callable[[socket.socket], object]) -> None:
         """Take a non-blocking listening socket, and the function that is called with each connection."""
         self.paused = True
-        # Earliest time at which a queued connection can have arrived; None if the queue was last seen empty.
+        # Earliest time at which a queued connection can have arrived; None if the queue was last found empty.
         self._waiting_since: float | None = None
         self._listening = listening
         self._serve = serve
         self._retry_delay = MIN_RETRY_DELAY_SECONDS
-        self._retry: asyncio.TimerHandle | None = None  # pending after a system error
+        self._retry: asyncio.TimerHandle | None = None  # The timer for accepting again after a system error.
         self._failure_log = RateLimitedLog("accept_failed")
 
     def resume(self) -> None:
@@ -123,7 +123,7 @@
         """Accept the connections in the kernel's queue while there is capacity, paused or not.
 
         Returns:
-            Whether all that there is capacity for are accepted; False if the system cannot accept one now.
+            Whether the queue is empty or there is no capacity left; False if the system cannot accept now.
         """
         while has_capacity():
             try:
--- a/lockspoke/wire/tcp/arrival.py
+++ b/lockspoke/wire/tcp/arrival.py
@@ -7,7 +7,7 @@
 
 # `struct tcp_info` of Linux: eight bytes, then 32-bit fields; `tcpi_last_data_recv` is the twelfth.
 _LAST_DATA_RECEIVED = struct.Struct("=52xI")
-_MILLISECONDS = 1000.0
+_MILLISECONDS_PER_SECOND = 1000.0
 
 
 def seconds_since_last_data(connected: socket.socket) -> float:
@@ -19,4 +19,4 @@
     if len(info) < _LAST_DATA_RECEIVED.size:
         return 0.0
     (milliseconds,) = _LAST_DATA_RECEIVED.unpack(info)
-    return float(milliseconds / _MILLISECONDS)
+    return float(milliseconds / _MILLISECONDS_PER_SECOND)
--- a/lockspoke/wire/tcp/dialing.py
+++ b/lockspoke/wire/tcp/dialing.py
@@ -10,7 +10,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 READ_SIZE = 16 * 1024  # bytes
-# Temporary shortages of this machine, which say nothing about the peer.
+# Errors for a temporary lack of resources or routes on this machine, not caused by the peer.
 LOCAL_ERRORS = frozenset(
     {errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENETUNREACH, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
 )
@@ -18,8 +18,8 @@
 MIN_RETRY_DELAY_SECONDS = 0.002
 MAX_RETRY_DELAY_SECONDS = 0.05
 
-Address = tuple[str, int]  # an IP address and a port
-Dial = Callable[[Address], Awaitable[IOStream]]  # raises OSError or StreamClosedError
+Address = tuple[str, int]  # An IP address and a port.
+Dial = Callable[[Address], Awaitable[IOStream]]  # Raises OSError or StreamClosedError.
 
 
 async def dial(endpoint: Address) -> IOStream:
@@ -37,7 +37,7 @@
         try:
             return await _dial_once(endpoint)
         except OSError as error:
-            if _system_error(error) not in LOCAL_ERRORS:
+            if _error_number(error) not in LOCAL_ERRORS:
                 raise
         await asyncio.sleep(delay)
         delay = min(2 * delay, MAX_RETRY_DELAY_SECONDS)
@@ -55,7 +55,7 @@
     return stream
 
 
-def _system_error(error: OSError) -> int | None:
+def _error_number(error: OSError) -> int | None:
     """Return the error number; a StreamClosedError holds the error that closed the stream."""
     if isinstance(error, StreamClosedError) and isinstance(error.real_error, OSError):
         return error.real_error.errno
--- a/lockspoke/wire/tcp/fair_reader.py
+++ b/lockspoke/wire/tcp/fair_reader.py
@@ -24,11 +24,11 @@
         """Read at most `size` bytes at a time."""
         self._stream = stream
         self._size = size
-        self._was_ready = False  # whether the last read did not have to wait
+        self._was_ready = False  # Whether the last read did not have to wait.
         # Whether `read` is letting other tasks run. The stream may then hold bytes from the kernel
         # that no read has returned.
         self.yielding = False
-        self._reading: asyncio.Future[bytes] | None = None  # the read that `read` is waiting for
+        self._reading: asyncio.Future[bytes] | None = None  # The read that `read` is waiting for.
 
     @property
     def has_unread(self) -> bool:
--- a/lockspoke/wire/tcp/idle_order.py
+++ b/lockspoke/wire/tcp/idle_order.py
@@ -10,8 +10,8 @@
 from .accepted_connection import AcceptedConnection, close_if_no_input
 from .close_reason import CloseReason
 
-SCAN_INTERVAL_SECONDS = 0.05  # minimum between two scans of all connections
-NEW_CONNECTION_GRACE_SECONDS = 0.25  # for this time a new connection does not count as idle
+SCAN_INTERVAL_SECONDS = 0.05  # The minimum between two scans of all connections.
+NEW_CONNECTION_GRACE_SECONDS = 0.25  # For this time a new connection does not count as idle.
 
 ConnectionT = TypeVar("ConnectionT", bound=AcceptedConnection)
 
--- a/lockspoke/wire/tcp/listener.py
+++ b/lockspoke/wire/tcp/listener.py
@@ -18,9 +18,9 @@
 from .fair_reader import READ_SIZE
 from .idle_order import SCAN_INTERVAL_SECONDS, IdleOrder
 
-BACKLOG = 1024  # connections that the kernel queues until they are accepted
+BACKLOG = 1024  # The kernel queues this many connections until they are accepted.
 MAX_STREAM_BUFFER = 1024 * 1024  # bytes
-LIMIT_WARNING_INTERVAL_SECONDS = 10.0  # minimum between two log lines about the limit
+LIMIT_WARNING_INTERVAL_SECONDS = 10.0  # The minimum between two log lines about the limit.
 
 log = structlog.get_logger()
 
@@ -31,7 +31,7 @@
     """Accepts connections at one address, up to a limit.
 
     Attributes:
-        max_connections: The limit; while it looks for an idle connection to close, one more is open.
+        max_connections: The limit; while the listener selects an idle connection to close, one more is open.
         connections: The connections that have not ended.
         last_accept: When a connection was last accepted, in seconds of the event loop's clock.
         closes: How many connections have ended, by reason.
@@ -44,10 +44,10 @@
         self.closes: Counter[CloseReason] = Counter()
         self._create_connection = create_connection
         self._idle_order = IdleOrder(self.connections)
-        self._displaced: set[ConnectionT] = set()  # closed for new ones, with tasks that have not ended
+        self._displaced: set[ConnectionT] = set()  # Closed for new ones, but their tasks have not ended.
         self._limit_logged_at = -LIMIT_WARNING_INTERVAL_SECONDS
         self._tasks: set[asyncio.Task[None]] = set()
-        self._acceptor: Acceptor | None = None  # None while not listening
+        self._acceptor: Acceptor | None = None  # None while it is not listening.
 
     def listen(self, address: tuple[str, int], shared: bool = False) -> tuple[str, int]:
         """Start listening; return the address, whose port the kernel may have chosen.
@@ -151,7 +151,7 @@
         A client may already have sent a request on a connection in the queue.
 
         Returns:
-            Whether all that the limit allows are accepted; False if the system cannot accept one now.
+            Whether the queue is empty or the limit reached; False if the system cannot accept one now.
         """
         if self._acceptor is None:
             return True
--- a/lockspoke/wire/tcp/outgoing.py
+++ b/lockspoke/wire/tcp/outgoing.py
@@ -18,7 +18,7 @@
         ended_at: When everything was sent and the sending side was shut down; None before that.
     """
 
-    HIGH_WATER_MARK = 32 * 1024  # bytes; the caller has to wait while more than this is unsent
+    HIGH_WATER_MARK = 32 * 1024  # In bytes; the caller has to wait while more than this is unsent.
 
     def __init__(self, stream: IOStream) -> None:
         self.stream = stream
@@ -36,7 +36,7 @@
         try:
             written = asyncio.ensure_future(self.stream.write(data))
         except StreamClosedError:
-            return None  # the connection's reader raises the same error
+            return None  # The connection's reader raises the same error.
         if written.done():
             return None
         if not self.unsent:
@@ -49,7 +49,7 @@
         self.unsent -= count
         self.progress_at = asyncio.get_running_loop().time()
         if not done.cancelled():
-            done.exception()  # retrieved, so that asyncio does not log it as never retrieved
+            done.exception()  # Retrieved, so that asyncio does not log it as never retrieved.
 
     def finish(self) -> None:
         """Send what was written, then shut down the sending side only.
