--- a/tests/wire/clients/test_connection.py
+++ b/tests/wire/clients/test_connection.py
@@ -145,7 +145,7 @@
 
 
 def test_input_after_a_request_does_not_prevent_its_response() -> None:
-    """Regression: hundreds of pipelined requests, or garbage, closed the connection amid an open request."""
+    """Regression: hundreds of pipelined requests, or garbage, closed the connection of an open request."""
 
     async def pipelined(client: ConnectedClient) -> None:
         client.send(b"".join(request_bytes(number) for number in range(1, 200)))
@@ -243,7 +243,7 @@
 
 
 def test_request_over_an_address_that_has_moved_is_rejected() -> None:
-    """The lease of the address has expired, as it does when the process is paused."""
+    """The lease of the address has expired, for example because the process was suspended."""
 
     async def test(client: ConnectedClient) -> None:
         lease_is_valid = True
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -151,7 +151,7 @@
 def run_with_watch(
     test: Callable[[watch.DiscoveryWatch, ScriptedServer, RecordingListener], Awaitable[None]],
 ) -> None:
-    """Run a test in which the scripted server plays discovery."""
+    """Run a test in which the scripted server stands for discovery."""
 
     async def scenario() -> None:
         peer, listener = ScriptedServer(), RecordingListener(1)
@@ -278,7 +278,7 @@
     Regression: after a watch without changes the follower yielded to the event loop before its next request.
     One iteration of the loop is slow when thousands of connections are ready, so under high load (issue 38)
     gateways sent the next request up to 0.47 s after the response, on a connection that was open. Changes in
-    between count as notified although they were not requested. Both runs logged `discovery_request_delayed`
+    between count as notified, although they were not requested. Both runs logged `discovery_request_delayed`
     with `connection_reused`, eight lines of 213 to 474 ms in all, and `event_loop_late` of up to 681 ms
     (docs/incidents/0003).
     """
--- a/tests/wire/drain_checker.py
+++ b/tests/wire/drain_checker.py
@@ -10,7 +10,7 @@
 from tests.clocked import SimulatedTimeLoop
 from tests.wire.drain_schedule import MAX_PROPAGATION_TIME, Schedule
 
-DRAIN_GRACE = 0.25  # seconds after the gateway is notified of a change
+DRAIN_GRACE = 0.25  # Requests may be sent for this many seconds after the gateway is notified.
 
 
 class DrainChecker:
@@ -20,8 +20,8 @@
         self.loop = loop
         self.start = loop.time()
         self.schedule = schedule
-        self.drained_at: dict[str, float] = {}  # by uid, of replicas that are currently draining or removed
-        self.written_at: dict[str, float] = {}  # by uid, when that change was first written to the gateway
+        self.drained_at: dict[str, float] = {}  # The times of current drains and removals, by uid.
+        self.written_at: dict[str, float] = {}  # When each of these was first written to the gateway, by uid.
         self.banned: set[str] = set()
         self.requests = 0
         self.violations: list[str] = []
--- a/tests/wire/drain_fakes.py
+++ b/tests/wire/drain_fakes.py
@@ -61,12 +61,12 @@
         self.checker = checker
         self.network = network
         self.connections = FakeConnections()
-        self.silenced: list[socket.socket] = []  # kept here, since sockets without a reference are closed
+        self.silenced: list[socket.socket] = []  # Kept here, since sockets without a reference are closed.
         self.version = 1
         self.states = {f"r{n}": "up" for n in range(REPLICAS)}
-        self.history: list[tuple[int, str]] = []  # version and uid of each change
+        self.history: list[tuple[int, str]] = []  # The version and uid of each change.
         self.changed = asyncio.Event()
-        self.fault: Fault | None = None  # injected into the next request
+        self.fault: Fault | None = None  # It is injected into the next request.
         self.on_drain_written: Callable[[], None] = lambda: None
         self.current_outage: Outage | None = None
         for address in DISCOVERY_ADDRESSES:
--- a/tests/wire/drain_schedule.py
+++ b/tests/wire/drain_schedule.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-MAX_PROPAGATION_TIME = 6.0  # seconds from when discovery had a change and was reachable
+MAX_PROPAGATION_TIME = 6.0  # The limit from when discovery had a change and was reachable, in seconds.
 DURATION = 45.0  # seconds
 REPLICAS = 6
 
@@ -14,15 +14,15 @@
 class Fault(Enum):
     """A single fault of discovery, which affects the next request or all open connections."""
 
-    SILENCED = auto()  # open connections get no more responses and stay open
-    RESET = auto()  # open connections are closed
-    UNAVAILABLE = auto()  # the next request gets a 503
-    LOST = auto()  # the next request never gets a response
-    TRUNCATED = auto()  # the next response ends in the middle
-    SPLIT = auto()  # the second half of the next response is late
-    BAD_ENTRY = auto()  # the next response has an entry that cannot be decoded
-    STALE = auto()  # the next response is the initial list
-    LATE = auto()  # the next response arrives just before its deadline, and the one after it is lost
+    SILENCED = auto()  # Open connections get no more responses and stay open.
+    RESET = auto()  # Open connections are closed.
+    UNAVAILABLE = auto()  # The next request gets a 503.
+    LOST = auto()  # The next request never gets a response.
+    TRUNCATED = auto()  # The next response ends in the middle.
+    SPLIT = auto()  # The second half of the next response is late.
+    BAD_ENTRY = auto()  # The next response has an entry that cannot be decoded.
+    STALE = auto()  # The next response is the initial list.
+    LATE = auto()  # The next response arrives just before its deadline; the one after it is lost.
 
 
 class Outage(Enum):
@@ -44,8 +44,10 @@
     endpoint_changes: list[float] = field(default_factory=list)
     # Start and duration of periods in which the event loop is busy.
     busy_periods: list[tuple[float, float]] = field(default_factory=list)
-    changes: list[tuple[float, str, str]] = field(default_factory=list)  # time, uid, state
-    bans: list[tuple[float, float, str]] = field(default_factory=list)  # start, end, uid
+    # The time, uid and new state of each change.
+    changes: list[tuple[float, str, str]] = field(default_factory=list)
+    # The start, end and uid of each ban.
+    bans: list[tuple[float, float, str]] = field(default_factory=list)
 
 
 def draw_schedule(random_: random.Random, faults_in_a_row: int) -> Schedule:
--- a/tests/wire/drain_simulation.py
+++ b/tests/wire/drain_simulation.py
@@ -118,11 +118,12 @@
         self.core.endpoint_list_changed(ReplicaListUpdate(1, True, known), cached=True)
 
     def _ban(self, uid: str, banned: bool) -> None:
-        if self.core.set_banned(uid, banned):  # False for a removed replica that is no longer known
+        # False is returned for a removed replica that is no longer known.
+        if self.core.set_banned(uid, banned):
             (self.checker.banned.add if banned else self.checker.banned.discard)(uid)
 
     def _submit_request(self) -> None:
         request = ClientRequest(DiscardingWriter(), 0, 3 * SECOND, "id", "POST", "/x", {"host": "h"}, b"{}")
         request.session = self.random.getrandbits(32)
-        request.background = self.random.random() < 0.1  # like a line of a batch
+        request.background = self.random.random() < 0.1  # Like a line of a batch.
         self.core.submit(request)
--- a/tests/wire/http/test_garbage.py
+++ b/tests/wire/http/test_garbage.py
@@ -38,5 +38,5 @@
     error = feed_until_error(parser, pieces)
     if error is not None:
         assert error.status in STATUSES
-        with pytest.raises(HttpError):  # a parser that has failed stays failed
+        with pytest.raises(HttpError):  # A parser that has failed stays failed.
             parser.feed(GET)
--- a/tests/wire/replicas/test_keepalive.py
+++ b/tests/wire/replicas/test_keepalive.py
@@ -16,7 +16,7 @@
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from tests.standins import until
 
-START = 5_000_000.0  # seconds; the monotonic clock of a machine that has been running for a long time
+START = 5_000_000.0  # In seconds, by the monotonic clock of a machine that has been running for long.
 
 
 def test_rejected_connections_halve_the_idle_timeout_and_it_recovers() -> None:
--- a/tests/wire/tcp/test_acceptor.py
+++ b/tests/wire/tcp/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Errors that `accept` may return on Linux: of a single connection, or a shortage on the machine."""
+"""Errors that `accept` may return on Linux: of one connection, or a lack of resources on the machine."""
 
 from __future__ import annotations
 
--- a/tests/wire/tcp/test_dialing.py
+++ b/tests/wire/tcp/test_dialing.py
@@ -1,4 +1,4 @@
-"""Connecting is retried during a shortage on this machine, which says nothing about the peer."""
+"""Connecting is retried while this machine lacks resources, which is no failure of the peer."""
 
 from __future__ import annotations
 
--- a/tests/wire/tcp/test_fair_reader.py
+++ b/tests/wire/tcp/test_fair_reader.py
@@ -30,7 +30,7 @@
     async def scenario() -> None:
         stream = ReadyStream()
         reader = FairReader(cast(IOStream, stream), 4)
-        yielding_when_run: list[bool] = []  # whether the reader was yielding, each time another task ran
+        yielding_when_run: list[bool] = []  # Whether the reader was yielding, each time another task ran.
 
         async def other() -> None:
             while len(yielding_when_run) < 3:
--- a/tests/wire/test_deadlines.py
+++ b/tests/wire/test_deadlines.py
@@ -13,8 +13,8 @@
 from tests.standins import EVENTS, STREAM_HEAD, chunk, request_bytes, until
 
 DEADLINE_MS = 4000
-TOLERANCE_MS = 150  # required
-BUSY_TIME = 0.4  # seconds for which a test blocks the event loop or delays a step
+TOLERANCE_MS = 150  # The replica's deadline may exceed the client's by this much.
+BUSY_TIME = 0.4  # Seconds for which a test blocks the event loop or delays a step.
 
 
 def run_scenario(
@@ -74,7 +74,7 @@
 
 
 def test_a_pipelined_request_gets_the_remaining_time() -> None:
-    """Regression: its deadline was counted from its turn in the pipeline, later than its client sent it."""
+    """Regression: its deadline counted from the end of the request before it, not from its own arrival."""
 
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         client = await gateway.connect_client()
--- a/tests/wire/test_drain_rule.py
+++ b/tests/wire/test_drain_rule.py
@@ -28,7 +28,7 @@
 
 HOLD_MS = 60_000
 SHORT_HOLD_MS = 200
-BUSY_TIME = 0.3  # seconds for which the event loop is blocked: longer than the grace period of 250 ms
+BUSY_TIME = 0.3  # Seconds for which the event loop is blocked: more than the grace period of 250 ms.
 
 RESPONSE = STREAM_HEAD + b"".join(map(chunk, [*EVENTS, STREAM_TAIL])) + chunk(b"")
 
@@ -126,7 +126,7 @@
 
 
 def test_a_drain_unread_in_a_busy_loop_is_applied_before_a_request_is_sent() -> None:
-    """Regression: after a pause of the loop, requests were written before the drain was read."""
+    """Regression: after the event loop had been blocked, requests were written before the drain was read."""
 
     async def test(setup: DrainScenario) -> None:
         peer_connection, client = await setup.start_watch(), await idle_client(setup)
@@ -202,7 +202,7 @@
 
 
 def test_a_stale_response_makes_no_drained_replica_ready() -> None:
-    """Regression: its version and entries were applied; the complete list must be requested instead."""
+    """Regression: its version and entries were applied, and the complete list was not requested."""
 
     async def test(setup: DrainScenario) -> None:
         peer_connection = await setup.start_watch()
@@ -258,7 +258,7 @@
         peer_connection = await setup.start_watch()
         with capture_logs() as logs:
             for _ in range(2):
-                with contextlib.suppress(ConnectionError):  # the gateway closes before the end
+                with contextlib.suppress(ConnectionError):  # The gateway closes it before the end.
                     await asyncio.get_running_loop().sock_sendall(peer_connection.sock, bad)
                 peer_connection = await setup.discovery.accept()
                 assert b"from=1&hold_ms=0 " in await peer_connection.read_until(b"\r\n\r\n")
@@ -321,7 +321,7 @@
 
 
 class UnfinishedFollower:
-    """A follower of a former service that has an unread response until the test says otherwise."""
+    """A former service's follower, with an unread response until the test clears `has_unread_changes`."""
 
     has_unread_changes = True
 
@@ -330,7 +330,7 @@
 
 
 def test_a_former_follower_with_a_response_does_not_wait_for_other_followers() -> None:
-    """Regression: after two moves of discovery it waited for itself, and no request was sent any more."""
+    """Regression: after discovery had moved twice, it waited for itself, so no request was sent."""
 
     async def test(setup: DrainScenario) -> None:
         peer_connection, former, new = await setup.start_watch(), UnfinishedFollower(), ScriptedServer()
--- a/tests/wire/test_drain_simulation.py
+++ b/tests/wire/test_drain_simulation.py
@@ -8,7 +8,7 @@
 from tests.wire.drain_checker import DrainChecker
 from tests.wire.drain_simulation import DrainSimulation
 
-SEEDS = 8  # simulations per parameter set that CI runs
+SEEDS = 8  # How many simulations CI runs with each set of parameters.
 
 
 def simulate(seed: int, gateways: int, faults_in_a_row: int) -> DrainChecker:
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -27,7 +27,7 @@
 OVERLOADED_RESPONSE = (
     b"HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
 )
-BUSY_TIME = 0.2  # seconds for which the event loop is blocked: longer than a disconnect may remain undetected
+BUSY_TIME = 0.2  # Seconds of a blocked event loop: more than a disconnect may remain undetected.
 LONG_EVENT = b"data: " + b"x" * 30_000 + b"\n\n"
 
 
@@ -155,7 +155,7 @@
         await replica.read_until(b"{}")
         replica.send(STREAM_HEAD)
         for event in (EVENTS[0], EVENTS[1], EVENTS[0]):
-            replica.send(chunk(event))  # the next one is written once this one has been forwarded
+            replica.send(chunk(event))  # The next one is written once this one has been forwarded.
             assert (await client.read_until(chunk(event))).endswith(chunk(event))
         replica.send(chunk(b""))
         assert (await client.read_to_end()).endswith(chunk(b""))
@@ -215,7 +215,7 @@
     async def test(gateway: Gateway, peer: ScriptedServer) -> None:
         peer.sock.setsockopt(
             socket.SOL_SOCKET, socket.SO_RCVBUF, 4096
-        )  # also applies to the connections that it accepts
+        )  # This also applies to the connections that it accepts.
         client = await gateway.connect_client()
         sent = request_bytes(1, body=b"x" * 200_000)
         await asyncio.get_running_loop().sock_sendall(client.sock, sent)
@@ -239,7 +239,7 @@
     gateway.update_replicas(ListedReplica(replica.uid, ReplicaState.DRAINING, replica.endpoint, "z"))
     gateway.update_replicas(
         ListedReplica(replica.uid, ReplicaState.READY, ("127.0.0.1", 9), "z")
-    )  # it becomes ready at another address
+    )  # It becomes ready at another address.
 
 
 @pytest.mark.parametrize("interrupt", [disconnect_client, drain_and_move_replica])
@@ -292,7 +292,7 @@
         await wait_and_disconnect(gateway, peer)
         await until(lambda: gateway.core.totals.request_outcomes[RequestOutcome.CLIENT_DISCONNECTED] == 1)
         other = await gateway.connect_client()
-        other.send(request_bytes(3))  # it would be sent after the waiting requests
+        other.send(request_bytes(3))  # It would be sent after the waiting requests.
         replica = await peer.accept()
         assert b"0000000000000003" in await replica.read_until(b"{}")
         assert gateway.core.totals.attempts == 2, "one for each of two requests"
@@ -361,7 +361,7 @@
         client.send(READINESS_CHECK)
         connection = client_connection(gateway)
         connection._receive(connection.stream.socket.recv(65536))
-        client.send(request_bytes(2))  # the last response is written; the loop has not polled since then
+        client.send(request_bytes(2))  # The last response is written; the loop has not polled since then.
         assert (await client.read_to_end()).count(b"HTTP/1.1") == 1
         assert not gateway.core.totals.requests
         client.close()
