--- a/lockspoke/wire/replicas/transport.py
+++ b/lockspoke/wire/replicas/transport.py
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        load_names: Sequence[str],
+        load_report_fields: Sequence[str],
         connect_timeout: int,
         keepalive: int,
         max_connections: int,
@@ -37,7 +37,7 @@
         self.malformed_responses = 0
         # The connections of attempts that are sending their request or reading the response.
         self.active_connections: dict[Attempt, ReplicaConnection] = {}
-        self._load_names = load_names
+        self._load_report_fields = load_report_fields
         self._now = now
         self._tasks: dict[Attempt, asyncio.Task[None]] = {}
 
@@ -47,10 +47,10 @@
         return self.pool.open_connections
 
     def reconfigure(
-        self, load_names: Sequence[str], connect_timeout: int, keepalive: int, max_connections: int
+        self, load_report_fields: Sequence[str], connect_timeout: int, keepalive: int, max_connections: int
     ) -> None:
         """Apply new settings; times are in nanoseconds, as in `ConnectionPool.reconfigure`."""
-        self._load_names = load_names
+        self._load_report_fields = load_report_fields
         self.pool.reconfigure(connect_timeout, keepalive, max_connections)
 
     def start(self, attempt: Attempt) -> None:
@@ -110,7 +110,7 @@
             self.active_connections[attempt] = connection
             response = await Exchange(connection, attempt).run(self._now())
             released = self._finish_exchange(connection, response)
-            load_report = decode_load_report(response.load_report, self._load_names)
+            load_report = decode_load_report(response.load_report, self._load_report_fields)
             attempt.end(response.outcome, response.cached_tokens, load_report)
         except ConnectError:
             self.pool.record_stale_connection(connection)
