--- a/lockspoke/batch/chat_completion.py
+++ b/lockspoke/batch/chat_completion.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lockspoke.wire.http.sse import LINE_LIMIT
+from lockspoke.wire.http.sse import LINE_LIMIT_BYTES
 
 CHARACTERS_PER_TOKEN = 4  # the platform's estimate
 MAX_TOKENS_LIMIT = 1e9  # A larger `max_tokens` is treated as no limit.
@@ -60,7 +60,7 @@
         """Process the next bytes of the stream, which may end anywhere in a line."""
         self._size += len(data)
         *lines, incomplete = (self._incomplete_line + data).split(b"\n")
-        if self._size > RESPONSE_LIMIT or len(incomplete) > LINE_LIMIT:
+        if self._size > RESPONSE_LIMIT or len(incomplete) > LINE_LIMIT_BYTES:
             self._malformed = True
         self._incomplete_line = b"" if self._malformed else incomplete
         for line in lines:
--- a/lockspoke/batch/input_lines.py
+++ b/lockspoke/batch/input_lines.py
@@ -9,13 +9,13 @@
 from functools import partial
 from typing import Any, BinaryIO
 
-from lockspoke.wire.http.parser import BODY_LIMIT
+from lockspoke.wire.http.parser import BODY_LIMIT_BYTES
 
 MAX_ID_LENGTH = 512  # characters of a `custom_id`, and of other required string members
 MAX_REPORTED_ERRORS = 100  # Validation stops after this many invalid lines.
 # Bytes read at a time. A longer line is read in pieces and reported as too large, because its first piece
 # already exceeds the limit of a line.
-READ_LIMIT = 2 * BODY_LIMIT
+READ_LIMIT = 2 * BODY_LIMIT_BYTES
 
 
 class LineError(ValueError):
@@ -148,7 +148,7 @@
 
 
 def _decode_unique(raw: bytes, endpoint: str, number: int, numbers_by_id: dict[str, int]) -> InputLine:
-    line = decode_line(raw, endpoint, BODY_LIMIT)
+    line = decode_line(raw, endpoint, BODY_LIMIT_BYTES)
     first_number = numbers_by_id.setdefault(line.custom_id, number)
     if first_number != number:
         message = f"The custom_id stands on line {first_number} already."
@@ -159,4 +159,4 @@
 def read_line(file: BinaryIO, offset: int, endpoint: str) -> InputLine:
     """Read the line at an offset of a file that `index_input_file` has accepted."""
     file.seek(offset)
-    return decode_line(file.readline(READ_LIMIT).strip(), endpoint, BODY_LIMIT)
+    return decode_line(file.readline(READ_LIMIT).strip(), endpoint, BODY_LIMIT_BYTES)
--- a/lockspoke/wire/http/parser.py
+++ b/lockspoke/wire/http/parser.py
@@ -12,9 +12,9 @@
 
 from .messages import BodyChunk, Headers, HttpError, MessageEnd, MessagePart
 
-HEAD_LIMIT = 16 * 1024  # bytes
-BODY_LIMIT = 256 * 1024  # In bytes; the platform's protocol allows no larger request body.
-CHUNK_LINE_LIMIT = 256  # bytes
+HEAD_LIMIT_BYTES = 16 * 1024
+BODY_LIMIT_BYTES = 256 * 1024  # The platform's protocol allows no larger request body.
+CHUNK_LINE_LIMIT_BYTES = 256
 
 TOKEN_PATTERN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 FIELD_VALUE_PATTERN = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")
@@ -116,7 +116,7 @@
             while buffer.startswith(b"\r\n"):  # The standard allows empty lines before a message.
                 del buffer[:2]
         end = buffer.find(b"\r\n\r\n", max(0, self._searched - 3))
-        if end + 4 > HEAD_LIMIT or (end < 0 and len(buffer) > HEAD_LIMIT):
+        if end + 4 > HEAD_LIMIT_BYTES or (end < 0 and len(buffer) > HEAD_LIMIT_BYTES):
             raise HttpError(431, "head too large")
         if end < 0:
             self._searched = len(buffer)
@@ -195,7 +195,7 @@
     def _read_line(self) -> bytes | None:
         """Return a line of the chunked framing without its CRLF, or None if it is incomplete."""
         end = self._buffer.find(b"\r\n")
-        if end > CHUNK_LINE_LIMIT or (end < 0 and len(self._buffer) > CHUNK_LINE_LIMIT):
+        if end > CHUNK_LINE_LIMIT_BYTES or (end < 0 and len(self._buffer) > CHUNK_LINE_LIMIT_BYTES):
             raise HttpError(400, "chunk line too long")
         return None if end < 0 else self._consume(end + 2)[:-2]
 
@@ -223,7 +223,7 @@
         if line is None:
             return False
         self._trailer_size += len(line)
-        if self._trailer_size > HEAD_LIMIT:
+        if self._trailer_size > HEAD_LIMIT_BYTES:
             raise HttpError(431, "trailer too large")
         if line:
             parse_field(line)
--- a/lockspoke/wire/http/request_parser.py
+++ b/lockspoke/wire/http/request_parser.py
@@ -5,7 +5,7 @@
 import re
 
 from .messages import Headers, HttpError, MessagePart, RequestHead
-from .parser import BODY_LIMIT, TOKEN_PATTERN, BodyFraming, MessageParser, allows_keep_alive
+from .parser import BODY_LIMIT_BYTES, TOKEN_PATTERN, BodyFraming, MessageParser, allows_keep_alive
 
 _TARGET_PATTERN = re.compile(rb"/[!-~]*")
 _VERSION_PATTERN = re.compile(rb"HTTP/[0-9]\.[0-9]")
@@ -14,7 +14,7 @@
 class RequestParser(MessageParser):
     """Parses the requests of a connection, one after another."""
 
-    def __init__(self, body_limit: int | None = BODY_LIMIT) -> None:
+    def __init__(self, body_limit: int | None = BODY_LIMIT_BYTES) -> None:
         super().__init__(body_limit)
 
     def _start_message(self, start_line: bytes, headers: Headers, parts: list[MessagePart]) -> None:
--- a/lockspoke/wire/http/response_parser.py
+++ b/lockspoke/wire/http/response_parser.py
@@ -8,7 +8,7 @@
 from .parser import BodyFraming, MessageParser, ParserState, allows_keep_alive
 
 # A replica's chunk holds a few events: a larger size means that the framing is malformed.
-RESPONSE_CHUNK_LIMIT = 1024 * 1024  # bytes
+RESPONSE_CHUNK_LIMIT_BYTES = 1024 * 1024
 MAX_INTERIM_RESPONSES = 8  # How many responses with a status below 200 may precede the final one.
 STATUSES_WITHOUT_BODY = (204, 304)
 
@@ -19,7 +19,7 @@
 class ResponseParser(MessageParser):
     """Parses one response; bytes after it are not parsed."""
 
-    chunk_limit = RESPONSE_CHUNK_LIMIT
+    chunk_limit = RESPONSE_CHUNK_LIMIT_BYTES
 
     def __init__(self) -> None:
         super().__init__(None)
--- a/lockspoke/wire/http/sse.py
+++ b/lockspoke/wire/http/sse.py
@@ -4,8 +4,8 @@
 
 import json
 
-LINE_LIMIT = 64 * 1024  # bytes
-EVENT_LIMIT = 256 * 1024  # bytes
+LINE_LIMIT_BYTES = 64 * 1024
+EVENT_LIMIT_BYTES = 256 * 1024
 STANDARD_FIELDS = (b"data", b"event", b"id", b"retry")  # A line that starts with a colon is a comment.
 DATA_PREFIX = b"data:"
 LOAD_REPORT_PREFIX = b": Srv-Load:"
@@ -48,7 +48,7 @@
             if not line:
                 complete_size = self._parsed
         # Limits the memory that a replica which never ends a line or an event can use.
-        if len(buffer) - self._parsed > LINE_LIMIT or len(buffer) - complete_size > EVENT_LIMIT:
+        if len(buffer) - self._parsed > LINE_LIMIT_BYTES or len(buffer) - complete_size > EVENT_LIMIT_BYTES:
             raise EventStreamError("event too large")
         events = bytes(buffer[:complete_size])
         del buffer[:complete_size]
--- a/lockspoke/wire/tcp/dialing.py
+++ b/lockspoke/wire/tcp/dialing.py
@@ -9,7 +9,7 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-READ_SIZE = 16 * 1024  # bytes
+READ_SIZE_BYTES = 16 * 1024
 # Errors for a temporary lack of resources or routes on this machine, not caused by the peer.
 LOCAL_ERRORS = frozenset(
     {errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENETUNREACH, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM}
@@ -45,7 +45,7 @@
 
 async def _dial_once(endpoint: Address) -> IOStream:
     family = socket.AF_INET6 if ":" in endpoint[0] else socket.AF_INET
-    stream = IOStream(socket.socket(family, socket.SOCK_STREAM), read_chunk_size=READ_SIZE)
+    stream = IOStream(socket.socket(family, socket.SOCK_STREAM), read_chunk_size=READ_SIZE_BYTES)
     try:
         stream.set_nodelay(True)
         await stream.connect(endpoint)
--- a/lockspoke/wire/tcp/fair_reader.py
+++ b/lockspoke/wire/tcp/fair_reader.py
@@ -9,7 +9,7 @@
 from .closing import is_open_without_input
 from .reading import start_read
 
-READ_SIZE = 16 * 1024  # bytes
+READ_SIZE_BYTES = 16 * 1024
 
 
 class FairReader:
@@ -20,7 +20,7 @@
     read have been processed.
     """
 
-    def __init__(self, stream: IOStream, size: int = READ_SIZE) -> None:
+    def __init__(self, stream: IOStream, size: int = READ_SIZE_BYTES) -> None:
         """Read at most `size` bytes at a time."""
         self._stream = stream
         self._size = size
--- a/lockspoke/wire/tcp/listener.py
+++ b/lockspoke/wire/tcp/listener.py
@@ -15,11 +15,11 @@
 from .accepted_connection import AcceptedConnection, close, close_if_no_input
 from .acceptor import Acceptor
 from .close_reason import CloseReason
-from .fair_reader import READ_SIZE
+from .fair_reader import READ_SIZE_BYTES
 from .idle_order import SCAN_INTERVAL_SECONDS, IdleOrder
 
 BACKLOG = 1024  # The kernel queues this many connections until they are accepted.
-MAX_STREAM_BUFFER = 1024 * 1024  # bytes
+MAX_STREAM_BUFFER_BYTES = 1024 * 1024
 LIMIT_WARNING_INTERVAL_SECONDS = 10.0  # The minimum between two log lines about the limit.
 
 log = structlog.get_logger()
@@ -100,7 +100,7 @@
         """
         self.last_accept = asyncio.get_running_loop().time()
         accepted.setblocking(False)
-        stream = IOStream(accepted, max_buffer_size=MAX_STREAM_BUFFER, read_chunk_size=READ_SIZE)
+        stream = IOStream(accepted, max_buffer_size=MAX_STREAM_BUFFER_BYTES, read_chunk_size=READ_SIZE_BYTES)
         stream.set_nodelay(True)
         connection = self._create_connection(stream)
         if queued_since is not None:
--- a/lockspoke/wire/tcp/read_ahead.py
+++ b/lockspoke/wire/tcp/read_ahead.py
@@ -7,7 +7,7 @@
 from tornado.iostream import IOStream
 
 from .closing import is_open_without_input
-from .dialing import READ_SIZE
+from .dialing import READ_SIZE_BYTES
 from .reading import start_read
 
 
@@ -19,7 +19,7 @@
         self.pending = self._start_read()
 
     def _start_read(self) -> asyncio.Future[bytes]:
-        pending = start_read(self.stream, READ_SIZE)
+        pending = start_read(self.stream, READ_SIZE_BYTES)
         # Retrieves the exception: otherwise asyncio would log it if the connection ends while nobody reads.
         pending.add_done_callback(lambda done: done.cancelled() or done.exception())
         return pending
--- a/tests/lifecycle/test_requests.py
+++ b/tests/lifecycle/test_requests.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from lockspoke.wire.http.parser import BODY_LIMIT, HEAD_LIMIT
+from lockspoke.wire.http.parser import BODY_LIMIT_BYTES, HEAD_LIMIT_BYTES
 from tests.standins import (
     EVENTS,
     STREAM_HEAD,
@@ -199,8 +199,9 @@
     b"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n": 404,
     b"PUT /up HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n": 405,
     b"GET /v1/chat/completions HTTP/1.1\r\nHost: a\r\n\r\n": 405,
-    b"GET /up HTTP/1.1\r\nX: " + b"a" * HEAD_LIMIT: 431,
-    b"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % (BODY_LIMIT + 1): 413,
+    b"GET /up HTTP/1.1\r\nX: " + b"a" * HEAD_LIMIT_BYTES: 431,
+    b"POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n"
+    % (BODY_LIMIT_BYTES + 1): 413,
     request_bytes(1, kind="odd"): 400,
     request_bytes(1).replace(b"Req-Deadline-Ms: 4000", b"Req-Deadline-Ms: x"): 400,
     request_bytes(1).replace(b"Content-Length: 2", b"Content-Length: 2\r\nContent-Length: 3"): 400,
--- a/tests/wire/http/test_request_parser.py
+++ b/tests/wire/http/test_request_parser.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from lockspoke.wire.http.messages import HttpError, MessagePart, RequestHead
-from lockspoke.wire.http.parser import HEAD_LIMIT
+from lockspoke.wire.http.parser import HEAD_LIMIT_BYTES
 from lockspoke.wire.http.request_parser import RequestParser
 from tests.properties import reproducible, split_at
 
@@ -49,7 +49,7 @@
         # Limits, enforced before the body arrives.
         (POST + b"Content-Length: 262145\r\n\r\n", 413),
         (POST + b"Transfer-Encoding: chunked\r\n\r\n40001\r\n", 413),
-        (POST + b"X: " + b"a" * HEAD_LIMIT, 431),
+        (POST + b"X: " + b"a" * HEAD_LIMIT_BYTES, 431),
         (POST + b"Transfer-Encoding: chunked\r\n\r\n" + b"0" * 300, 400),
     ],
 )
--- a/tests/wire/http/test_sse.py
+++ b/tests/wire/http/test_sse.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lockspoke.wire.http.sse import EVENT_LIMIT, LINE_LIMIT, EventStream, EventStreamError
+from lockspoke.wire.http.sse import EVENT_LIMIT_BYTES, LINE_LIMIT_BYTES, EventStream, EventStreamError
 from tests.properties import reproducible, split_at
 
 STREAM = (
@@ -49,8 +49,8 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"data: " + b"x" * LINE_LIMIT + b"y",
-        b": x\n" * (EVENT_LIMIT // 4 + 1),
+        b"data: " + b"x" * LINE_LIMIT_BYTES + b"y",
+        b": x\n" * (EVENT_LIMIT_BYTES // 4 + 1),
         b"abcde\n",
         b"data: {}\n\n\r\n5d\r\ndata: x\n\n",  # a chunk with too large a size
     ],
