--- a/bench/batch_soak.py
+++ b/bench/batch_soak.py
@@ -36,7 +36,7 @@
 DISK_PHASE = 0.5  # part of its period after which the disk fails, so that processes start without failures
 DISK_SHARES = (0.1, 0.3, 1.0)  # shares of the calls that fail while the disk fails
 WALL_STEPS = (-3600.0, -5.0, 5.0, 3600.0)  # seconds by which the wall clock is set
-RETRY_INTERVAL = 0.1  # seconds after a call that failed because the store could not write
+RETRY_INTERVAL = 0.1  # seconds after an operation that failed because the store could not write
 MAX_RUNS = 5  # of a seed whose runs are inconclusive
 DEFAULT_LINES = 10_000  # in each batch
 MAX_CANCEL_DELAY = 2.0  # seconds after the last creation, or the restart, until the last cancellation
@@ -74,7 +74,7 @@
 
     batches: tuple[BatchPlan, ...]
     concurrency: int
-    replica_pause: float  # seconds that a replica takes to answer a line
+    replica_delay: float  # seconds that a replica takes to answer a line
     restart_at: float  # seconds after the last creation
     restart_by_kill: bool
 
@@ -92,7 +92,7 @@
     return Schedule(
         tuple(plans),
         concurrency=settings.choice((2, 8, 32)),
-        replica_pause=settings.choice((0.002, 0.05, 0.5)),
+        replica_delay=settings.choice((0.002, 0.05, 0.5)),
         restart_at=restart.uniform(0.2, MAX_TIME_BEFORE_RESTART),
         restart_by_kill=restart.random() < 0.5,
     )
@@ -139,8 +139,8 @@
 
     async def execute(self) -> SoakResult:
         """Run the gateway before and after its restart; raises SoakError if a bound is violated."""
-        pause = self._schedule.replica_pause
-        async with TimestampReplica(pause=pause) as one, TimestampReplica(pause=pause) as two:
+        answer_delay = self._schedule.replica_delay
+        async with TimestampReplica(pause=answer_delay) as one, TimestampReplica(pause=answer_delay) as two:
             async with self._program(one, two) as program:
                 first = await self._run_until_restart(program)
             async with self._program(one, two) as program:
@@ -161,13 +161,13 @@
         )
 
     async def _retry_while_unavailable(
-        self, program: Program, call: Callable[[Api], Awaitable[ResultT]]
+        self, program: Program, operation: Callable[[Api], Awaitable[ResultT]]
     ) -> ResultT:
-        """Repeat a call while it answers 503 because of a disk fault; such a call has changed nothing."""
+        """Repeat an operation while it answers 503 because of a disk fault; it has then changed nothing."""
         while True:
             api = await connect(program)
             try:
-                return await call(api)
+                return await operation(api)
             except AssertionError as error:
                 if self._faults is None or "(503," not in str(error):
                     raise
--- a/bench/faults/machine.py
+++ b/bench/faults/machine.py
@@ -35,25 +35,25 @@
     began_at = time.monotonic()
     write = os.write
 
-    def call_fails() -> bool:
+    def system_error_due() -> bool:
         phase = (time.monotonic() - began_at) % settings.disk_period / settings.disk_period
         fails_now = settings.disk_phase <= phase < settings.disk_phase + FAILING_SHARE
         return fails_now and rng.random() < settings.disk_share
 
     def write_or_fail(descriptor: int, data: Any) -> int:
-        if descriptor <= 2 or not call_fails():  # standard streams, such as the log, never fail
+        if descriptor <= 2 or not system_error_due():  # standard streams, such as the log, never fail
             return write(descriptor, data)
         if len(data) > 1:
             write(descriptor, memoryview(data)[: rng.randrange(len(data))])
         raise system_error(rng.choice(DISK_ERRORS))
 
-    def failing(call: Callable[..., Any]) -> Callable[..., Any]:
-        def call_or_fail(*arguments: Any, **named: Any) -> Any:
-            if call_fails():
+    def failing(function: Callable[..., Any]) -> Callable[..., Any]:
+        def run_or_fail(*arguments: Any, **named: Any) -> Any:
+            if system_error_due():
                 raise system_error(rng.choice(DISK_ERRORS))
-            return call(*arguments, **named)
+            return function(*arguments, **named)
 
-        return call_or_fail
+        return run_or_fail
 
     os.write = write_or_fail
     for name in ("fsync", "ftruncate", "replace", "rename"):
--- a/bench/inventory.py
+++ b/bench/inventory.py
@@ -168,7 +168,7 @@
         options = gateway_options(Path(name), **{"kinds.gen-a": 0.7})
         async with Program(options=options) as program, Client(program.port) as client:
             idle_delays: list[float] = []
-            busy_delays: list[float] = []
+            delays_under_load: list[float] = []
             change_delays: list[float] = []
 
             async def ping(delays: list[float], is_finished: Any) -> None:
@@ -184,7 +184,7 @@
                 start = len(program.logs)
                 began = replace_file(path, large_inventory(size, change))
                 await ping(
-                    busy_delays,
+                    delays_under_load,
                     lambda start=start: sum(x["event"] == "inventory_read" for x in program.logs[start:]),
                 )
                 change_delays.append(time.monotonic() - began)
@@ -193,7 +193,7 @@
             return {
                 "hosts": size,
                 "answer_at_rest": percentiles(idle_delays),
-                "answer_while_changing": percentiles(busy_delays),
+                "answer_while_changing": percentiles(delays_under_load),
                 "change_to_decision": percentiles(change_delays),
                 "first_change_ms": round(change_delays[0] * 1e3, 1),
                 "gateway_peak_mb": round(memory / 1024, 1),
--- a/bench/soak/discovery.py
+++ b/bench/soak/discovery.py
@@ -116,33 +116,33 @@
             writer.write(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
             return
         query = dict(pair.partition("=")[::2] for pair in request.head.query.split("&") if pair)
-        listed = self._list.complete()
+        endpoint_list = self._list.complete()
         if "from" in query:
-            version, hold = int(query["from"]), int(query.get("hold_ms", "0")) / 1000
-            if hold and time.monotonic() < self.silent_until:
+            version, max_wait = int(query["from"]), int(query.get("hold_ms", "0")) / 1000
+            if max_wait and time.monotonic() < self.silent_until:
                 self._silent_since = time.monotonic()
                 return
             if version >= self._list.version:
-                await self._wait_for_change(hold)
-            if hold and time.monotonic() < self.silent_until:
+                await self._wait_for_change(max_wait)
+            if max_wait and time.monotonic() < self.silent_until:
                 self._silent_since = time.monotonic()
                 return
-            listed = self._list.since(version)
+            endpoint_list = self._list.since(version)
         if time.monotonic() < self.unreachable_until:
             writer.write(b"HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
             return
         if gateway == self.gateway:
-            self._write(listed, draw_writer(self._cut_rng, writer))
+            self._write(endpoint_list, draw_writer(self._cut_rng, writer))
 
-    async def _wait_for_change(self, hold: float) -> None:
+    async def _wait_for_change(self, max_wait: float) -> None:
         with suppress(TimeoutError):
-            async with asyncio.timeout(hold):
+            async with asyncio.timeout(max_wait):
                 await self._list.changed.wait()
 
-    def _write(self, listed: dict[str, Any], writer: Writer) -> None:
+    def _write(self, endpoint_list: dict[str, Any], writer: Writer) -> None:
         if writer.is_closing():
             return
-        body = json.dumps(listed).encode()
+        body = json.dumps(endpoint_list).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         if writer.is_closing():
             return  # the answer was cut, so the gateway was not notified
--- a/lockspoke/address/listener.py
+++ b/lockspoke/address/listener.py
@@ -41,7 +41,7 @@
         if self._acceptor is not None:
             return
         self._acceptor = Acceptor(self._open(), self._serve)
-        self._acceptor.resume()
+        self._acceptor.start_accepting()
 
     def _open(self) -> socket.socket:
         family = socket.AF_INET6 if ":" in self.address[0] else socket.AF_INET
--- a/lockspoke/core/replica_set.py
+++ b/lockspoke/core/replica_set.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListedReplica:
+class EndpointListReplica:
     """A replica as an endpoint list describes it."""
 
     uid: str
@@ -46,7 +46,7 @@
 
     version: int
     complete: bool
-    entries: tuple[ListedReplica, ...]
+    entries: tuple[EndpointListReplica, ...]
     # The uids of entries that cannot be parsed: those replicas are left unchanged.
     unreadable: frozenset[str] = frozenset()
 
@@ -92,7 +92,7 @@
         self._by_endpoint: dict[tuple[str, int], set[int]] = {}  # without removed replicas
         self._removed: set[int] = set()
         self._process_start_times = ProcessStartTimes()
-        self._last_listed: dict[int, ListedReplica] = {}  # the last entry of each replica, by number
+        self._latest_entries: dict[int, EndpointListReplica] = {}  # the last entry of each replica, by number
         self._banned: set[str] = set()  # uids; a ban stays when the listed state changes
 
     def set_zones(self, zones: Sequence[str]) -> bool:
@@ -124,10 +124,10 @@
         self.version = update.version
         to_disconnect: list[Replica] = []
         entries: dict[int, EndpointListEntry] = {}
-        listed_endpoints: dict[tuple[str, int], None] = {}  # the addresses in the entries, as an ordered set
+        current_endpoints: dict[tuple[str, int], None] = {}  # the addresses in the entries, as an ordered set
         for entry in update.entries:
             number = self.identifiers.replica(entry.uid)
-            self._last_listed[number] = entry
+            self._latest_entries[number] = entry
             started_at = self._process_start_times.started_at(number, entry.boot_ms, clock_reading)
             replica = self.replicas.get(number)
             if replica is None:
@@ -138,10 +138,10 @@
             entries[number] = self._balancer_entry(replica, entry)
             self._index(replica)
             if replica.state != ReplicaState.REMOVED and replica.endpoint is not None:
-                listed_endpoints[replica.endpoint] = None
+                current_endpoints[replica.endpoint] = None
         if update.complete:
             self._remove_unlisted(update.unreadable, entries, to_disconnect)
-        for replica in self._find_superseded(listed_endpoints):
+        for replica in self._find_superseded(current_endpoints):
             self._remove(replica)
             entries[replica.number] = EndpointListEntry(replica.number, ReplicaState.REMOVED)
             to_disconnect.append(replica)
@@ -150,7 +150,7 @@
             EndpointListUpdate(kind, tuple(entries.values()), completes_poll), to_disconnect
         )
 
-    def _update(self, replica: Replica, entry: ListedReplica, started_at: int) -> bool:
+    def _update(self, replica: Replica, entry: EndpointListReplica, started_at: int) -> bool:
         """Update a known replica from its entry; returns whether its idle connections must be closed.
 
         Removes the replica from the indexes. The caller adds it again.
@@ -173,7 +173,7 @@
             if replica.uid in unreadable:
                 # The balancer also removes replicas that a full list does not name, so repeat the last entry
                 # that could be parsed.
-                entries[replica.number] = self._balancer_entry(replica, self._last_listed[replica.number])
+                entries[replica.number] = self._balancer_entry(replica, self._latest_entries[replica.number])
                 continue
             self._remove(replica)
             to_disconnect.append(replica)
@@ -196,11 +196,11 @@
         """Delete the removed replicas whose numbers the balancer does not use any more."""
         for number in [number for number in self._removed if number not in balancer_replicas]:
             self._removed.discard(number)
-            self._last_listed.pop(number, None)
+            self._latest_entries.pop(number, None)
             self._process_start_times.forget(number)
             self.identifiers.forget(self.replicas.pop(number).uid)
 
-    def _balancer_entry(self, replica: Replica, entry: ListedReplica) -> EndpointListEntry:
+    def _balancer_entry(self, replica: Replica, entry: EndpointListReplica) -> EndpointListEntry:
         banned = entry.state == ReplicaState.READY and entry.uid in self._banned
         return EndpointListEntry(
             replica=replica.number,
@@ -240,7 +240,7 @@
             self._banned.discard(uid)
         if replica is None or replica.state == ReplicaState.REMOVED:
             return ReplicaSetChange(EndpointListUpdate(EndpointListKind.DELTA))
-        entry = self._balancer_entry(replica, self._last_listed[replica.number])
+        entry = self._balancer_entry(replica, self._latest_entries[replica.number])
         event = EndpointListUpdate(EndpointListKind.DELTA, (entry,), completes_poll=False)
         return ReplicaSetChange(event, [replica] if banned else [])
 
--- a/lockspoke/inventory/decisions.py
+++ b/lockspoke/inventory/decisions.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lockspoke.core.replica_set import ListedReplica
+from lockspoke.core.replica_set import EndpointListReplica
 
 from .model import ReplicaRecord
 
@@ -96,6 +96,6 @@
     `wake_ms` is the Unix time at which the same snapshot must be reconciled again; None if it need not be.
     """
 
-    entries: tuple[ListedReplica, ...] = ()
+    entries: tuple[EndpointListReplica, ...] = ()
     decisions: tuple[Decision, ...] = ()
     wake_ms: int | None = None
--- a/lockspoke/inventory/ini_reader.py
+++ b/lockspoke/inventory/ini_reader.py
@@ -31,8 +31,8 @@
     """A quote is opened and not closed."""
 
 
-class _Word(NamedTuple):
-    """A word of a line and the column at which it begins, counted from 1."""
+class _Token(NamedTuple):
+    """A token of a line and the column at which it begins, counted from 1."""
 
     column: int
     text: str
@@ -47,24 +47,24 @@
     UNKNOWN = ""
 
 
-class _WordSplitter:
-    """Splits a line into words as a POSIX shell does; `#` begins a comment."""
+class _Tokenizer:
+    """Splits a line into tokens as a POSIX shell does; `#` begins a comment."""
 
     def __init__(self, line: str) -> None:
         self.line = line
-        self.words: list[_Word] = []
+        self.tokens: list[_Token] = []
         self._chars: list[str] = []
-        self._start: int | None = None  # The index at which the current word begins.
+        self._start: int | None = None  # The index at which the current token begins.
         self._quote = ""  # The quote character that is open, if any.
         self._index = 0
 
-    def split(self) -> list[_Word]:
+    def split(self) -> list[_Token]:
         while self._index < len(self.line):
             char = self.line[self._index]
             if self._quote:
                 self._read_quoted(char)
             elif char in " \t\r":
-                self._end_word()
+                self._end_token()
             elif char == "#":
                 break
             else:
@@ -72,8 +72,8 @@
             self._index += 1
         if self._quote:
             raise _UnclosedQuoteError(f"a {self._quote} is opened and never closed")
-        self._end_word()
-        return self.words
+        self._end_token()
+        return self.tokens
 
     def _read_quoted(self, char: str) -> None:
         following = self.line[self._index + 1 : self._index + 2]
@@ -98,9 +98,9 @@
         self._index += 1
         self._chars.append(self.line[self._index])
 
-    def _end_word(self) -> None:
+    def _end_token(self) -> None:
         if self._start is not None:
-            self.words.append(_Word(self._start + 1, "".join(self._chars)))
+            self.tokens.append(_Token(self._start + 1, "".join(self._chars)))
             self._chars, self._start = [], None
 
 
@@ -188,8 +188,8 @@
         if match := _PORT.match(pattern):
             pattern = match["host"]
             variables["ansible_port"] = Value(match["port"], place)
-        for word in assignments:
-            self._read_assignment(word, pattern, place, variables)
+        for token in assignments:
+            self._read_assignment(token, pattern, place, variables)
         try:
             names = expand_range(pattern)
         except RangeError as error:
@@ -200,25 +200,25 @@
             self.hosts.setdefault(name, Host(name, place)).add_variables(variables)
             group.hosts.setdefault(name, place)
 
-    def _split_host_line(self, line: str, place: Place) -> list[_Word]:
+    def _split_host_line(self, line: str, place: Place) -> list[_Token]:
         try:
-            return _WordSplitter(line).split()
+            return _Tokenizer(line).split()
         except _UnclosedQuoteError as error:
             # The name usually precedes the quote. Without it, the host would count as removed.
             name = line.split(maxsplit=1)[0]
             suggestion = "close it, or put a quote within quotes"
             self.problems.add(SYNTAX_ERROR, place, str(error), suggestion, host=name)
-            return [_Word(place.column, name)]
+            return [_Token(place.column, name)]
 
-    def _read_assignment(self, word: _Word, host: str, place: Place, variables: dict[str, Value]) -> None:
-        key, equals, value = word.text.partition("=")
-        word_place = place._replace(column=word.column)
+    def _read_assignment(self, token: _Token, host: str, place: Place, variables: dict[str, Value]) -> None:
+        key, equals, value = token.text.partition("=")
+        token_place = place._replace(column=token.column)
         if equals and key:
-            variables[key] = Value(parse_literal(value), word_place)
+            variables[key] = Value(parse_literal(value), token_place)
             return
-        message = f"{word.text!r} is no key=value"
+        message = f"{token.text!r} is no key=value"
         suggestion = "write key=value, with quotes round spaces"
-        self.problems.add(BAD_ASSIGNMENT, word_place, message, suggestion, host=host)
+        self.problems.add(BAD_ASSIGNMENT, token_place, message, suggestion, host=host)
 
     def _read_variable(self, line: str, place: Place) -> None:
         key, equals, value = line.partition("=")
--- a/lockspoke/inventory/json_document.py
+++ b/lockspoke/inventory/json_document.py
@@ -109,10 +109,10 @@
         if char == '"':
             self.builder.add(Scalar(self._read_string(), place))
             return False
-        for word, literal_text in _LITERALS.items():
-            if self.text.startswith(word, self.index):
+        for literal, literal_text in _LITERALS.items():
+            if self.text.startswith(literal, self.index):
                 self.builder.add(Scalar(literal_text, place))
-                self.index += len(word)
+                self.index += len(literal)
                 return False
         number = _NUMBER.match(self.text, self.index)
         if number is None:
--- a/lockspoke/inventory/reconciler.py
+++ b/lockspoke/inventory/reconciler.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, replace
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import ListedReplica
+from lockspoke.core.replica_set import EndpointListReplica
 
 from .address_conflicts import resolve_address_conflicts
 from .decisions import Action, Decision, KnownReplica, ReconcilePolicy, ReconcileResult, Target
@@ -80,7 +80,7 @@
         self.has_initial_list = True
         return ReconcileResult(tuple(entries), tuple(self._decisions), self._wake_ms)
 
-    def entries(self) -> tuple[ListedReplica, ...]:
+    def entries(self) -> tuple[EndpointListReplica, ...]:
         """The complete list that the replica set should have now."""
         return tuple(_entry(known) for known in self.known.values())
 
@@ -185,15 +185,15 @@
 
     def _apply_targets(
         self, targets: dict[str, Target], snapshot: Snapshot, now_ms: int
-    ) -> list[ListedReplica]:
+    ) -> list[EndpointListReplica]:
         """Apply the targets to the known replicas; returns the entries, removals and drains first."""
-        removals: list[ListedReplica] = []
-        others: list[ListedReplica] = []
+        removals: list[EndpointListReplica] = []
+        others: list[EndpointListReplica] = []
         for name, target in targets.items():
             known = self.known.get(name)
             if target.record is None:
                 if known is not None:
-                    removals.append(ListedReplica(name, ReplicaState.REMOVED, None))
+                    removals.append(EndpointListReplica(name, ReplicaState.REMOVED, None))
                     self._remove(name, known, target, now_ms)
                 elif self.excluded.get(name) != target.reason:
                     self._decide(target.action, name, target.reason)
@@ -212,7 +212,7 @@
 
     def _add(
         self, name: str, target: Target, record: ReplicaRecord, snapshot: Snapshot, now_ms: int
-    ) -> ListedReplica:
+    ) -> EndpointListReplica:
         boot_ms = self._boot_time_ms(name, record, now_ms)
         known = self.known[name] = KnownReplica(record, snapshot.files.get(name, ()), boot_ms)
         self._recently_removed.pop(name, None)
@@ -287,9 +287,9 @@
     return Target.defer(record, reason)
 
 
-def _entry(known: KnownReplica) -> ListedReplica:
+def _entry(known: KnownReplica) -> EndpointListReplica:
     record = known.record
-    return ListedReplica(
+    return EndpointListReplica(
         record.name,
         _STATES[record.state],
         record.address,
--- a/lockspoke/inventory/source.py
+++ b/lockspoke/inventory/source.py
@@ -17,7 +17,7 @@
 import structlog
 
 from lockspoke.core.endpoint_list import EndpointListListener
-from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate
+from lockspoke.core.replica_set import EndpointListReplica, ReplicaListUpdate
 from lockspoke.steady_unix_time import steady_unix_time_ns
 from lockspoke.units import MILLISECOND
 
@@ -252,7 +252,7 @@
             self._wake.cancel()
             self._wake = None
 
-    def _apply(self, entries: tuple[ListedReplica, ...]) -> None:
+    def _apply(self, entries: tuple[EndpointListReplica, ...]) -> None:
         self._rev += 1
         # Removals and drains are the first entries, so they are in the first updates.
         for start in range(0, len(entries), MAX_ENTRIES_PER_UPDATE):
--- a/lockspoke/lifecycle/platform_discovery.py
+++ b/lockspoke/lifecycle/platform_discovery.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lockspoke.core.replica_set import ReplicaListUpdate
-from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
+from lockspoke.wire.discovery.watch import DiscoveryWatch, max_wait_ms
 
 from .config import ConfigError, GatewayConfig
 
@@ -16,7 +16,7 @@
         if config.discovery is None:
             raise ConfigError("discovery is missing")
         super().__init__(
-            config.discovery, hold_duration_ms(config.settings.gateway_index, config.settings.gateway_count)
+            config.discovery, max_wait_ms(config.settings.gateway_index, config.settings.gateway_count)
         )
         self._config = config
 
@@ -28,6 +28,6 @@
         """Restart the watch, which fetches the complete list, if the address changed or the core needs it."""
         address_changed = config.discovery != self._config.discovery
         self._config = config
-        self.hold_ms = hold_duration_ms(config.settings.gateway_index, config.settings.gateway_count)
+        self.hold_ms = max_wait_ms(config.settings.gateway_index, config.settings.gateway_count)
         if config.discovery is not None and (address_changed or needs_complete_list):
             self.change_endpoint(config.discovery)
--- a/lockspoke/wire/discovery/endpoint_list.py
+++ b/lockspoke/wire/discovery/endpoint_list.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import UNKNOWN_VERSION, ListedReplica, ReplicaListUpdate
+from lockspoke.core.replica_set import UNKNOWN_VERSION, EndpointListReplica, ReplicaListUpdate
 
 STATES = {"up": ReplicaState.READY, "draining": ReplicaState.DRAINING, "removed": ReplicaState.REMOVED}
 
@@ -83,7 +83,7 @@
 
     def __init__(self, complete: bool) -> None:
         self.complete = complete  # Whether a replica that is not listed counts as removed.
-        self.entries: list[ListedReplica] = []
+        self.entries: list[EndpointListReplica] = []
         self.errors: list[str] = []
         self.unreadable_uids: set[str] = set()
 
@@ -107,7 +107,7 @@
             self.unreadable_uids.add(uid)
         else:
             # Whatever the error is, the replica must not get new requests.
-            self.entries.append(ListedReplica(uid, state, endpoint=None))
+            self.entries.append(EndpointListReplica(uid, state, endpoint=None))
 
     def drop_duplicates(self) -> None:
         """Drop the ready entries of replicas that are listed more than once; drains and removals stay."""
@@ -128,7 +128,7 @@
     return uid if isinstance(uid, str) and uid else None
 
 
-def _decode_entry(target: Any, index: int) -> ListedReplica:
+def _decode_entry(target: Any, index: int) -> EndpointListReplica:
     if not isinstance(target, dict):
         raise EndpointListError(f"targets[{index}] is {target!r}")
     uid, state_name = _text_field(target, "uid", index), _text_field(target, "state", index)
@@ -140,7 +140,7 @@
         None if state is ReplicaState.REMOVED else decode_address(_text_field(target, "endpoint", index))
     )
     zone, machine_kind = target.get("az", ""), target.get("model", "")
-    return ListedReplica(
+    return EndpointListReplica(
         uid=uid,
         state=state,
         endpoint=endpoint,
--- a/lockspoke/wire/discovery/watch.py
+++ b/lockspoke/wire/discovery/watch.py
@@ -31,10 +31,10 @@
 log = structlog.get_logger()
 
 
-def hold_duration_ms(index: int, gateway_count: int) -> int:
+def max_wait_ms(index: int, gateway_count: int) -> int:
     """Return the hold of the gateway with this index; the holds of all gateways are spread evenly."""
-    spread = min(MAX_HOLD_SPREAD_MS, HOLD_STEP_MS * gateway_count)
-    return MIN_HOLD_MS + spread * (index % gateway_count) // gateway_count
+    stagger_ms = min(MAX_HOLD_SPREAD_MS, HOLD_STEP_MS * gateway_count)
+    return MIN_HOLD_MS + stagger_ms * (index % gateway_count) // gateway_count
 
 
 class DiscoveryWatch:
--- a/lockspoke/wire/tcp/acceptor.py
+++ b/lockspoke/wire/tcp/acceptor.py
@@ -48,13 +48,13 @@
         self._retry: asyncio.TimerHandle | None = None  # The timer for accepting again after a system error.
         self._failure_log = RateLimitedLog("accept_failed")
 
-    def resume(self) -> None:
+    def start_accepting(self) -> None:
         """Start accepting."""
         if self.paused:
             self.paused = False
             self._watch()
 
-    def pause(self) -> None:
+    def stop_accepting(self) -> None:
         """Stop accepting; new connections stay in the kernel's queue."""
         self.paused = True
         self._set_waiting_since()
@@ -138,5 +138,5 @@
 
     def close(self) -> None:
         """Stop listening: connections in the kernel's queue are reset."""
-        self.pause()
+        self.stop_accepting()
         self._listening.close()
--- a/lockspoke/wire/tcp/listener.py
+++ b/lockspoke/wire/tcp/listener.py
@@ -67,7 +67,7 @@
     def _start_accepting(self) -> None:
         """Start accepting, unless it is not listening or is above the limit."""
         if self._acceptor is not None and self._open_count <= self.max_connections:
-            self._acceptor.resume()
+            self._acceptor.start_accepting()
 
     @property
     def _open_count(self) -> int:
@@ -110,17 +110,17 @@
         self._tasks.add(task)
         task.add_done_callback(lambda done: self._connection_ended(connection, done))
         if self._open_count > self.max_connections and not self._close_longest_idle():
-            self._pause_at_limit()
+            self._stop_accepting_at_limit()
         return connection
 
-    def _pause_at_limit(self) -> None:
+    def _stop_accepting_at_limit(self) -> None:
         """Stop accepting until a connection ends; new ones wait in the kernel's queue."""
         if self._acceptor is None or self._acceptor.paused:
             return
         if self.last_accept - self._limit_logged_at > LIMIT_WARNING_INTERVAL_SECONDS:
             self._limit_logged_at = self.last_accept
             log.warning("clients_at_limit", connections=len(self.connections))
-        self._acceptor.pause()
+        self._acceptor.stop_accepting()
         asyncio.get_running_loop().call_later(SCAN_INTERVAL_SECONDS, self.enforce_limit)
 
     def _connection_ended(self, connection: ConnectionT, task: asyncio.Task[None]) -> None:
--- a/tests/core/harness.py
+++ b/tests/core/harness.py
@@ -10,7 +10,7 @@
 from lockspoke.balancing.settings import DeduplicationScope, Idempotency, RequestClass
 from lockspoke.core.core import Core
 from lockspoke.core.identifiers import Identifiers
-from lockspoke.core.replica_set import ListedReplica, Replica, ReplicaListUpdate, ReplicaSet
+from lockspoke.core.replica_set import EndpointListReplica, Replica, ReplicaListUpdate, ReplicaSet
 from lockspoke.core.requests import Attempt, ClientRequest, SendPermission
 from lockspoke.units import SECOND
 from tests.balancing.helpers import settings
@@ -71,7 +71,8 @@
         self.unread_responses: set[Attempt] = set()
         self.core = Core(settings(**changes), 7, ReplicaSet(Identifiers(), ["z"]), self, self, self)
         entries = tuple(
-            ListedReplica(f"w{i}", ReplicaState.READY, ("127.0.0.1", 5000 + i), "z") for i in range(replicas)
+            EndpointListReplica(f"w{i}", ReplicaState.READY, ("127.0.0.1", 5000 + i), "z")
+            for i in range(replicas)
         )
         self.core.endpoint_list_changed(ReplicaListUpdate(1, True, entries), cached=True)
 
--- a/tests/core/test_clock_steps.py
+++ b/tests/core/test_clock_steps.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate
+from lockspoke.core.replica_set import EndpointListReplica, ReplicaListUpdate
 from lockspoke.units import MILLISECOND, SECOND
 
 from .harness import CoreHarness
@@ -15,7 +15,9 @@
 
 def list_new_replica(harness: CoreHarness, boot: int, uid: str = "new", port: int = 7000) -> None:
     """Add a replica to the endpoint list, with `boot` (in nanoseconds) as its listed start time."""
-    entry = ListedReplica(uid, ReplicaState.READY, ("127.0.0.1", port), "z", boot_ms=boot // MILLISECOND)
+    entry = EndpointListReplica(
+        uid, ReplicaState.READY, ("127.0.0.1", port), "z", boot_ms=boot // MILLISECOND
+    )
     harness.core.endpoint_list_changed(ReplicaListUpdate(2, False, (entry,)))
 
 
--- a/tests/core/test_decision_loop.py
+++ b/tests/core/test_decision_loop.py
@@ -7,7 +7,7 @@
 import pytest
 
 from lockspoke.balancing.events import Outcome, ReplicaState
-from lockspoke.core.replica_set import UNKNOWN_VERSION, ListedReplica, ReplicaListUpdate
+from lockspoke.core.replica_set import UNKNOWN_VERSION, EndpointListReplica, ReplicaListUpdate
 from lockspoke.core.requests import SendPermission
 from tests.core.harness import CoreHarness
 
@@ -65,7 +65,7 @@
         raise ZeroDivisionError
 
     monkeypatch.setattr(harness.core.balancer, "handle", fail)
-    drain = ListedReplica("w0", ReplicaState.DRAINING, ("127.0.0.1", 5000), "z")
+    drain = EndpointListReplica("w0", ReplicaState.DRAINING, ("127.0.0.1", 5000), "z")
     harness.core.endpoint_list_changed(ReplicaListUpdate(2, False, (drain,)))
     monkeypatch.setattr(harness.core.balancer, "handle", handle)
     assert harness.core.replica_set.version == UNKNOWN_VERSION
--- a/tests/core/test_endpoint_list.py
+++ b/tests/core/test_endpoint_list.py
@@ -5,7 +5,7 @@
 from structlog.testing import capture_logs
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import ListedReplica, Replica, ReplicaListUpdate
+from lockspoke.core.replica_set import EndpointListReplica, Replica, ReplicaListUpdate
 from lockspoke.units import MILLISECOND, SECOND
 from tests.core.harness import CoreHarness
 
@@ -38,7 +38,7 @@
 
 
 def drain(harness: CoreHarness, replica: Replica) -> None:
-    entry = ListedReplica(replica.uid, ReplicaState.DRAINING, replica.endpoint)
+    entry = EndpointListReplica(replica.uid, ReplicaState.DRAINING, replica.endpoint)
     harness.core.endpoint_list_changed(ReplicaListUpdate(2, False, (entry,)))
 
 
--- a/tests/core/test_send_permission.py
+++ b/tests/core/test_send_permission.py
@@ -8,7 +8,7 @@
 
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.balancing.settings import Idempotency, RequestClass
-from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate
+from lockspoke.core.replica_set import EndpointListReplica, ReplicaListUpdate
 from lockspoke.core.requests import ClientRequest, SendPermission
 from lockspoke.units import MILLISECOND, SECOND
 from tests.core.harness import CoreHarness, idempotent_with_key
@@ -21,14 +21,18 @@
 def replica_drains(harness: CoreHarness, request: ClientRequest) -> None:
     uid = request.attempts[0].replica.uid
     harness.core.endpoint_list_changed(
-        ReplicaListUpdate(2, False, (ListedReplica(uid, ReplicaState.DRAINING, ("127.0.0.1", 5000), "z"),))
+        ReplicaListUpdate(
+            2, False, (EndpointListReplica(uid, ReplicaState.DRAINING, ("127.0.0.1", 5000), "z"),)
+        )
     )
 
 
 def replica_restarts(harness: CoreHarness, request: ClientRequest) -> None:
     uid, endpoint = request.attempts[0].replica.uid, request.attempts[0].replica.endpoint
     harness.core.endpoint_list_changed(
-        ReplicaListUpdate(2, False, (ListedReplica(uid, ReplicaState.READY, endpoint, "z", boot_ms=10**6),))
+        ReplicaListUpdate(
+            2, False, (EndpointListReplica(uid, ReplicaState.READY, endpoint, "z", boot_ms=10**6),)
+        )
     )
 
 
--- a/tests/inventory/test_reconciler.py
+++ b/tests/inventory/test_reconciler.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import ListedReplica
+from lockspoke.core.replica_set import EndpointListReplica
 from lockspoke.inventory.decisions import Action, ReconcilePolicy, ReconcileResult
 from lockspoke.inventory.model import ReplicaRecord, Snapshot
 from lockspoke.inventory.parse_cache import ReadOptions
@@ -48,7 +48,7 @@
     reconciler = started_reconciler()
     invalid_rows = ["w1,300.1.1.1,gen-a,up", "w2,10.0.0.2,gen-z,up", "w3", *rows(10, 1, 2, 3, 7)]
     result = reconciler.reconcile(snapshot(*invalid_rows), 10)
-    assert result.entries == (ListedReplica("w7", ReplicaState.REMOVED, None),)
+    assert result.entries == (EndpointListReplica("w7", ReplicaState.REMOVED, None),)
     assert actions(result) == {"w7": Action.REMOVE} | dict.fromkeys(("w1", "w2", "w3"), Action.HOLD)
     assert reconciler.known["w1"].record.host == "10.0.0.1" and "INV305" in reconciler.known["w1"].hold_reason
     # A hold is reported once and ends when the row is corrected.
@@ -193,7 +193,7 @@
     draining = snapshot(*rows(4), "w5,10.0.0.5,gen-a,draining")
     assert reconciler.reconcile(draining, 10).entries[0].state == ReplicaState.DRAINING
     assert reconciler.reconcile(snapshot(*rows(4)), 20).entries == (
-        ListedReplica("w5", ReplicaState.REMOVED, None),
+        EndpointListReplica("w5", ReplicaState.REMOVED, None),
     )
     # A host that is added again while draining gets no new request.
     assert reconciler.reconcile(draining, 50).entries[0].state == ReplicaState.DRAINING
@@ -282,7 +282,7 @@
     steps: list[tuple[dict[int, tuple[int, str, str]], int]],
 ) -> None:
     reconciler, now = Reconciler(), 0
-    applied: dict[str, ListedReplica] = {}
+    applied: dict[str, EndpointListReplica] = {}
     for hosts, later in steps:
         now += later
         lines = [f"w{name},10.0.0.{at},{kind},{state}" for name, (at, kind, state) in hosts.items()]
--- a/tests/lifecycle/test_periodic_checks.py
+++ b/tests/lifecycle/test_periodic_checks.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lockspoke.balancing.events import ReplicaState
-from lockspoke.core.replica_set import ListedReplica
+from lockspoke.core.replica_set import EndpointListReplica
 from lockspoke.lifecycle.memory import return_free_memory
 from lockspoke.wire.discovery.endpoint_list import decode_endpoint_list
 from tests.peers import Gateway, ScriptedServer
@@ -35,7 +35,7 @@
 def all_replicas_are_removed(gateway: Gateway) -> None:
     gateway.core.endpoint_list_changed(decode_endpoint_list(endpoint_list_body(0)).require_complete())
     gateway.update_replicas(
-        *(ListedReplica(f"s-{n}", ReplicaState.REMOVED, None) for n in range(REPLICA_COUNT))
+        *(EndpointListReplica(f"s-{n}", ReplicaState.REMOVED, None) for n in range(REPLICA_COUNT))
     )
 
 
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -18,7 +18,7 @@
 from lockspoke.core.core import Core
 from lockspoke.core.identifiers import Identifiers
 from lockspoke.core.interfaces import Discovery
-from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate, ReplicaSet
+from lockspoke.core.replica_set import EndpointListReplica, ReplicaListUpdate, ReplicaSet
 from lockspoke.lifecycle.clock import EventLoopClock
 from lockspoke.wire.clients.front import ClientFront
 from lockspoke.wire.replicas.transport import ReplicaTransport
@@ -125,12 +125,12 @@
         self.has_unread_changes = False  # Changes are applied immediately.
         self.update_replicas(
             *(
-                ListedReplica(f"w{index}", ReplicaState.READY, server.endpoint, "z")
+                EndpointListReplica(f"w{index}", ReplicaState.READY, server.endpoint, "z")
                 for index, server in enumerate(replicas)
             )
         )
 
-    def update_replicas(self, *entries: ListedReplica) -> None:
+    def update_replicas(self, *entries: EndpointListReplica) -> None:
         """Apply a change of the endpoint list. The first call applies a complete list."""
         self.list_version += 1
         self.core.endpoint_list_changed(ReplicaListUpdate(self.list_version, self.list_version == 1, entries))
@@ -139,7 +139,7 @@
         """Add replicas to the endpoint list."""
         self.update_replicas(
             *(
-                ListedReplica(f"more{index}", ReplicaState.READY, server.endpoint, "z")
+                EndpointListReplica(f"more{index}", ReplicaState.READY, server.endpoint, "z")
                 for index, server in enumerate(replicas)
             )
         )
--- a/tests/wire/discovery/test_watch.py
+++ b/tests/wire/discovery/test_watch.py
@@ -234,11 +234,11 @@
 
 
 def test_holds_are_spread_over_the_gateways() -> None:
-    holds = [watch.hold_duration_ms(index, 200) for index in range(200)]
+    holds = [watch.max_wait_ms(index, 200) for index in range(200)]
     assert len(set(holds)) == 200 and holds == sorted(holds)
     assert (holds[0], holds[-1]) == (1500, 3490)
-    assert watch.hold_duration_ms(777, 200) in holds and watch.hold_duration_ms(0, 1) == 1500
-    assert max(watch.hold_duration_ms(index, 1024) for index in range(1024)) < 3500
+    assert watch.max_wait_ms(777, 200) in holds and watch.max_wait_ms(0, 1) == 1500
+    assert max(watch.max_wait_ms(index, 1024) for index in range(1024)) < 3500
 
 
 def test_late_continuation_of_a_watch_is_logged() -> None:
--- a/tests/wire/drain_simulation.py
+++ b/tests/wire/drain_simulation.py
@@ -15,10 +15,10 @@
 from lockspoke.balancing.settings import RequestClass
 from lockspoke.core.core import Core
 from lockspoke.core.identifiers import Identifiers
-from lockspoke.core.replica_set import ListedReplica, ReplicaListUpdate, ReplicaSet
+from lockspoke.core.replica_set import EndpointListReplica, ReplicaListUpdate, ReplicaSet
 from lockspoke.core.requests import ClientRequest
 from lockspoke.units import SECOND
-from lockspoke.wire.discovery.watch import DiscoveryWatch, hold_duration_ms
+from lockspoke.wire.discovery.watch import DiscoveryWatch, max_wait_ms
 from lockspoke.wire.replicas.transport import ReplicaTransport
 from lockspoke.wire.tcp.dialing import Address
 from tests.balancing.helpers import settings
@@ -60,7 +60,7 @@
         self.discovery = FakeDiscovery(self.random, self.checker, network)
         self.replicas = FakeReplicas(self.random, network)
         index = self.random.randrange(gateways)
-        self.watch = DiscoveryWatch(DISCOVERY_ADDRESSES[0], hold_duration_ms(index, gateways), network.dial)
+        self.watch = DiscoveryWatch(DISCOVERY_ADDRESSES[0], max_wait_ms(index, gateways), network.dial)
         self.discovery.on_drain_written = partial(self.watch.change_endpoint, DISCOVERY_ADDRESSES[1])
         self.transport = ReplicaTransport((), SECOND, 10 * SECOND, 64, clock.now, network.dial)
         balancer_settings = settings(
@@ -113,7 +113,9 @@
         return events
 
     def _start_core(self) -> None:
-        known = tuple(ListedReplica(f"r{n}", ReplicaState.READY, (f"r{n}", 80), "z") for n in range(REPLICAS))
+        known = tuple(
+            EndpointListReplica(f"r{n}", ReplicaState.READY, (f"r{n}", 80), "z") for n in range(REPLICAS)
+        )
         self.core.start()
         self.core.endpoint_list_changed(ReplicaListUpdate(1, True, known), cached=True)
 
--- a/tests/wire/tcp/test_acceptor.py
+++ b/tests/wire/tcp/test_acceptor.py
@@ -73,7 +73,7 @@
         asyncio.get_running_loop().set_exception_handler(lambda _, context: failures.append(context))
         setup = AcceptorSetup()
         setup.socket.errors = [error] * 1000
-        setup.acceptor.resume()
+        setup.acceptor.start_accepting()
         await asyncio.sleep(0.3)
         assert setup.socket.accepts <= 20, "the event loop spins"
         setup.socket.errors = []
@@ -89,7 +89,7 @@
 
     async def scenario() -> None:
         setup = AcceptorSetup()
-        setup.acceptor.resume()
+        setup.acceptor.start_accepting()
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         for _ in range(20):
@@ -119,13 +119,13 @@
     async def scenario() -> None:
         setup = AcceptorSetup()
         setup.socket.errors = [errno.ENFILE] * 1000
-        setup.acceptor.resume()
+        setup.acceptor.start_accepting()
         await until(lambda: setup.socket.accepts >= 2)
-        setup.acceptor.pause()
+        setup.acceptor.stop_accepting()
         setup.socket.errors = []
         await asyncio.sleep(0.15)
         assert not setup.accepted
-        setup.acceptor.resume()
+        setup.acceptor.start_accepting()
         await until(lambda: len(setup.accepted) == 2)
         setup.close()
 
--- a/tests/wire/test_races.py
+++ b/tests/wire/test_races.py
@@ -12,7 +12,7 @@
 
 from lockspoke.balancing.events import Outcome, ReplicaState
 from lockspoke.balancing.settings import Idempotency, RequestClass
-from lockspoke.core.replica_set import ListedReplica
+from lockspoke.core.replica_set import EndpointListReplica
 from lockspoke.core.totals import RequestOutcome
 from lockspoke.wire.clients.admission import AdmissionMode
 from lockspoke.wire.clients.connection import LINGER_SECONDS, ClientConnection
@@ -236,9 +236,9 @@
 
 async def drain_and_move_replica(gateway: Gateway, client: RawConnection) -> None:
     (replica,) = gateway.replica_set.replicas.values()
-    gateway.update_replicas(ListedReplica(replica.uid, ReplicaState.DRAINING, replica.endpoint, "z"))
+    gateway.update_replicas(EndpointListReplica(replica.uid, ReplicaState.DRAINING, replica.endpoint, "z"))
     gateway.update_replicas(
-        ListedReplica(replica.uid, ReplicaState.READY, ("127.0.0.1", 9), "z")
+        EndpointListReplica(replica.uid, ReplicaState.READY, ("127.0.0.1", 9), "z")
     )  # It becomes ready at another address.
 
 
