--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,12 @@
-# Everyday tasks; the platform itself uses the commands in deploy/balancer.toml.
+# Targets for development. The platform doesn't use them: it runs the commands in deploy/balancer.toml.
 PYTHON = .venv/bin/python -B
-# Where the tools are: an environment of our own, unless the caller has one.
+# DEV is the folder with the development tools. Unless the caller sets it, they are installed into .dev.
 ifndef DEV
 DEV = .dev/bin
 READY = .dev/.built
 endif
 
-# The operators' kit, whose bench plays the sites of deploy/sites.
+# The folder of the operators' kit. The kit's bench simulates the sites in deploy/sites.
 KIT = ../given/kit
 
 .PHONY: build run run-edge test lint ci clean sites
@@ -30,7 +30,7 @@
 lint: $(READY)
 	$(DEV)/ruff check . && $(DEV)/ruff format --check . && PATH=$(DEV):$$PATH $(DEV)/mypy
 
-# Beside the sites' own files go the kit's, which are its text and not ours.
+# Copies the kit's files next to the site files. They belong to the kit, so this repository doesn't keep them.
 sites:
 	@test -d $(KIT)/sites || { echo "no kit at $(KIT): name it with KIT=..." >&2; exit 1; }
 	install -m 644 $(KIT)/sites/real.json $(KIT)/sites/wire.json $(KIT)/sites/unlock.txt deploy/sites
